--- a/crates/platform/tests/controller/main.rs
+++ b/crates/platform/tests/controller/main.rs
@@ -1,5 +1,6 @@
 //! What goes out on streams for what comes in, in made-up time and without a socket.
 
+mod bytes;
 mod channel;
 mod interleavings;
 mod lists;
--- a/tests/pilot/main.rs
+++ b/tests/pilot/main.rs
@@ -5,5 +5,6 @@
 mod herds;
 mod plans;
 mod probes;
+mod recorded;
 mod stage;
 mod unprobed;
