--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lockcroft_generations::{Epoch, Found, Keep, Layout, Statuses, Version, Writer, find, read_keys};
-use lockcroft_tablefile::{Content, Keys};
+use lockcroft_table_format::{Content, Keys};
+use lockcroft_table_store::{Epoch, Found, Keep, Layout, Statuses, Version, Writer, find, read_keys};
 use serde_json::{Value, json};
 
 #[derive(Subcommand)]
@@ -142,7 +142,7 @@
     /// Proxies whose last word is that they have laid it.
     fn laid(&self, name: Name) -> Vec<String> {
         let statuses = Statuses::default().look(&self.folder).unwrap_or_default();
-        let on = |status: &lockcroft_tablefile::proto::Status| {
+        let on = |status: &lockcroft_table_format::proto::Status| {
             status.laid.last().is_some_and(|laid| Name(laid.epoch, laid.version) == name)
         };
         statuses.into_iter().filter(on).map(|status| status.proxy).collect()
@@ -206,7 +206,7 @@
 fn rows(content: &Content) -> Vec<String> {
     let mut rows = Vec::new();
     for (number, table) in &content.tables {
-        let line = |(server, line): (&String, &lockcroft_tablefile::Line)| {
+        let line = |(server, line): (&String, &lockcroft_table_format::Line)| {
             format!("t{number} {server} {} weight {}", line.address, line.weight)
         };
         rows.extend(table.lines.iter().map(line));
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
+use lockcroft_config::{Faults, Post};
 use lockcroft_proxy::ProxyPost;
-use lockcroft_runtime::{Address, ask};
-use lockcroft_terms::{Faults, Post};
+use lockcroft_runtime_api::{Address, ask};
 use serde_json::json;
 
 /// Publishes weights and tables of servers to a fleet of plain proxies.
@@ -112,7 +112,7 @@
 }
 
 pub(crate) fn faults_json(faults: &Faults) -> serde_json::Value {
-    let fault = |fault: &lockcroft_terms::Fault| {
+    let fault = |fault: &lockcroft_config::Fault| {
         json!({"file": fault.file, "line": fault.line, "element": fault.element, "wrong": fault.wrong,
             "allowed": fault.allowed})
     };
@@ -124,7 +124,7 @@
         Ok(post) => post,
         Err(code) => return code,
     };
-    match lockcroft_pilot::serve(&post) {
+    match lockcroft_daemon::serve(&post) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
             eprintln!("lockcroft: {wrong}");
@@ -142,7 +142,7 @@
         }
     };
     let run = || {
-        let _logs = lockcroft_pilot::start_logs(&post.log)?;
+        let _logs = lockcroft_daemon::start_logs(&post.log)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let serving = lockcroft_proxy::serve(post.clone());
--- a/crates/cli/src/memory.rs
+++ b/crates/cli/src/memory.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lockcroft_memory::{Folder, Key, Loaded, Store, Trouble, What, load, owner_of};
+use lockcroft_state_store::{Folder, Key, Loaded, Store, Trouble, What, load, owner_of};
 use serde_json::json;
 
 #[derive(Subcommand)]
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lockcroft_rehearsal::{Day, Report, play};
+use lockcroft_scenario::{Day, Report, play};
 use serde::Serialize;
 
 use crate::ways;
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use lockcroft_plans::{Named, json, picture, text};
 use lockcroft_solver::Fault;
+use lockcroft_solver_format::{Named, json, picture, text};
 
 use crate::faults_json;
 
--- a/crates/cli/src/ways.rs
+++ b/crates/cli/src/ways.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, ExitCode, Stdio};
 use std::time::Duration;
 
-use lockcroft_rehearsal::{Day, Summary, Variant, search};
+use lockcroft_scenario::{Day, Summary, Variant, search};
 use serde_json::json;
 
 /// The ways that a day's file names, and those of its search.
--- a/crates/cli/tests/daemon/days.rs
+++ b/crates/cli/tests/daemon/days.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use lockcroft_rehearsal::{Day, Report, play};
-use lockcroft_standin::What;
+use lockcroft_scenario::{Day, Report, play};
+use lockcroft_testbed::What;
 
 use crate::help::PROGRAM;
 
@@ -156,7 +156,7 @@
            <trouble at="16s" kind="drain" servers="b-3"/>"#,
     );
     let laid = |wanted: &str| {
-        let count = |record: &&lockcroft_standin::Record| matches!(&record.what, What::Laid { relay, .. } if relay == wanted);
+        let count = |record: &&lockcroft_testbed::Record| matches!(&record.what, What::Laid { relay, .. } if relay == wanted);
         report.records.iter().filter(count).count()
     };
     assert!(laid("r-a-2") >= 4 && laid("r-b-2") >= 4, "{} and {}\n{log}", laid("r-a-2"), laid("r-b-2"));
--- a/crates/cli/tests/daemon/help.rs
+++ b/crates/cli/tests/daemon/help.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use lockcroft_rehearsal::PilotProcess;
+use lockcroft_scenario::PilotProcess;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_lockcroft");
 
--- a/crates/terms/src/post.rs
+++ b/crates/config/src/post.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use lockcroft::{Term, Terms, Zone};
-use lockcroft_naming::Places;
-use lockcroft_runtime::{Address, Level};
+use lockcroft_host::Places;
+use lockcroft_runtime_api::{Address, Level};
 use roxmltree::Node;
 
 use crate::document::{Document, Fault, Faults};
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogTerms {
     pub json: bool,
-    /// Levels by target, as `info,lockcroft_pilot=debug`.
+    /// Levels by target, as `info,lockcroft_daemon=debug`.
     pub levels: Option<String>,
 }
 
--- a/crates/terms/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -6,7 +6,7 @@
 use std::time::SystemTime;
 
 use lockcroft::{Kind, Listed, Zone};
-use lockcroft_naming::Places;
+use lockcroft_host::Places;
 use roxmltree::Node;
 
 use crate::document::{Document, Fault, Faults};
--- a/crates/terms/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -4,7 +4,7 @@
 
 use expect_test::{Expect, expect};
 use lockcroft::Term;
-use lockcroft_terms::{Document, Post, SCHEMA};
+use lockcroft_config::{Document, Post, SCHEMA};
 
 const SOUND: &str = r#"<lockcroft>
   <pilot name="p1" seed="9"/>
--- a/crates/pilot/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -5,10 +5,10 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, SystemTime};
 
+use lockcroft_config::FilesAt;
 use lockcroft_fleet::{Publication, Report, Unwritten};
-use lockcroft_generations::{Statuses, WriteError, Writer, Written, read_keys};
-use lockcroft_tablefile::proto::Status;
-use lockcroft_terms::FilesAt;
+use lockcroft_table_format::proto::Status;
+use lockcroft_table_store::{Statuses, WriteError, Writer, Written, read_keys};
 use tracing::info;
 
 use crate::{News, Told, complain};
--- a/crates/pilot/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -15,11 +15,11 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::{Finding, Proxy, Server};
+use lockcroft_config::{Post, Roster, RosterAt};
 use lockcroft_fleet::{Effect, Helm, Kept, Report, Task, Unwritten};
-use lockcroft_generations::Written;
-use lockcroft_runtime::{Address, Listener};
+use lockcroft_runtime_api::{Address, Listener};
 use lockcroft_solver::Answer;
-use lockcroft_terms::{Post, Roster, RosterAt};
+use lockcroft_table_store::Written;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{LocalSet, spawn_local};
@@ -136,7 +136,7 @@
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", door.address))?;
         let poke = poke.clone();
         let poked = move || poke.notify_one();
-        spawn_local(lockcroft_runtime::serve(listener, door.level, station.clone(), poked));
+        spawn_local(lockcroft_runtime_api::serve(listener, door.level, station.clone(), poked));
     }
     Ok(())
 }
--- a/crates/pilot/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,6 +1,6 @@
 //! Structured logs to standard error, as text or JSON lines; levels can be changed while it runs.
 
-use lockcroft_terms::LogTerms;
+use lockcroft_config::LogTerms;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Registry, fmt, reload};
--- a/crates/pilot/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::Terms;
+use lockcroft_config::Post;
 use lockcroft_fleet::Kept;
-use lockcroft_memory::{Entry, Folder, Loaded, Owner, Recalled, Rules, Store, Trouble, age};
-use lockcroft_terms::Post;
+use lockcroft_state_store::{Entry, Folder, Loaded, Owner, Recalled, Rules, Store, Trouble, age};
 use tracing::{info, warn};
 
 use crate::{News, Told, complain};
--- a/crates/pilot/src/probes.rs
+++ b/crates/daemon/src/probes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::Finding;
-use lockcroft_calls::Answer;
+use lockcroft_http_client::Answer;
 
 /// Where servers tell the share of their cores in use, from 0 to 1.
 const LOAD: &str = "x-load";
@@ -12,10 +12,10 @@
 const BODY_MOST: usize = 1 << 16;
 
 pub async fn probe(address: SocketAddr) -> (Finding, Duration) {
-    lockcroft_calls::probe(address, "/health", BODY_MOST, read).await
+    lockcroft_http_client::probe(address, "/health", BODY_MOST, read).await
 }
 
 fn read(answer: &Answer) -> Finding {
     let load = answer.headers.get(LOAD).and_then(|load| load.to_str().ok()?.parse().ok());
-    lockcroft_calls::finding(answer.status, load)
+    lockcroft_http_client::finding(answer.status, load)
 }
--- a/crates/pilot/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_naming::Places;
-use lockcroft_terms::Roster;
+use lockcroft_config::Roster;
+use lockcroft_host::Places;
 use tokio::sync::Notify;
 
 use crate::{News, Told, complain};
--- a/crates/pilot/src/station.rs
+++ b/crates/daemon/src/station.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use lockcroft_fleet::Helm;
-use lockcroft_plans::Named;
-use lockcroft_runtime::{Answer, Command, Desk, Entry, Level};
+use lockcroft_runtime_api::{Answer, Command, Desk, Entry, Level};
+use lockcroft_solver_format::Named;
 use tokio::sync::Notify;
 
 use crate::logs::Logs;
@@ -74,7 +74,7 @@
     let (problem, servers) = helm.plan().ok_or("No plan yet.")?;
     let places = helm.places();
     let (zones, classes) = (places.zones.clone(), places.classes.clone());
-    Ok(lockcroft_plans::write(&Named { problem: problem.clone(), zones, servers, classes }))
+    Ok(lockcroft_solver_format::write(&Named { problem: problem.clone(), zones, servers, classes }))
 }
 
 impl Desk for Station {
--- a/crates/pilot/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use lockcroft::Proxy;
-use lockcroft_runtime::{ANSWER_MOST, Address, Answers, Stream, dial};
+use lockcroft_runtime_api::{ANSWER_MOST, Address, Answers, Stream, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
--- a/crates/pilot/tests/probes.rs
+++ b/crates/daemon/tests/probes.rs
@@ -5,7 +5,7 @@
 
 use lockcroft::Finding;
 use lockcroft::logic::PROBE_WAIT;
-use lockcroft_pilot::probe;
+use lockcroft_daemon::probe;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::{Finding, Listed};
+use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
 use lockcroft_fleet::{Effect, Helm};
-use lockcroft_memory::Recalled;
-use lockcroft_terms::{Document, Entry, Post, Roster, SCHEMA};
+use lockcroft_state_store::Recalled;
 
 const SERVERS: usize = 640;
 const PROXIES: usize = 848;
--- a/crates/fleet/src/berth.rs
+++ b/crates/fleet/src/berth.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use lockcroft_runtime::sheets::{StateRow, read_states};
-use lockcroft_terms::ProxyAt;
+use lockcroft_config::ProxyAt;
+use lockcroft_runtime_api::sheets::{StateRow, read_states};
 use nanorand::{Rng, WyRand};
 
 use crate::book::Book;
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use lockcroft::{Class, Server, TableNumber};
-use lockcroft_naming::Published;
-use lockcroft_runtime::sheets::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
+use lockcroft_host::Published;
+use lockcroft_runtime_api::sheets::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
 
 use crate::list::List;
 use crate::scale::Scale;
 
 /// Commands of one message are written as lines of up to so many bytes: half of what a proxy takes.
 /// A message of several lines is prepared and committed, so that it takes effect as a whole.
-const LINE: usize = lockcroft_runtime::LINE_MOST / 2;
+const LINE: usize = lockcroft_runtime_api::LINE_MOST / 2;
 
 const PREPARE: &str = "prepare map tables";
 
--- a/crates/fleet/src/files.rs
+++ b/crates/fleet/src/files.rs
@@ -8,8 +8,8 @@
 
 use hdrhistogram::Histogram;
 use lockcroft::{Class, Proxy, Server, TableNumber};
-use lockcroft_generations::{Epoch, Keep, Version, Written};
-use lockcroft_tablefile::{Bound, Content, Group, Line, Table};
+use lockcroft_table_format::{Bound, Content, Group, Line, Table};
+use lockcroft_table_store::{Epoch, Keep, Version, Written};
 
 use crate::book::Desk;
 
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -8,11 +8,11 @@
 
 use hdrhistogram::Histogram;
 use lockcroft::{Decision, Finding, Pilot, Proxy, Server, TableNumber};
-use lockcroft_memory::{Entry, Recalled};
-use lockcroft_naming::{Places, Published};
-use lockcroft_runtime::sheets::read_stat;
+use lockcroft_config::{Post, Roster};
+use lockcroft_host::{Places, Published};
+use lockcroft_runtime_api::sheets::read_stat;
 use lockcroft_solver::Answer;
-use lockcroft_terms::{Post, Roster};
+use lockcroft_state_store::{Entry, Recalled};
 use nanorand::WyRand;
 use tracing::{debug, info, warn};
 
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use lockcroft::{Listed, Listing, TableNumber};
-use lockcroft_generations::Written;
-use lockcroft_memory::Recalled;
+use lockcroft_state_store::Recalled;
+use lockcroft_table_store::Written;
 use tracing::{debug, info, warn};
 
 use crate::files::{Report, Unwritten};
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft::{Listed, Listing, Server};
-use lockcroft_naming::Names;
-use lockcroft_terms::{Entry, Roster};
+use lockcroft_config::{Entry, Roster};
+use lockcroft_host::Names;
 
 /// An operator's word on one server; it holds until the opposite word, whatever the file says later.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use lockcroft::{Gate, Known, Listed, Server};
-use lockcroft_memory::{Entry, Key, ServerNote, What};
-use lockcroft_naming::Places;
+use lockcroft_host::Places;
+use lockcroft_state_store::{Entry, Key, ServerNote, What};
 
 use crate::list::List;
 
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -3,8 +3,10 @@
 use std::fmt::Write;
 
 use lockcroft::{Known, Listed, Server, TableNumber};
-use lockcroft_naming::Places;
-use lockcroft_runtime::sheets::{FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states};
+use lockcroft_host::Places;
+use lockcroft_runtime_api::sheets::{
+    FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
+};
 use lockcroft_solver::{Objective, Problem};
 
 use crate::berth::Stage;
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/orders/memory.rs
@@ -1,7 +1,7 @@
 //! A pilot that comes back: what was given out to be kept, aged, is what the next one begins with.
 
 use lockcroft::{Finding, Listed};
-use lockcroft_memory::{Key, Recalled, Rules, State, What, age};
+use lockcroft_state_store::{Key, Recalled, Rules, State, What, age};
 
 use crate::stage::{Stage, ms};
 
--- a/crates/fleet/tests/orders/stage.rs
+++ b/crates/fleet/tests/orders/stage.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft::{Finding, Listed, Server};
+use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
 use lockcroft_fleet::{Effect, Helm, Publication, Report, Unwritten};
-use lockcroft_generations::{Mine, Written};
-use lockcroft_memory::Entry as Kept;
 use lockcroft_proxy::{Choice, Ending, FromFiles, Held, Limits, Orders, STANDING, Way};
-use lockcroft_runtime::{Answers, Feed, Level};
-use lockcroft_tablefile::Bound;
-use lockcroft_terms::{Document, Entry, Post, Roster, SCHEMA};
+use lockcroft_runtime_api::{Answers, Feed, Level};
+use lockcroft_state_store::Entry as Kept;
+use lockcroft_table_format::Bound;
+use lockcroft_table_store::{Mine, Written};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/crates/fleet/tests/orders/troubles.rs
+++ b/crates/fleet/tests/orders/troubles.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use lockcroft::{Finding, Listed};
 use lockcroft_proxy::Orders;
-use lockcroft_runtime::Level;
+use lockcroft_runtime_api::Level;
 
 use crate::stage::{Stage, ms};
 
@@ -123,7 +123,7 @@
     assert_eq!(stage.orders(), "");
     stage.cut(0);
     let mut out = String::new();
-    let by_hand = lockcroft_runtime::split("set weight t0/e1 7");
+    let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
     Orders::new(Level::Admin).line(&by_hand, &mut stage.peers[0].held, &mut out);
     stage.run_to(9000);
     expect![[r#"
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::{Class, Proxy, Server, Terms, Zone};
-use lockcroft_naming::Places;
+use lockcroft_host::Places;
 use serde::Serialize;
 use serde_json::Value;
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use lockcroft::{Term, Terms};
-use lockcroft_naming::settings;
+use lockcroft_host::settings;
 use serde_json::Value;
 
 pub struct Config {
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft::{Decision, Finding, Pilot, Proxy, Server, Zone};
-use lockcroft_naming::{Places, Published};
+use lockcroft_host::{Places, Published};
 use serde_json::Value;
 use tracing::{debug, info, warn};
 
--- a/crates/platform/src/io/connections.rs
+++ b/crates/platform/src/io/connections.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use lockcroft_runtime::Lines;
+use lockcroft_runtime_api::Lines;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/platform/src/io/discovery.rs
+++ b/crates/platform/src/io/discovery.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_calls::Line;
+use lockcroft_http_client::Line;
 use serde_json::Value;
 use tokio::sync::{Notify, watch};
 use tokio::task::{JoinHandle, spawn_local};
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lockcroft::{Listed, Listing, Server};
-use lockcroft_naming::{Names, Places};
+use lockcroft_host::{Names, Places};
 use serde_json::Value;
 
 /// One telling of discovery: the whole list, or what changed.
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lockcroft::{Class, Server, TableNumber};
-use lockcroft_naming::{Published, Sheet};
+use lockcroft_host::{Published, Sheet};
 
 use crate::codec::Part;
 use crate::roster::Roster;
--- a/crates/platform/tests/controller/pieces.rs
+++ b/crates/platform/tests/controller/pieces.rs
@@ -1,6 +1,6 @@
 //! Any bytes, in any pieces.
 
-use lockcroft_runtime::Lines;
+use lockcroft_runtime_api::Lines;
 use proptest::prelude::*;
 
 use crate::stage::Stage;
--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 use lockcroft_proxy::{Proxy, ProxyPost};
-use lockcroft_runtime::{Address, ask};
+use lockcroft_runtime_api::{Address, ask};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -4,8 +4,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use lockcroft_runtime::sheets::{FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states};
-use lockcroft_runtime::{Answer, Command, Desk, Entry, Level};
+use lockcroft_runtime_api::sheets::{
+    FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
+};
+use lockcroft_runtime_api::{Answer, Command, Desk, Entry, Level};
 
 use crate::held::{Backend, Held, Line, STANDING};
 
--- a/crates/proxy/src/files.rs
+++ b/crates/proxy/src/files.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockcroft_generations::Mine;
-use lockcroft_runtime::Command;
-use lockcroft_runtime::sheets::class_variable;
-use lockcroft_tablefile::{Bound, Table};
+use lockcroft_runtime_api::Command;
+use lockcroft_runtime_api::sheets::class_variable;
+use lockcroft_table_format::{Bound, Table};
+use lockcroft_table_store::Mine;
 
 use crate::held::{Backend, Held};
 
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_runtime::{After, Command, Feed, Level, Listener, Stream};
+use lockcroft_runtime_api::{After, Command, Feed, Level, Listener, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
--- a/crates/proxy/src/io/files.rs
+++ b/crates/proxy/src/io/files.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-use lockcroft_generations::{Layout, Looked, Mine, Reader, Refusal, Statuses, read_keys, write_status};
-use lockcroft_runtime::Level;
-use lockcroft_tablefile::proto;
+use lockcroft_runtime_api::Level;
+use lockcroft_table_format::proto;
+use lockcroft_table_store::{Layout, Looked, Mine, Reader, Refusal, Statuses, read_keys, write_status};
 use tracing::{info, warn};
 
 use super::control::carry_out;
--- a/crates/proxy/src/io/running.rs
+++ b/crates/proxy/src/io/running.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use lockcroft_runtime::{Address, Command, Listener};
+use lockcroft_runtime_api::{Address, Command, Listener};
 use tokio::net::TcpListener;
 use tokio::sync::{Mutex, Notify, watch};
 use tokio::task::{JoinHandle, spawn_local};
--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -7,7 +7,7 @@
 
 use std::collections::VecDeque;
 
-use lockcroft_runtime::{After, Answer, Command, Desk, Entry, Level, Session};
+use lockcroft_runtime_api::{After, Answer, Command, Desk, Entry, Level, Session};
 
 use crate::held::{Held, Tables};
 
--- a/crates/proxy/src/post.rs
+++ b/crates/proxy/src/post.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft_runtime::Address;
-use lockcroft_terms::{Document, Faults, LogTerms, span};
+use lockcroft_config::{Document, Faults, LogTerms, span};
+use lockcroft_runtime_api::Address;
 use roxmltree::Node;
 
 use crate::choose::Way;
--- a/crates/proxy/tests/desk.rs
+++ b/crates/proxy/tests/desk.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use lockcroft_proxy::{Choice, Ending, Held, Limits, Way, may_try_again};
-use lockcroft_runtime::{Level, Session, split};
+use lockcroft_runtime_api::{Level, Session, split};
 
 fn held() -> Held {
     let standing = ["e1", "e2"].map(|name| (name.to_string(), "127.0.0.1:81".parse().expect("an address")));
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use lockcroft_generations::{Keep, Statuses, Writer, read_keys};
 use lockcroft_proxy::{FilesTerms, Proxy, ProxyPost};
-use lockcroft_tablefile::{Bound, Content, Group, Line, Table};
+use lockcroft_table_format::{Bound, Content, Group, Line, Table};
+use lockcroft_table_store::{Keep, Statuses, Writer, read_keys};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -116,7 +116,7 @@
     }
 
     /// Until the proxy has written that it laid, or refused, what is wanted.
-    async fn told(&self, wanted: impl Fn(&lockcroft_tablefile::proto::Status) -> bool) -> Duration {
+    async fn told(&self, wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool) -> Duration {
         let begun = Instant::now();
         while !Statuses::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
             assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", Statuses::of(&self.tables(), "r1"));
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_proxy::{Proxy, ProxyPost};
-use lockcroft_runtime::{Address, ask, dial};
+use lockcroft_runtime_api::{Address, ask, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/runtime/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -1,11 +1,11 @@
 //! Lines a second through the codec, against a plain `split` reader that knows neither pieces nor
-//! escapes nor limits; and sheets of counters. Run: cargo bench -p lockcroft-runtime
+//! escapes nor limits; and sheets of counters. Run: cargo bench -p lockcroft-runtime-api
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use lockcroft_runtime::sheets::{StatRow, read_stat, write_stat};
-use lockcroft_runtime::{Answers, Feed};
+use lockcroft_runtime_api::sheets::{StatRow, read_stat, write_stat};
+use lockcroft_runtime_api::{Answers, Feed};
 
 const LINES: usize = 200_000;
 /// What a socket gives at a time.
--- a/crates/runtime/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Lines in, answers out: in pieces of any size, malformed, too long.
 
-use lockcroft_runtime::sheets::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
-use lockcroft_runtime::{
+use lockcroft_runtime_api::sheets::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
+use lockcroft_runtime_api::{
     After, Answer, Answers, Command, Desk, Entry, Feed, LINE_MOST, Level, Overlong, Session, escaped, split,
 };
 use proptest::prelude::*;
--- a/crates/rehearsal/src/day.rs
+++ b/crates/scenario/src/day.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
+use lockcroft_config::{Document, Faults, span};
 use lockcroft_proxy::{ProxyPost, Way};
-use lockcroft_terms::{Document, Faults, span};
 use roxmltree::Node;
 
 use crate::ways::{Tries, Variant};
--- a/crates/rehearsal/src/folder.rs
+++ b/crates/scenario/src/folder.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockcroft_generations::{Layout, Statuses, find, read_keys};
 use lockcroft_proxy::FilesTerms;
-use lockcroft_standin::{Tap, What};
-use lockcroft_tablefile::{Content, proto};
+use lockcroft_table_format::{Content, proto};
+use lockcroft_table_store::{Layout, Statuses, find, read_keys};
+use lockcroft_testbed::{Tap, What};
 use tokio::sync::Mutex;
 
 /// Statuses are looked at so often: much oftener than generations of the past are taken away.
--- a/crates/rehearsal/src/meter.rs
+++ b/crates/scenario/src/meter.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use lockcroft_standin::Tap;
+use lockcroft_testbed::Tap;
 use serde::Serialize;
 use tokio::task::JoinHandle;
 
--- a/crates/rehearsal/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime};
 
-use lockcroft_runtime::{Address, ask};
-use lockcroft_standin::{Caller, ClassTerms, Mode, Record, call_on};
+use lockcroft_runtime_api::{Address, ask};
+use lockcroft_testbed::{Caller, ClassTerms, Mode, Record, call_on};
 use serde::{Deserialize, Serialize};
 
 use crate::day::{Day, Trouble, TroubleKind};
--- a/crates/rehearsal/src/roster.rs
+++ b/crates/scenario/src/roster.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use lockcroft_standin::{Tap, What};
+use lockcroft_testbed::{Tap, What};
 
 pub struct Line {
     pub zone: String,
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/scenario/src/rules.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::Terms;
-use lockcroft_standin::{Record, What};
+use lockcroft_testbed::{Record, What};
 use serde::Serialize;
 
 use crate::seen::Seen;
--- a/crates/rehearsal/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::Terms;
-use lockcroft_standin::{Record, What};
+use lockcroft_testbed::{Record, What};
 use serde::{Deserialize, Serialize};
 
 const WINDOW: Duration = Duration::from_secs(10);
--- a/crates/rehearsal/src/shares.rs
+++ b/crates/scenario/src/shares.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lockcroft_standin::{Record, What};
+use lockcroft_testbed::{Record, What};
 
 use crate::rules::Verdict;
 use crate::seen::Seen;
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use lockcroft_config::Post;
 use lockcroft_proxy::{Limits as Shuns, ProxyPost, Way};
-use lockcroft_runtime::Address;
-use lockcroft_standin::{Endpoint, EndpointTerms, Tap, What};
-use lockcroft_terms::Post;
+use lockcroft_runtime_api::Address;
+use lockcroft_testbed::{Endpoint, EndpointTerms, Tap, What};
 use nanorand::{Rng, WyRand};
 
 use crate::day::{Day, Front};
--- a/crates/rehearsal/src/ways.rs
+++ b/crates/scenario/src/ways.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use lockcroft_terms::{Document, Fault, Faults};
+use lockcroft_config::{Document, Fault, Faults};
 use roxmltree::{Document as Tree, Node};
 
 use crate::day::{Day, Front};
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/scenario/src/wire.rs
@@ -9,8 +9,8 @@
 
 use bytes::BytesMut;
 use lockcroft_proxy::changes;
-use lockcroft_runtime::{Address, Answers, Stream, dial, split};
-use lockcroft_standin::{Tap, What};
+use lockcroft_runtime_api::{Address, Answers, Stream, dial, split};
+use lockcroft_testbed::{Tap, What};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/scenario/tests/rules.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lockcroft_rehearsal::{Limits, Verdict, judge};
-use lockcroft_standin::{Record, What};
+use lockcroft_scenario::{Limits, Verdict, judge};
+use lockcroft_testbed::{Record, What};
 
 fn limits() -> Limits {
     Limits {
--- a/crates/rehearsal/tests/ways.rs
+++ b/crates/scenario/tests/ways.rs
@@ -1,6 +1,6 @@
 //! A day in several ways.
 
-use lockcroft_rehearsal::{Day, search};
+use lockcroft_scenario::{Day, search};
 
 const DAY: &str = r#"<day length="5s">
   <terms><kinds><kind name="old"/><kind name="new" cores="4"/></kinds><rules cold-share="0.25"/><solver every="2s"/></terms>
--- a/crates/simhost/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft::{Decision, Finding, Listed, Listing, Pilot};
-use lockcroft_naming::{Names, Places, read_settings};
+use lockcroft_host::{Names, Places, read_settings};
 
 use crate::codec::Line;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -11,7 +11,7 @@
     match host::serve(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("lockcroft-simhost: {problem}");
+            eprintln!("lockcroft-sim-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -13,7 +13,7 @@
     let settings = SETTINGS.replace('\n', "");
     let sliced = settings.replace("\"overhead\"", "\"partitions_n\":8,\"overhead\"");
     let input = lines.replace("{SLICED}", &sliced).replace("{SETTINGS}", &settings);
-    let mut host = Command::new(env!("CARGO_BIN_EXE_lockcroft-simhost"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_lockcroft-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -73,63 +73,63 @@
         (
             "CLOCK 1\nSURPRISE 0\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 2: "SURPRISE": unknown message
+            lockcroft-sim-adapter: line 2: "SURPRISE": unknown message
             exit 1
         "#]],
         ),
         (
             "CLOCK 1\nKILLED 4\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 2: "KILLED": pilot 4 was not born
+            lockcroft-sim-adapter: line 2: "KILLED": pilot 4 was not born
             exit 1
         "#]],
         ),
         (
             "CLOCK 1\nBORN 0 1 {\"classes\": oops}\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 2: "BORN": settings: expected value at line 1 column 13
+            lockcroft-sim-adapter: line 2: "BORN": settings: expected value at line 1 column 13
             exit 1
         "#]],
         ),
         (
             "ENROLLED 0 1 5 2.5 west\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 3: "ENROLLED": unknown zone "west"
+            lockcroft-sim-adapter: line 3: "ENROLLED": unknown zone "west"
             exit 1
         "#]],
         ),
         (
             "ROUNDUP 0 many 48250 1 north 1000000 endpoint-a -\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 3: "ROUNDUP": tries is not a number of its kind: "many"
+            lockcroft-sim-adapter: line 3: "ROUNDUP": tries is not a number of its kind: "many"
             exit 1
         "#]],
         ),
         (
             "REGISTRY 0 diff 1 2\nITEM endpoint-a north big 0 U 1 -\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 5: "EOF_BATCH": 1 more entries of the list were due
+            lockcroft-sim-adapter: line 5: "EOF_BATCH": 1 more entries of the list were due
             exit 1
         "#]],
         ),
         (
             "REGISTRY 0 diff 1 1\nITEM endpoint-a north big 0 X 1 -\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-simhost: line 4: "ITEM": unknown state "X"
+            lockcroft-sim-adapter: line 4: "ITEM": unknown state "X"
             exit 1
         "#]],
         ),
         (
             "DETACHED 0 1\n",
             expect![[r#"
-            lockcroft-simhost: line 4: input cut off inside a batch
+            lockcroft-sim-adapter: line 4: input cut off inside a batch
             exit 1
         "#]],
         ),
         (
             "DETACHED 0 1\nEOF_BA",
             expect![[r#"
-            lockcroft-simhost: line 4: input cut off inside the line
+            lockcroft-sim-adapter: line 4: input cut off inside the line
             exit 1
         "#]],
         ),
--- a/crates/plans/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
+use lockcroft_config::{Document, Fault, Faults, span};
 use lockcroft_solver::{Class, Problem, Server};
-use lockcroft_terms::{Document, Fault, Faults, span};
 use roxmltree::Node;
 
 pub const SCHEMA: &str = include_str!("../problem.xsd");
--- a/crates/plans/tests/plans.rs
+++ b/crates/solver-format/tests/plans.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 
 use expect_test::expect;
-use lockcroft_plans::{Named, SCHEMA, json, picture, text, write};
+use lockcroft_config::Document;
 use lockcroft_solver::solve;
-use lockcroft_terms::Document;
+use lockcroft_solver_format::{Named, SCHEMA, json, picture, text, write};
 
 const PROBLEM: &str = include_str!("../../../examples/problem.xml");
 
--- a/crates/memory/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -1,11 +1,11 @@
 //! The store against one JSON file rewritten whole: a fleet's memory loaded, and a second's worth of changes kept.
-//! `cargo bench -p lockcroft-memory`
+//! `cargo bench -p lockcroft-state-store`
 
 use std::fs::{self, File};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use lockcroft_memory::{Entry, Folder, Key, Owner, Rules, ServerNote, Store, What, age, load};
+use lockcroft_state_store::{Entry, Folder, Key, Owner, Rules, ServerNote, Store, What, age, load};
 use serde_json::{Value, json};
 
 const SERVERS: usize = 640;
--- a/crates/memory/tests/age.rs
+++ b/crates/state-store/tests/age.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockcroft_memory::{Key, RecalledServer, Rules, ServerNote, State, What, age};
+use lockcroft_state_store::{Key, RecalledServer, Rules, ServerNote, State, What, age};
 use proptest::prelude::*;
 
 const RULES: Rules = Rules { report_period: Duration::from_secs(2), warm_within: Duration::from_secs(30) };
--- a/crates/memory/tests/folder.rs
+++ b/crates/state-store/tests/folder.rs
@@ -6,7 +6,9 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use lockcroft_memory::{Entry, Folder, Key, Loaded, Owner, Refused, ServerNote, Store, Trouble, What, load};
+use lockcroft_state_store::{
+    Entry, Folder, Key, Loaded, Owner, Refused, ServerNote, Store, Trouble, What, load,
+};
 
 /// In CI; `LOCKCROFT_KILLS=1000` for the figure in docs/measured.md.
 const KILLS: u64 = 100;
@@ -201,7 +203,7 @@
 fn write_the_fixture() {
     let folder = two();
     let fixture =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/format-{}", lockcroft_memory::FORMAT));
+        Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/format-{}", lockcroft_state_store::FORMAT));
     fs::create_dir_all(&fixture).expect("made");
     for entry in fs::read_dir(folder.path()).expect("there") {
         let entry = entry.expect("there");
--- a/crates/memory/tests/model.rs
+++ b/crates/state-store/tests/model.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_memory::{Disk, Entry, Key, Owner, State, Store, What, load};
+use lockcroft_state_store::{Disk, Entry, Key, Owner, State, Store, What, load};
 
 /// A file: what is safe of it, and what was written.
 #[derive(Clone, Default)]
--- a/crates/tablefile/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -1,12 +1,12 @@
 //! Tables as protobuf files against JSON and against the text of commands: bytes, and lines a second written and read.
-//! Medians of nine, with the slowest and fastest. `cargo bench -p lockcroft-tablefile`
+//! Medians of nine, with the slowest and fastest. `cargo bench -p lockcroft-table-format`
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
 use std::time::Instant;
 
-use lockcroft_runtime::split;
-use lockcroft_tablefile::{Content, Key, Keys, Line, Table, open, read_table, seal};
+use lockcroft_runtime_api::split;
+use lockcroft_table_format::{Content, Key, Keys, Line, Table, open, read_table, seal};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
--- a/crates/tablefile/tests/bytes.rs
+++ b/crates/table-format/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockcroft_tablefile::{
+use lockcroft_table_format::{
     Bound, Content, Generation, Group, Key, Keys, Line, Table, WITHDRAWN, Wrong, open, proto, read_group,
     read_status, read_table, read_withdrawn, seal,
 };
--- a/crates/generations/benches/folder.rs
+++ b/crates/table-store/benches/folder.rs
@@ -1,12 +1,12 @@
 //! What a generation costs its writer and each of its readers, on the disk of the folder given (or the system's own for
-//! passing files). `cargo bench -p lockcroft-generations -- /srv/tables`
+//! passing files). `cargo bench -p lockcroft-table-store -- /srv/tables`
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use lockcroft_generations::{Keep, Reader, Writer, write_status};
-use lockcroft_tablefile::{Bound, Content, Group, Key, Keys, Line, Table, proto};
+use lockcroft_table_format::{Bound, Content, Group, Key, Keys, Line, Table, proto};
+use lockcroft_table_store::{Keep, Reader, Writer, write_status};
 
 const KEEP: Keep = Keep { generations: 4, earlier_epochs: false };
 
--- a/crates/generations/src/find.rs
+++ b/crates/table-store/src/find.rs
@@ -1,6 +1,6 @@
 //! A generation read whole, by those who are no proxy.
 
-use lockcroft_tablefile::{Content, Keys, WITHDRAWN, Wrong, read_group, read_table, read_withdrawn};
+use lockcroft_table_format::{Content, Keys, WITHDRAWN, Wrong, read_group, read_table, read_withdrawn};
 
 use crate::layout::{Epoch, Layout, Version};
 use crate::reader::{manifest, member};
--- a/crates/generations/src/keyfile.rs
+++ b/crates/table-store/src/keyfile.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-use lockcroft_tablefile::Keys;
+use lockcroft_table_format::Keys;
 
 /// Bytes of a key file at most.
 const MOST: u64 = 64 << 10;
--- a/crates/generations/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-use lockcroft_tablefile::{
+use lockcroft_table_format::{
     Bound, Group, Keys, MANIFEST, MANIFEST_MOST, MEMBER_MOST, Opened, Table, WITHDRAWN, open, read_group,
     read_table, read_withdrawn,
 };
--- a/crates/generations/src/status.rs
+++ b/crates/table-store/src/status.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lockcroft_tablefile::proto::Status;
-use lockcroft_tablefile::read_status;
+use lockcroft_table_format::proto::Status;
+use lockcroft_table_format::read_status;
 
 use crate::layout::Layout;
 use crate::reader::read_most;
@@ -39,7 +39,7 @@
     }
     let own = Layout::new(folder).status();
     let place = own.join(&status.proxy);
-    let bytes = lockcroft_tablefile::write_status(status);
+    let bytes = lockcroft_table_format::write_status(status);
     let write = || -> io::Result<()> {
         // Not emptied before: it would be flushed with every write.
         let mut file = OpenOptions::new().write(true).create(true).truncate(false).open(&place)?;
--- a/crates/generations/src/writer.rs
+++ b/crates/table-store/src/writer.rs
@@ -7,7 +7,7 @@
 use std::os::unix::fs::symlink;
 use std::path::Path;
 
-use lockcroft_tablefile::{Content, Generation, Keys, MANIFEST, seal};
+use lockcroft_table_format::{Content, Generation, Keys, MANIFEST, seal};
 
 use crate::keep::{Keep, outdated};
 use crate::layout::{Epoch, Layout, Version};
--- a/crates/generations/tests/folder/faults.rs
+++ b/crates/table-store/tests/folder/faults.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use lockcroft_generations::{WriteError, Writer};
-use lockcroft_tablefile::{MANIFEST, MANIFEST_MOST};
+use lockcroft_table_format::{MANIFEST, MANIFEST_MOST};
+use lockcroft_table_store::{WriteError, Writer};
 use rustix::process::{Resource, Rlimit, setrlimit};
 
 use crate::stage::*;
--- a/crates/generations/tests/folder/follow.rs
+++ b/crates/table-store/tests/folder/follow.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::Path;
 
-use lockcroft_generations::{Keep, Reader, Statuses, WriteError, Writer, outdated, read_keys, write_status};
-use lockcroft_tablefile::{Content, Key, Keys, proto};
+use lockcroft_table_format::{Content, Key, Keys, proto};
+use lockcroft_table_store::{Keep, Reader, Statuses, WriteError, Writer, outdated, read_keys, write_status};
 
 use crate::stage::*;
 
--- a/crates/generations/tests/folder/kills.rs
+++ b/crates/table-store/tests/folder/kills.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-use lockcroft_generations::WriteError;
+use lockcroft_table_store::WriteError;
 use rustix::process::{Pid, Signal, kill_process};
 
 use crate::stage::*;
--- a/crates/generations/tests/folder/stage.rs
+++ b/crates/table-store/tests/folder/stage.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use lockcroft_generations::{Keep, Mine, Reader, Writer};
-use lockcroft_tablefile::{Bound, Content, Group, Key, Keys, Line, Table};
+use lockcroft_table_format::{Bound, Content, Group, Key, Keys, Line, Table};
+use lockcroft_table_store::{Keep, Mine, Reader, Writer};
 
 pub const KEEP: Keep = Keep { generations: 4, earlier_epochs: false };
 
