--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft::{Term, Terms, Zone};
+use lockcroft::{SettingValue, Settings, ZoneId};
 use lockcroft_host::Places;
 use lockcroft_runtime_api::{Address, Level};
 use roxmltree::Node;
@@ -20,7 +20,7 @@
     pub name: String,
     pub seed: u64,
     /// Under the names that the decisions read, times in microseconds.
-    pub terms: Terms,
+    pub terms: Settings,
     pub places: Places,
     pub doors: Vec<Door>,
     pub proxies: Vec<ProxyAt>,
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyAt {
     pub name: String,
-    pub zone: Zone,
+    pub zone: ZoneId,
     pub address: Address,
     /// Visits a second that it usually has.
     pub rate: f64,
@@ -117,7 +117,7 @@
             let allowed = Some("the root element lockcroft");
             return Err(Faults(vec![document.fault(root, "is no settings file", allowed)]));
         }
-        let mut reader = Reader { document, terms: Terms::default(), faults: Vec::new() };
+        let mut reader = Reader { document, terms: Settings::default(), faults: Vec::new() };
         let post = reader.post(root);
         if reader.faults.is_empty() { Ok(post) } else { Err(Faults(reader.faults)) }
     }
@@ -127,13 +127,13 @@
     }
 }
 
-fn weight_most(terms: &Terms) -> f64 {
+fn weight_most(terms: &Settings) -> f64 {
     terms.number("fleet.weight_most").unwrap_or(1.0)
 }
 
 struct Reader<'a> {
     document: &'a Document,
-    terms: Terms,
+    terms: Settings,
     faults: Vec<Fault>,
 }
 
@@ -143,9 +143,9 @@
         let pilot = part("pilot");
         for list in ["zones", "kinds"] {
             for (i, node) in members(part(list)).into_iter().enumerate() {
-                self.put(&format!("{list}.{i}"), Term::Text(text(node, "name")));
+                self.put(&format!("{list}.{i}"), SettingValue::Text(text(node, "name")));
                 if let Some(cores) = node.attribute("cores").and_then(|cores| cores.parse().ok()) {
-                    self.put(&format!("solver.kind_cores.{i}"), Term::Number(cores));
+                    self.put(&format!("solver.kind_cores.{i}"), SettingValue::Number(cores));
                 }
             }
             self.once(part(list));
@@ -158,12 +158,12 @@
         for name in ["fleet", "rules", "allowed", "solver"] {
             part(name).into_iter().for_each(|node| self.attributes(name, node));
         }
-        self.terms.0.entry("allowed.probes".into()).or_insert(Term::Flag(true));
+        self.terms.0.entry("allowed.probes".into()).or_insert(SettingValue::Flag(true));
         let proxies = members(part("proxies"));
         // As many as are listed here times the pilots, unless it is stated.
         let pilots = self.terms.number("fleet.pilots").unwrap_or(1.0);
-        self.put("pilots", Term::Number(pilots));
-        let count = Term::Number(proxies.len() as f64 * pilots.max(1.0));
+        self.put("pilots", SettingValue::Number(pilots));
+        let count = SettingValue::Number(proxies.len() as f64 * pilots.max(1.0));
         self.terms.0.entry("fleet.proxies".into()).or_insert(count);
         let places = Places::read(&self.terms);
         self.once(part("proxies"));
@@ -193,7 +193,7 @@
         self.document.file().parent().unwrap_or(Path::new("."))
     }
 
-    fn put(&mut self, name: &str, term: Term) {
+    fn put(&mut self, name: &str, term: SettingValue) {
         self.terms.0.insert(name.into(), term);
     }
 
@@ -205,20 +205,20 @@
             let kind = self.document.attribute_type(node, attribute.name()).unwrap_or_default();
             match kind.as_str() {
                 "time" => match span(value) {
-                    Ok(time) => self.put(&format!("{name}_us"), Term::Number(time.as_micros() as f64)),
+                    Ok(time) => self.put(&format!("{name}_us"), SettingValue::Number(time.as_micros() as f64)),
                     Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
                 },
                 "amount" | "positive" | "share" | "count" => {
-                    self.put(&name, Term::Number(value.parse().unwrap_or(f64::NAN)));
+                    self.put(&name, SettingValue::Number(value.parse().unwrap_or(f64::NAN)));
                 }
-                "xs:boolean" => self.put(&name, Term::Flag(value == "true" || value == "1")),
+                "xs:boolean" => self.put(&name, SettingValue::Flag(value == "true" || value == "1")),
                 "names" => {
                     for (i, word) in value.split_whitespace().enumerate() {
-                        self.put(&format!("{name}.{i}"), Term::Text(word.into()));
+                        self.put(&format!("{name}.{i}"), SettingValue::Text(word.into()));
                         self.listed(node, attribute.name(), word);
                     }
                 }
-                _ => self.put(&name, Term::Text(value.into())),
+                _ => self.put(&name, SettingValue::Text(value.into())),
             }
         }
     }
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-use lockcroft::{Kind, Listed, Zone};
+use lockcroft::{MachineTypeId, EndpointStatus, ZoneId};
 use lockcroft_host::Places;
 use roxmltree::Node;
 
@@ -15,10 +15,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub name: String,
-    pub zone: Zone,
-    pub kind: Kind,
+    pub zone: ZoneId,
+    pub kind: MachineTypeId,
     pub address: SocketAddr,
-    pub state: Listed,
+    pub state: EndpointStatus,
     /// The listed weight, up to the terms' `weight-most`.
     pub weight: f64,
     /// When its process started; `None` if that was long ago.
@@ -88,9 +88,9 @@
         return Err(document.fault(node, format!("a weight of {weight}"), Some(&most)));
     }
     let state = match node.attribute("state") {
-        Some("draining") => Listed::Draining,
-        Some("gone") => Listed::Gone,
-        _ => Listed::Ready,
+        Some("draining") => EndpointStatus::Draining,
+        Some("gone") => EndpointStatus::Gone,
+        _ => EndpointStatus::Ready,
     };
     let started = node.attribute("started").map(humantime::parse_rfc3339).transpose();
     let started = started.map_err(|e| {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use expect_test::{Expect, expect};
-use lockcroft::Term;
+use lockcroft::SettingValue;
 use lockcroft_config::{Document, Post, SCHEMA};
 
 const SOUND: &str = r#"<lockcroft>
@@ -44,7 +44,7 @@
         assert_eq!(post.terms.number(name), Some(value), "{name}");
     }
     assert_eq!(post.terms.positions("classes.0.only_zones", "zones"), Some(vec![1]));
-    assert_eq!(post.terms.0.get("allowed.probes"), Some(&Term::Flag(true)));
+    assert_eq!(post.terms.0.get("allowed.probes"), Some(&SettingValue::Flag(true)));
 }
 
 /// Puts one text in place of another and compares what is said.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use lockcroft::{Finding, Proxy, Server};
+use lockcroft::{HealthCheckOutcome, ProxyId, EndpointId};
 use lockcroft_config::{Post, Roster, RosterAt};
 use lockcroft_fleet::{Effect, Helm, Kept, Report, Task, Unwritten};
 use lockcroft_runtime_api::{Address, Listener};
@@ -36,14 +36,14 @@
 /// Something that happened on a socket or to a file.
 enum News {
     Listed(Roster),
-    Probed { server: Server, finding: Finding, took: Duration },
-    Connected { proxy: Proxy, stream: u64 },
-    Broken { proxy: Proxy, stream: u64, why: String },
+    Probed { server: EndpointId, finding: HealthCheckOutcome, took: Duration },
+    Connected { proxy: ProxyId, stream: u64 },
+    Broken { proxy: ProxyId, stream: u64, why: String },
     Planned { answer: Option<Answer> },
     Written { done: Result<Written, Unwritten> },
     Laid { reports: Vec<Report> },
     Kept(Kept),
-    Answered { proxy: Proxy, stream: u64, texts: Vec<String> },
+    Answered { proxy: ProxyId, stream: u64, texts: Vec<String> },
 }
 
 type Told = mpsc::Sender<News>;
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant, SystemTime};
 
-use lockcroft::Terms;
+use lockcroft::Settings;
 use lockcroft_config::Post;
 use lockcroft_fleet::Kept;
 use lockcroft_state_store::{Entry, Folder, Loaded, Owner, Recalled, Rules, Store, Trouble, age};
@@ -55,7 +55,7 @@
     Owner::of(&post.name, names)
 }
 
-fn rules(terms: &Terms) -> Rules {
+fn rules(terms: &Settings) -> Rules {
     Rules {
         report_period: terms.span("fleet.report_period_us").max(Duration::from_millis(100)),
         warm_within: terms.span("rules.warm_within_us"),
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lockcroft::Proxy;
+use lockcroft::ProxyId;
 use lockcroft_runtime_api::{ANSWER_MOST, Address, Answers, Stream, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
 pub struct Hand(mpsc::UnboundedSender<Task>);
 
 impl Hand {
-    pub fn new(proxy: Proxy, address: Address, told: Told) -> Self {
+    pub fn new(proxy: ProxyId, address: Address, told: Told) -> Self {
         let (sender, inbox) = mpsc::unbounded_channel();
         spawn_local(tend(proxy, address, told, inbox));
         Hand(sender)
@@ -47,7 +47,7 @@
     }
 }
 
-async fn tend(proxy: Proxy, address: Address, told: Told, mut inbox: mpsc::UnboundedReceiver<Task>) {
+async fn tend(proxy: ProxyId, address: Address, told: Told, mut inbox: mpsc::UnboundedReceiver<Task>) {
     while let Some(task) = inbox.recv().await {
         let Task::Dial(stream, after) = task else { continue };
         sleep(after).await;
@@ -69,7 +69,7 @@
 
 /// Until the stream breaks, which comes back with its reason, or is given up by the pilot.
 async fn talk(
-    proxy: Proxy,
+    proxy: ProxyId,
     stream: u64,
     mut socket: Box<dyn Stream>,
     told: &Told,
--- a/crates/daemon/tests/probes.rs
+++ b/crates/daemon/tests/probes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::Finding;
+use lockcroft::HealthCheckOutcome;
 use lockcroft::logic::PROBE_WAIT;
 use lockcroft_daemon::probe;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -34,20 +34,20 @@
             (
                 Some("HTTP/1.1 200 OK\r\nx-load: 0.25\r\ncontent-length: 0\r\n\r\n"),
                 soon,
-                Finding::Passed(Some(0.25)),
+                HealthCheckOutcome::Passed(Some(0.25)),
             ),
-            (Some("HTTP/1.1 204 No Content\r\n\r\n"), soon, Finding::Passed(None)),
-            (Some("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"), soon, Finding::Failed),
-            (Some("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"), soon, Finding::TurnedAway),
-            (Some("no such thing\r\n\r\n"), soon, Finding::Refused),
-            (None, soon, Finding::Refused),
-            (None, PROBE_WAIT * 2, Finding::Failed),
+            (Some("HTTP/1.1 204 No Content\r\n\r\n"), soon, HealthCheckOutcome::Passed(None)),
+            (Some("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::Failed),
+            (Some("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::TurnedAway),
+            (Some("no such thing\r\n\r\n"), soon, HealthCheckOutcome::Refused),
+            (None, soon, HealthCheckOutcome::Refused),
+            (None, PROBE_WAIT * 2, HealthCheckOutcome::Failed),
         ];
         for (answer, wait, wanted) in cases {
             let address = server(answer, wait).await;
             assert_eq!(probe(address).await.0, wanted, "{answer:?} after {wait:?}");
         }
         let nobody = TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr()).expect("bound");
-        assert_eq!(probe(nobody).await.0, Finding::Refused);
+        assert_eq!(probe(nobody).await.0, HealthCheckOutcome::Refused);
     });
 }
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
 use lockcroft_fleet::{Effect, Helm};
 use lockcroft_state_store::Recalled;
@@ -37,7 +37,7 @@
         zone: i % 4,
         kind: 0,
         address: format!("127.0.0.1:{}", 20_000 + i).parse().expect("an address"),
-        state: if Some(i % 4) == lost { Listed::Gone } else { Listed::Ready },
+        state: if Some(i % 4) == lost { EndpointStatus::Gone } else { EndpointStatus::Ready },
         weight: 1.0,
         started: None,
     };
@@ -49,7 +49,7 @@
     let (mut commands, mut bytes) = (0, 0);
     for effect in effects {
         match effect {
-            Effect::Probe { server, .. } => helm.probed(now, server, Finding::Passed(None), Duration::ZERO),
+            Effect::Probe { server, .. } => helm.probed(now, server, HealthCheckOutcome::Passed(None), Duration::ZERO),
             Effect::Dial { proxy, stream, .. } => helm.connected(now, proxy, stream),
             Effect::Write { proxy, stream, text } => {
                 bytes += text.len();
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use lockcroft::{Class, Server, TableNumber};
+use lockcroft::{ClassId, EndpointId, TableId};
 use lockcroft_host::Published;
 use lockcroft_runtime_api::sheets::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
 
@@ -24,10 +24,10 @@
 /// What an order concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
-    Line(TableNumber, Server),
-    Level(Class),
-    Bind(Class),
-    Withdrawal(Server),
+    Line(TableId, EndpointId),
+    Level(ClassId),
+    Bind(ClassId),
+    Withdrawal(EndpointId),
 }
 
 /// An order that waits: when it was decided first, and by which wave.
@@ -41,7 +41,7 @@
 /// A backend at a proxy: a table of the pilot, or another by its place among those met there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Pool {
-    Table(TableNumber),
+    Table(TableId),
     Other(usize),
 }
 
@@ -56,15 +56,15 @@
 /// What an answered command has changed at the proxy.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    Add(Pool, Server, Held),
-    Weight(Pool, Server, u32),
-    Barred(Pool, Server, bool),
-    Moved(Pool, Server, SocketAddr),
-    Delete(Pool, Server),
+    Add(Pool, EndpointId, Held),
+    Weight(Pool, EndpointId, u32),
+    Barred(Pool, EndpointId, bool),
+    Moved(Pool, EndpointId, SocketAddr),
+    Delete(Pool, EndpointId),
     /// The entry is there already, or has to be added.
-    Map(Class, TableNumber, bool),
-    Level(Class, u32),
-    Again(Class, bool),
+    Map(ClassId, TableId, bool),
+    Level(ClassId, u32),
+    Again(ClassId, bool),
 }
 
 impl Change {
@@ -134,7 +134,7 @@
 impl Desk<'_> {
     /// The command that brings a change about.
     fn write(&self, change: &Change, others: &[String], text: &mut String) -> fmt::Result {
-        let at = |text: &mut String, pool: Pool, server: Server| {
+        let at = |text: &mut String, pool: Pool, server: EndpointId| {
             match pool {
                 Pool::Table(table) => write!(text, "t{table}/")?,
                 Pool::Other(place) => write!(text, "{}/", others[place])?,
@@ -184,14 +184,14 @@
 
 #[derive(Default)]
 pub struct Book {
-    held: BTreeMap<(Pool, Server), Held>,
+    held: BTreeMap<(Pool, EndpointId), Held>,
     /// Backends met at the proxy that are no tables, by their place.
     others: Vec<String>,
     /// Entries of the proxy's map.
-    maps: BTreeMap<Class, Pool>,
-    levels: BTreeMap<Class, (Option<u32>, Option<bool>)>,
+    maps: BTreeMap<ClassId, Pool>,
+    levels: BTreeMap<ClassId, (Option<u32>, Option<bool>)>,
     /// Tables that the decisions put it on, in this stream.
-    bound: BTreeMap<Class, TableNumber>,
+    bound: BTreeMap<ClassId, TableId>,
     waits: BTreeMap<Key, Waits>,
     placed: u64,
     flight: Option<Flight>,
@@ -279,11 +279,11 @@
         self.waits.len() + self.flight.as_ref().map_or(0, |flight| flight.lines)
     }
 
-    pub fn tables(&self) -> BTreeSet<TableNumber> {
+    pub fn tables(&self) -> BTreeSet<TableId> {
         self.bound.values().copied().collect()
     }
 
-    pub fn on(&self, table: TableNumber) -> bool {
+    pub fn on(&self, table: TableId) -> bool {
         self.bound.values().any(|bound| *bound == table)
     }
 
@@ -294,7 +294,7 @@
     }
 
     /// A line of a table changed.
-    pub fn weigh(&mut self, table: TableNumber, server: Server, since: Duration, wave: u64) {
+    pub fn weigh(&mut self, table: TableId, server: EndpointId, since: Duration, wave: u64) {
         if self.on(table) {
             self.mark(Key::Line(table, server), since, wave);
         }
@@ -304,16 +304,16 @@
     /// in line: lines that are right already cost nothing, lines that nobody ordered go.
     pub fn bind(
         &mut self,
-        table: TableNumber,
-        classes: &[Class],
+        table: TableId,
+        classes: &[ClassId],
         published: &Published,
         since: Duration,
         wave: u64,
     ) {
         let wanted = published.tables.get(&table).into_iter().flat_map(|sheet| sheet.lines.keys().copied());
         let pool = Pool::Table(table);
-        let held = self.held.range((pool, Server::MIN)..=(pool, Server::MAX)).map(|((_, server), _)| *server);
-        let servers: BTreeSet<Server> = wanted.chain(held).collect();
+        let held = self.held.range((pool, EndpointId::MIN)..=(pool, EndpointId::MAX)).map(|((_, server), _)| *server);
+        let servers: BTreeSet<EndpointId> = wanted.chain(held).collect();
         servers.into_iter().for_each(|server| self.mark(Key::Line(table, server), since, wave));
         for class in classes {
             self.bound.insert(*class, table);
@@ -322,14 +322,14 @@
         }
     }
 
-    pub fn admit(&mut self, table: TableNumber, class: Class, since: Duration, wave: u64) {
+    pub fn admit(&mut self, table: TableId, class: ClassId, since: Duration, wave: u64) {
         if self.bound.get(&class) == Some(&table) {
             self.mark(Key::Level(class), since, wave);
         }
     }
 
     /// A server was withdrawn or came back: wherever the proxy holds it.
-    pub fn withdraw(&mut self, server: Server, since: Duration, wave: u64) {
+    pub fn withdraw(&mut self, server: EndpointId, since: Duration, wave: u64) {
         if self.held.keys().any(|(_, held)| *held == server) {
             self.mark(Key::Withdrawal(server), since, wave);
         }
@@ -388,8 +388,8 @@
 
     fn line_changes(
         &self,
-        table: TableNumber,
-        server: Server,
+        table: TableId,
+        server: EndpointId,
         desk: &Desk,
         put: &mut dyn FnMut(usize, Change),
     ) {
@@ -424,7 +424,7 @@
         }
     }
 
-    fn level_changes(&self, class: Class, desk: &Desk, put: &mut dyn FnMut(usize, Change)) {
+    fn level_changes(&self, class: ClassId, desk: &Desk, put: &mut dyn FnMut(usize, Change)) {
         let table = self.bound.get(&class).and_then(|table| desk.published.tables.get(table));
         let Some((share, again)) = table.and_then(|sheet| sheet.levels.get(&class)).copied() else { return };
         let held = self.levels.get(&class).copied().unwrap_or_default();
@@ -506,7 +506,7 @@
 }
 
 /// The table behind a backend's name; none for a standing table.
-pub fn table_of(backend: &str) -> Option<TableNumber> {
+pub fn table_of(backend: &str) -> Option<TableId> {
     backend.strip_prefix('t')?.parse().ok()
 }
 
--- a/crates/fleet/src/files.rs
+++ b/crates/fleet/src/files.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use lockcroft::{Class, Proxy, Server, TableNumber};
+use lockcroft::{ClassId, ProxyId, EndpointId, TableId};
 use lockcroft_table_format::{Bound, Content, Group, Line, Table};
 use lockcroft_table_store::{Epoch, Keep, Version, Written};
 
@@ -29,10 +29,10 @@
 /// A line that differs from what was written last, as far as is known before the content is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Mark {
-    Line(TableNumber, Server),
-    Level(TableNumber, Class),
-    Bound(Proxy),
-    Withdrawal(Server),
+    Line(TableId, EndpointId),
+    Level(TableId, ClassId),
+    Bound(ProxyId),
+    Withdrawal(EndpointId),
 }
 
 /// What a proxy told of itself.
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct Follower {
     name: String,
-    bound: BTreeMap<Class, TableNumber>,
+    bound: BTreeMap<ClassId, TableId>,
     report: Report,
 }
 
@@ -69,8 +69,8 @@
 }
 
 pub(crate) struct FileFront {
-    followers: BTreeMap<Proxy, Follower>,
-    places: BTreeMap<String, Proxy>,
+    followers: BTreeMap<ProxyId, Follower>,
+    places: BTreeMap<String, ProxyId>,
     generations: usize,
     marks: BTreeSet<Mark>,
     /// When the oldest of them was decided.
@@ -93,9 +93,9 @@
 impl FileFront {
     /// # Panics
     /// Never: the histogram's bounds are constants.
-    pub fn new(generations: usize, proxies: impl Iterator<Item = (Proxy, String)>) -> Self {
-        let follower = |(proxy, name): (Proxy, String)| (proxy, Follower { name, ..Follower::default() });
-        let followers: BTreeMap<Proxy, Follower> = proxies.map(follower).collect();
+    pub fn new(generations: usize, proxies: impl Iterator<Item = (ProxyId, String)>) -> Self {
+        let follower = |(proxy, name): (ProxyId, String)| (proxy, Follower { name, ..Follower::default() });
+        let followers: BTreeMap<ProxyId, Follower> = proxies.map(follower).collect();
         FileFront {
             places: followers.iter().map(|(proxy, follower)| (follower.name.clone(), *proxy)).collect(),
             followers,
@@ -120,7 +120,7 @@
         !self.followers.is_empty()
     }
 
-    pub fn has(&self, proxy: Proxy) -> bool {
+    pub fn has(&self, proxy: ProxyId) -> bool {
         self.followers.contains_key(&proxy)
     }
 
@@ -131,31 +131,31 @@
         self.marks.insert(mark);
     }
 
-    fn on(&self, table: TableNumber) -> bool {
+    fn on(&self, table: TableId) -> bool {
         self.followers.values().any(|follower| follower.bound.values().any(|bound| *bound == table))
     }
 
-    pub fn weigh(&mut self, now: Duration, table: TableNumber, server: Server) {
+    pub fn weigh(&mut self, now: Duration, table: TableId, server: EndpointId) {
         if self.on(table) {
             self.mark(now, Mark::Line(table, server));
         }
     }
 
-    pub fn admit(&mut self, now: Duration, table: TableNumber, class: Class) {
+    pub fn admit(&mut self, now: Duration, table: TableId, class: ClassId) {
         if self.on(table) {
             self.mark(now, Mark::Level(table, class));
         }
     }
 
     /// Withdrawals reach all, whatever tables they hold, and whether their streams stand or not.
-    pub fn withdraw(&mut self, now: Duration, server: Server) {
+    pub fn withdraw(&mut self, now: Duration, server: EndpointId) {
         if !self.followers.is_empty() {
             self.mark(now, Mark::Withdrawal(server));
         }
     }
 
     /// It stays on a table until it is put on another, also while its stream is broken: the files reach it.
-    pub fn bind(&mut self, now: Duration, proxy: Proxy, table: TableNumber, classes: &[Class]) {
+    pub fn bind(&mut self, now: Duration, proxy: ProxyId, table: TableId, classes: &[ClassId]) {
         let Some(follower) = self.followers.get_mut(&proxy) else { return };
         let mut changed = false;
         for class in classes {
@@ -254,14 +254,14 @@
     }
 
     /// What a proxy told last, and its tables.
-    pub fn report(&self, proxy: Proxy) -> Option<(&Report, BTreeSet<TableNumber>)> {
+    pub fn report(&self, proxy: ProxyId) -> Option<(&Report, BTreeSet<TableId>)> {
         let follower = self.followers.get(&proxy)?;
         Some((&follower.report, follower.bound.values().copied().collect()))
     }
 
     fn content(&self, desk: &Desk) -> Content {
         let mut content = Content::default();
-        let mut groups: BTreeMap<Vec<(Class, TableNumber)>, BTreeSet<String>> = BTreeMap::new();
+        let mut groups: BTreeMap<Vec<(ClassId, TableId)>, BTreeSet<String>> = BTreeMap::new();
         for follower in self.followers.values().filter(|follower| !follower.bound.is_empty()) {
             let bound = follower.bound.iter().map(|(class, table)| (*class, *table)).collect();
             groups.entry(bound).or_default().insert(follower.name.clone());
@@ -288,9 +288,9 @@
     Failed(String),
 }
 
-fn lines(table: TableNumber, desk: &Desk) -> Table {
+fn lines(table: TableId, desk: &Desk) -> Table {
     let sheet = desk.published.tables.get(&table);
-    let line = |(server, weight): (&Server, &f64)| {
+    let line = |(server, weight): (&EndpointId, &f64)| {
         // Off the list, it has no address any more, and is no line.
         let address = desk.list.address(*server)?;
         Some((desk.list.name(*server).to_string(), Line { address, weight: desk.scale.units(*weight) }))
@@ -298,7 +298,7 @@
     Table { lines: sheet.into_iter().flat_map(|sheet| &sheet.lines).filter_map(line).collect() }
 }
 
-fn level(class: Class, table: TableNumber, desk: &Desk) -> Bound {
+fn level(class: ClassId, table: TableId, desk: &Desk) -> Bound {
     let levels = desk.published.tables.get(&table).and_then(|sheet| sheet.levels.get(&class));
     let (share, again) = levels.copied().unwrap_or((1.0, false));
     Bound { table: table as u32, level: (share * 1000.0).round() as u32, again }
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime};
 
 use hdrhistogram::Histogram;
-use lockcroft::{Decision, Finding, Pilot, Proxy, Server, TableNumber};
+use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, TableId};
 use lockcroft_config::{Post, Roster};
 use lockcroft_host::{Places, Published};
 use lockcroft_runtime_api::sheets::read_stat;
@@ -38,17 +38,17 @@
 pub enum Effect {
     /// Call the server and tell [`Helm::probed`].
     Probe {
-        server: Server,
+        server: EndpointId,
         address: SocketAddr,
     },
     /// Make a stream to the proxy after this wait, and tell [`Helm::connected`] or [`Helm::broken`].
     Dial {
-        proxy: Proxy,
+        proxy: ProxyId,
         stream: u64,
         after: Duration,
     },
     Write {
-        proxy: Proxy,
+        proxy: ProxyId,
         stream: u64,
         text: String,
     },
@@ -60,15 +60,15 @@
     Solve(Arc<Task>),
     /// The stream is given up; nothing more is heard of it.
     Close {
-        proxy: Proxy,
+        proxy: ProxyId,
     },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// Whether the oldest question of a stream was answered.
-    Patience(Proxy, u64),
-    Look(Proxy, u64),
+    Patience(ProxyId, u64),
+    Look(ProxyId, u64),
 }
 
 /// Sums of what was met at a server since the start.
@@ -90,7 +90,7 @@
 }
 
 pub struct Helm {
-    pub(crate) pilot: Pilot,
+    pub(crate) pilot: Controller,
     pub(crate) places: Places,
     pub(crate) list: List,
     pub(crate) published: Published,
@@ -99,7 +99,7 @@
     pub(crate) scale: Scale,
     pub(crate) name: String,
     pub(crate) now: Duration,
-    pub(crate) met: BTreeMap<Server, Met>,
+    pub(crate) met: BTreeMap<EndpointId, Met>,
     pub(crate) visits: Vec<u64>,
     pub(crate) sums: Sums,
     /// Microseconds from a decision to the last answer to its message.
@@ -112,9 +112,9 @@
     pub(crate) kept: Kept,
     /// What was known before the start, until the first list says which servers there are.
     pub(crate) recalled: Option<Recalled>,
-    touched: BTreeSet<Proxy>,
+    touched: BTreeSet<ProxyId>,
     /// Joined proxies by the tables that they were put on.
-    on: BTreeMap<TableNumber, BTreeSet<Proxy>>,
+    on: BTreeMap<TableId, BTreeSet<ProxyId>>,
     pub(crate) effects: VecDeque<Effect>,
     /// The times that are not the decisions' own, in one order.
     due: BTreeSet<(Duration, Timer)>,
@@ -137,7 +137,7 @@
         let readers = readers.map(|(proxy, at)| (proxy, at.name.clone()));
         let dial = |proxy| Effect::Dial { proxy, stream: 0, after: Duration::ZERO };
         Helm {
-            pilot: Pilot::new(post.terms.clone(), post.seed),
+            pilot: Controller::new(post.terms.clone(), post.seed),
             places: post.places.clone(),
             list: List::default(),
             published: Published::default(),
@@ -189,7 +189,7 @@
     }
 
     /// An operator's word on a server of the list.
-    pub fn say(&mut self, server: Server, change: impl FnOnce(&mut Word)) {
+    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut Word)) {
         self.list.say(server, change);
         let (name, word) = (self.list.name(server).to_string(), self.list.word(server));
         info!(target: "lockcroft::input", wave = self.wave, server = name, ?word, "operator");
@@ -198,11 +198,11 @@
     }
 
     /// How a probe ended, and how long it took.
-    pub fn probed(&mut self, now: Duration, server: Server, finding: Finding, took: Duration) {
+    pub fn probed(&mut self, now: Duration, server: EndpointId, finding: HealthCheckOutcome, took: Duration) {
         self.now = now;
         debug!(target: "lockcroft::input", wave = self.wave, server = self.list.name(server), ?finding,
             ms = took.as_millis() as u64, "probed");
-        if let (Some(planner), Finding::Passed(Some(load))) = (&mut self.planner, finding) {
+        if let (Some(planner), HealthCheckOutcome::Passed(Some(load))) = (&mut self.planner, finding) {
             planner.probed(server, load);
         }
         self.pilot.probed(now, server, finding, took);
@@ -236,7 +236,7 @@
     }
 
     /// A stream stands: the proxy is asked what it holds before anything is ordered.
-    pub fn connected(&mut self, now: Duration, proxy: Proxy, stream: u64) {
+    pub fn connected(&mut self, now: Duration, proxy: ProxyId, stream: u64) {
         self.now = now;
         if self.berths[proxy].stream != stream {
             return;
@@ -260,7 +260,7 @@
     }
 
     /// A stream could not be made, or broke.
-    pub fn broken(&mut self, now: Duration, proxy: Proxy, stream: u64, why: &str) {
+    pub fn broken(&mut self, now: Duration, proxy: ProxyId, stream: u64, why: &str) {
         self.now = now;
         if self.berths[proxy].stream != stream {
             return;
@@ -285,7 +285,7 @@
     }
 
     /// The answer to what was sent to the proxy longest ago.
-    pub fn answered(&mut self, now: Duration, proxy: Proxy, stream: u64, answer: &str) {
+    pub fn answered(&mut self, now: Duration, proxy: ProxyId, stream: u64, answer: &str) {
         self.now = now;
         if self.berths[proxy].stream != stream {
             return;
@@ -295,7 +295,7 @@
         }
     }
 
-    fn take_answer(&mut self, now: Duration, proxy: Proxy, answer: &str) -> Result<(), String> {
+    fn take_answer(&mut self, now: Duration, proxy: ProxyId, answer: &str) -> Result<(), String> {
         let berth = &mut self.berths[proxy];
         berth.last_answer = Some(now);
         let (what, _) = berth.asked.pop_front().ok_or("an answer to nothing")?;
@@ -345,7 +345,7 @@
         Ok(())
     }
 
-    fn join(&mut self, now: Duration, proxy: Proxy, book: Book) {
+    fn join(&mut self, now: Duration, proxy: ProxyId, book: Book) {
         let berth = &mut self.berths[proxy];
         (berth.book, berth.kept) = (book, None);
         berth.counters = Counters::default();
@@ -366,7 +366,7 @@
         self.pilot.joined(proxy, zone, rate, fresh);
     }
 
-    fn told(&mut self, now: Duration, proxy: Proxy, told: Told) {
+    fn told(&mut self, now: Duration, proxy: ProxyId, told: Told) {
         match told {
             Told::Server { name, tries, failed, took } => {
                 let server = self.list.met(&name);
@@ -469,7 +469,7 @@
         }
     }
 
-    fn ask(&mut self, now: Duration, proxy: Proxy, what: Asked, text: String, answers: usize) {
+    fn ask(&mut self, now: Duration, proxy: ProxyId, what: Asked, text: String, answers: usize) {
         let berth = &mut self.berths[proxy];
         (0..answers).for_each(|_| berth.ask(what, now));
         let stream = berth.stream;
@@ -477,22 +477,22 @@
         self.effects.push_back(Effect::Write { proxy, stream, text });
     }
 
-    fn carry_out(&mut self, now: Duration, decision: Decision) {
+    fn carry_out(&mut self, now: Duration, decision: Action) {
         let wave = self.wave;
         match decision {
-            Decision::Probe(server) => {
+            Action::Probe(server) => {
                 self.sums.probes += 1;
                 if let Some(address) = self.list.address(server) {
                     self.effects.push_back(Effect::Probe { server, address });
                 }
             }
-            Decision::Weigh { table, server, weight } => {
+            Action::Weigh { table, server, weight } => {
                 self.published.weigh(table, server, weight);
                 self.say_decided(now, &format!("t{table}: {} weighs {weight}", self.list.name(server)));
                 self.files.weigh(now, table, server);
                 self.each_on(table, |book| book.weigh(table, server, now, wave));
             }
-            Decision::Bind { table, classes, proxy } => {
+            Action::Bind { table, classes, proxy } => {
                 self.say_decided(now, &format!("t{table}: bind proxy {}", self.berths[proxy].at.name));
                 let Berth { stage, book, .. } = &mut self.berths[proxy];
                 if *stage == Stage::Joined {
@@ -505,13 +505,13 @@
                     }
                 }
             }
-            Decision::Withdraw { server, withdrawn } => {
+            Action::Withdraw { server, withdrawn } => {
                 self.published.withdraw(server, withdrawn);
                 self.say_decided(now, &format!("withdraw {}: {withdrawn}", self.list.name(server)));
                 self.files.withdraw(now, server);
                 self.each(|book| book.withdraw(server, now, wave));
             }
-            Decision::Admit { table, class, share, second_try } => {
+            Action::Admit { table, class, share, second_try } => {
                 self.published.admit(table, class, share, second_try);
                 let name = &self.places.classes[class];
                 let again = if second_try { ", second tries" } else { "" };
@@ -519,7 +519,7 @@
                 self.files.admit(now, table, class);
                 self.each_on(table, |book| book.admit(table, class, now, wave));
             }
-            Decision::Note { about, text } => {
+            Action::Note { about, text } => {
                 let text = about.map_or(text.clone(), |server| format!("{} {text}", self.list.name(server)));
                 info!(target: "lockcroft::note", wave, "{text}");
                 self.events.add(now, wave, &format!("note: {text}"));
@@ -542,7 +542,7 @@
     }
 
     /// Proxies on a table: of a large fleet few, which is why they are looked up and not sought.
-    fn each_on(&mut self, table: TableNumber, mut act: impl FnMut(&mut Book)) {
+    fn each_on(&mut self, table: TableId, mut act: impl FnMut(&mut Book)) {
         for proxy in self.on.get(&table).into_iter().flatten().filter(|proxy| !self.files.has(**proxy)) {
             act(&mut self.berths[*proxy].book);
             self.touched.insert(*proxy);
@@ -573,7 +573,7 @@
     }
 
     /// Proxies whose streams stand, by table.
-    pub fn joined_on(&self, table: TableNumber) -> usize {
+    pub fn joined_on(&self, table: TableId) -> usize {
         self.on.get(&table).map_or(0, BTreeSet::len)
     }
 }
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{Listed, Listing, TableNumber};
+use lockcroft::{EndpointStatus, EndpointRecord, TableId};
 use lockcroft_state_store::Recalled;
 use lockcroft_table_store::Written;
 use tracing::{debug, info, warn};
@@ -71,13 +71,13 @@
                 continue;
             };
             let number = self.list.met(&server.name);
-            let state = if server.out { Listed::Gone } else { Listed::Ready };
-            let listing = Listing { server: number, zone, kind, state, weight: 0.0, age: None };
+            let state = if server.out { EndpointStatus::Gone } else { EndpointStatus::Ready };
+            let listing = EndpointRecord { server: number, zone, kind, state, weight: 0.0, age: None };
             self.pilot.recalled(now, listing, server.relief, server.warming, server.doubted);
         }
         for (class, table, level) in recalled.levels {
             if let Ok(class) = self.places.class(&class) {
-                self.pilot.recalled_level(class, table as TableNumber, level);
+                self.pilot.recalled_level(class, table as TableId, level);
             }
         }
         if let Some(planner) = &mut self.planner {
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-use lockcroft::{Listed, Listing, Server};
+use lockcroft::{EndpointStatus, EndpointRecord, EndpointId};
 use lockcroft_config::{Entry, Roster};
 use lockcroft_host::Names;
 
@@ -27,10 +27,10 @@
 #[derive(Default)]
 pub struct List {
     names: Names,
-    lines: BTreeMap<Server, Line>,
-    words: BTreeMap<Server, Word>,
+    lines: BTreeMap<EndpointId, Line>,
+    words: BTreeMap<EndpointId, Word>,
     /// Weights that were worked out, in place of the file's.
-    planned: BTreeMap<Server, f64>,
+    planned: BTreeMap<EndpointId, f64>,
     pub version: u64,
 }
 
@@ -52,24 +52,24 @@
     }
 
     /// What the decisions are told: every server of the list, with the operator's words.
-    pub fn listings(&self, now: Duration) -> Vec<Listing> {
+    pub fn listings(&self, now: Duration) -> Vec<EndpointRecord> {
         self.lines.iter().map(|(server, line)| self.listing(now, *server, line)).collect()
     }
 
-    fn listing(&self, now: Duration, server: Server, line: &Line) -> Listing {
+    fn listing(&self, now: Duration, server: EndpointId, line: &Line) -> EndpointRecord {
         let word = self.words.get(&server).copied().unwrap_or_default();
         let state = match line.entry.state {
-            Listed::Ready if word.drains => Listed::Draining,
+            EndpointStatus::Ready if word.drains => EndpointStatus::Draining,
             state => state,
         };
         let planned = self.planned.get(&server).copied();
         let weight = word.weight.or(planned).unwrap_or(line.entry.weight);
         let age = line.age.map(|(age, seen)| age + (now - seen));
-        Listing { server, zone: line.entry.zone, kind: line.entry.kind, state, weight, age }
+        EndpointRecord { server, zone: line.entry.zone, kind: line.entry.kind, state, weight, age }
     }
 
     /// Changes an operator's word.
-    pub fn say(&mut self, server: Server, change: impl FnOnce(&mut Word)) {
+    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut Word)) {
         let word = self.words.entry(server).or_default();
         change(word);
         if *word == Word::default() {
@@ -78,38 +78,38 @@
     }
 
     /// Takes a weight that was worked out; it stands until the next, also while the server is down.
-    pub fn plan(&mut self, server: Server, weight: f64) {
+    pub fn plan(&mut self, server: EndpointId, weight: f64) {
         self.planned.insert(server, weight);
     }
 
-    pub fn word(&self, server: Server) -> Word {
+    pub fn word(&self, server: EndpointId) -> Word {
         self.words.get(&server).copied().unwrap_or_default()
     }
 
     /// The index of a name met at a proxy; such a server need not be on the list.
-    pub fn met(&mut self, name: &str) -> Server {
+    pub fn met(&mut self, name: &str) -> EndpointId {
         self.names.index(name)
     }
 
     /// The index of a server of the list.
-    pub fn find(&self, name: &str) -> Option<Server> {
+    pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.find(name).filter(|server| self.lines.contains_key(server))
     }
 
-    pub fn name(&self, server: Server) -> &str {
+    pub fn name(&self, server: EndpointId) -> &str {
         self.names.name(server)
     }
 
-    pub fn address(&self, server: Server) -> Option<SocketAddr> {
+    pub fn address(&self, server: EndpointId) -> Option<SocketAddr> {
         self.lines.get(&server).map(|line| line.entry.address)
     }
 
     /// The weight that the file gives a server.
-    pub fn listed_weight(&self, server: Server) -> Option<f64> {
+    pub fn listed_weight(&self, server: EndpointId) -> Option<f64> {
         self.lines.get(&server).map(|line| line.entry.weight)
     }
 
-    pub fn servers(&self) -> impl Iterator<Item = Server> + '_ {
+    pub fn servers(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.lines.keys().copied()
     }
 }
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-use lockcroft::{Gate, Known, Listed, Server};
+use lockcroft::{ClassAdmission, EndpointState, EndpointStatus, EndpointId};
 use lockcroft_host::Places;
 use lockcroft_state_store::{Entry, Key, ServerNote, What};
 
@@ -20,7 +20,7 @@
 pub(crate) struct Notes {
     told: BTreeMap<Key, What>,
     /// Where the next slice begins; levels come with the first.
-    after: Option<Server>,
+    after: Option<EndpointId>,
     due: Duration,
     /// Milliseconds of the wall's clock at the pilot's start.
     start_ms: u64,
@@ -44,8 +44,8 @@
     pub fn slice(
         &mut self,
         now: Duration,
-        servers: &BTreeMap<Server, Known>,
-        gates: &[Gate],
+        servers: &BTreeMap<EndpointId, EndpointState>,
+        gates: &[ClassAdmission],
         list: &List,
         places: &Places,
     ) -> Vec<Entry> {
@@ -73,7 +73,7 @@
     }
 
     /// What the solver learned, where it moved by a step.
-    pub fn sizes(&mut self, now: Duration, sizes: Vec<(Server, f64)>, list: &List) -> Vec<Entry> {
+    pub fn sizes(&mut self, now: Duration, sizes: Vec<(EndpointId, f64)>, list: &List) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (server, cores) in sizes {
             let cores = (cores * STEPS).round().max(1.0) / STEPS;
@@ -89,14 +89,14 @@
         }
     }
 
-    fn note(&self, now: Duration, known: &Known, places: &Places) -> ServerNote {
+    fn note(&self, now: Duration, known: &EndpointState, places: &Places) -> ServerNote {
         let later = |time: Duration| if time > now { self.wall(time) } else { 0 };
         let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
         ServerNote {
             zone: name(&places.zones, known.listing.zone),
             kind: name(&places.kinds, known.listing.kind),
-            gone: known.listing.state == Listed::Gone,
-            draining: known.listing.state == Listed::Draining,
+            gone: known.listing.state == EndpointStatus::Gone,
+            draining: known.listing.state == EndpointStatus::Draining,
             counter: known.counter,
             doubted_until_ms: later(known.doubted_until),
             started_ms: if known.cold(now) { self.wall(known.started) } else { 0 },
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockcroft::{Class, Gate, Kind, Known, Server, Table, TableNumber, Terms, Zone};
+use lockcroft::{ClassId, ClassAdmission, MachineTypeId, EndpointState, EndpointId, RoutingTable, TableId, Settings, ZoneId};
 use lockcroft_solver::{Answer, Keeper, Lane, Learner, Look, Price, Prior, Problem, Shares, Tables};
 
 /// Evidence of a capacity loses half of its force in so many plans.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Task {
     pub problem: Problem,
-    pub servers: Vec<Server>,
+    pub servers: Vec<EndpointId>,
 }
 
 /// What was reported of a server since the last plan.
@@ -39,15 +39,15 @@
 #[derive(Default)]
 pub struct Plan {
     /// Listed weights, in steps of the greatest.
-    pub lines: Vec<(Server, u32)>,
+    pub lines: Vec<(EndpointId, u32)>,
     /// Tables with the share that each server has there of its listed weight.
-    pub tables: Vec<(TableNumber, Shares)>,
+    pub tables: Vec<(TableId, Shares)>,
 }
 
 /// The classes of each table and the zone of its proxies: tables of zones lie in rows of one each.
-fn lanes(zones: usize, tables: &[Table], gates: &[Gate]) -> Vec<Lane> {
+fn lanes(zones: usize, tables: &[RoutingTable], gates: &[ClassAdmission]) -> Vec<Lane> {
     let classes = |number| gates.iter().filter(move |gate| gate.table == number).map(|gate| gate.class);
-    let lane = |(number, table): (usize, &Table)| Lane {
+    let lane = |(number, table): (usize, &RoutingTable)| Lane {
         zone: table.part % zones.max(1),
         classes: classes(number).collect(),
     };
@@ -58,21 +58,21 @@
     every: Duration,
     /// Cores of a server before anything was learnt: of its kind, or of any.
     cores: f64,
-    kinds: BTreeMap<Kind, f64>,
+    kinds: BTreeMap<MachineTypeId, f64>,
     crossing: f64,
     cold_share: f64,
     /// Lines a second and lines in the queue, for a line at one proxy.
     pace: f64,
     queue: f64,
     /// Classes as the terms state them, without demand; and kinds that they are bound to.
-    classes: Vec<(lockcroft_solver::Class, Option<Vec<Kind>>)>,
+    classes: Vec<(lockcroft_solver::Class, Option<Vec<MachineTypeId>>)>,
     learner: Learner,
     /// Cores that servers had before the start.
-    recalled: BTreeMap<Server, f64>,
+    recalled: BTreeMap<EndpointId, f64>,
     /// Whether sizes were learnt since they were asked for.
     learnt: bool,
-    loads: BTreeMap<Server, f64>,
-    seen: BTreeMap<Server, Seen>,
+    loads: BTreeMap<EndpointId, f64>,
+    seen: BTreeMap<EndpointId, Seen>,
     /// Visits a second by class and zone, and visits counted since the last plan.
     demand: Vec<Vec<f64>>,
     counted: Vec<Vec<f64>>,
@@ -90,10 +90,10 @@
 
 impl Planner {
     /// None unless the terms ask for plans.
-    pub fn read(terms: &Terms, zones: usize) -> Option<Self> {
+    pub fn read(terms: &Settings, zones: usize) -> Option<Self> {
         let every = terms.time("solver.every_us").filter(|every| !every.is_zero())?;
         let cores = terms.number("solver.cores").unwrap_or(1.0);
-        let stated = |class: Class| {
+        let stated = |class: ClassId| {
             let name = |what: &str| format!("classes.{class}.{what}");
             let seconds = |what: &str| terms.time(&name(what)).unwrap_or_default().as_secs_f64();
             let contract_time = seconds("contract_time_us");
@@ -145,17 +145,17 @@
     }
 
     /// What servers turned out to have before the start: what they are taken for until they show more.
-    pub fn recall(&mut self, sizes: impl Iterator<Item = (Server, f64)>) {
+    pub fn recall(&mut self, sizes: impl Iterator<Item = (EndpointId, f64)>) {
         self.recalled = sizes.collect();
     }
 
     /// Cores by server as learnt, if anything was since this was asked last.
-    pub fn sizes(&mut self, now: Duration, servers: &BTreeMap<Server, Known>) -> Vec<(Server, f64)> {
+    pub fn sizes(&mut self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Vec<(EndpointId, f64)> {
         if !std::mem::take(&mut self.learnt) {
             return Vec::new();
         }
         let alike = self.alike(now, servers);
-        let size = |(server, known): (&Server, &Known)| {
+        let size = |(server, known): (&EndpointId, &EndpointState)| {
             let estimate = self.learner.estimate(now, *server, self.prior(&alike, known));
             estimate.age.map(|_| (*server, estimate.capacity))
         };
@@ -163,19 +163,19 @@
     }
 
     /// The load that a server told a probe.
-    pub fn probed(&mut self, server: Server, load: f64) {
+    pub fn probed(&mut self, server: EndpointId, load: f64) {
         let was = self.loads.entry(server).or_insert(load);
         *was += (load - *was) * LOAD_MOVES;
     }
 
-    pub fn reported(&mut self, server: Server, tries: u32, failed: u32, took: Duration) {
+    pub fn reported(&mut self, server: EndpointId, tries: u32, failed: u32, took: Duration) {
         let seen = self.seen.entry(server).or_default();
         seen.tries += f64::from(tries);
         seen.failed += f64::from(failed);
         seen.seconds += took.as_secs_f64() * f64::from(tries.saturating_sub(failed));
     }
 
-    pub fn counted(&mut self, zone: Zone, class: Class, visits: u32) {
+    pub fn counted(&mut self, zone: ZoneId, class: ClassId, visits: u32) {
         self.counted[class][zone] += f64::from(visits);
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// A task, if one is due and none is out.
-    pub fn task(&mut self, now: Duration, servers: &BTreeMap<Server, Known>) -> Option<Arc<Task>> {
+    pub fn task(&mut self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Option<Arc<Task>> {
         if now < self.next_due() {
             return None;
         }
@@ -212,7 +212,7 @@
         }
     }
 
-    fn take_looks(&mut self, now: Duration, servers: &BTreeMap<Server, Known>) {
+    fn take_looks(&mut self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) {
         let (mut visits, mut work, mut contract) = (0.0, 0.0, 0.0);
         for ((class, _), demand) in self.classes.iter().zip(&self.demand) {
             let demand: f64 = demand.iter().sum();
@@ -247,18 +247,18 @@
     }
 
     /// What servers of each kind turned out to have, where enough of them showed it.
-    fn alike(&self, now: Duration, servers: &BTreeMap<Server, Known>) -> BTreeMap<Kind, f64> {
-        let mut kinds: BTreeMap<Kind, Vec<Server>> = BTreeMap::new();
+    fn alike(&self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> BTreeMap<MachineTypeId, f64> {
+        let mut kinds: BTreeMap<MachineTypeId, Vec<EndpointId>> = BTreeMap::new();
         for (server, known) in servers {
             kinds.entry(known.listing.kind).or_default().push(*server);
         }
-        let cores = |(kind, servers): (Kind, Vec<Server>)| {
+        let cores = |(kind, servers): (MachineTypeId, Vec<EndpointId>)| {
             Some((kind, self.learner.alike(now, servers.into_iter())?))
         };
         kinds.into_iter().filter_map(cores).collect()
     }
 
-    fn prior(&self, alike: &BTreeMap<Kind, f64>, known: &Known) -> Prior {
+    fn prior(&self, alike: &BTreeMap<MachineTypeId, f64>, known: &EndpointState) -> Prior {
         let kind = &known.listing.kind;
         let shown = || self.recalled.get(&known.listing.server).or_else(|| alike.get(kind));
         match (self.kinds.get(kind), shown()) {
@@ -268,7 +268,7 @@
         }
     }
 
-    fn problem(&self, now: Duration, servers: &BTreeMap<Server, Known>) -> Task {
+    fn problem(&self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Task {
         let mut task = Task { problem: Problem::default(), servers: Vec::new() };
         let (mut kinds, alike) = (Vec::new(), self.alike(now, servers));
         for (server, known) in servers {
@@ -282,7 +282,7 @@
             let zone = known.listing.zone;
             task.problem.servers.push(lockcroft_solver::Server { zone, capacity, warmth, withdrawn: false });
         }
-        let places = |only: &Option<Vec<Kind>>| {
+        let places = |only: &Option<Vec<MachineTypeId>>| {
             let only = only.as_ref()?;
             Some((0..kinds.len()).filter(|place| only.contains(&kinds[*place])).collect())
         };
@@ -306,8 +306,8 @@
         &mut self,
         answer: Option<Answer>,
         proxies: usize,
-        tables: &[Table],
-        gates: &[Gate],
+        tables: &[RoutingTable],
+        gates: &[ClassAdmission],
     ) -> Plan {
         let (Some(task), Some(mut answer)) = (self.out.take(), answer) else { return Plan::default() };
         // Where no server is up that a class may use, to refuse its visits would mend nothing: the module
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use lockcroft::{Known, Listed, Server, TableNumber};
+use lockcroft::{EndpointState, EndpointStatus, EndpointId, TableId};
 use lockcroft_host::Places;
 use lockcroft_runtime_api::sheets::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
@@ -187,10 +187,10 @@
         Ok(text)
     }
 
-    fn state(&self, backend: &str, server: Server, known: &Known) -> StateRow {
+    fn state(&self, backend: &str, server: EndpointId, known: &EndpointState) -> StateRow {
         let address = self.list.address(server);
-        let drains = if known.listing.state == Listed::Draining { FORCED_DRAIN } else { 0 };
-        let gone = known.listing.state == Listed::Gone || known.withdrawn;
+        let drains = if known.listing.state == EndpointStatus::Draining { FORCED_DRAIN } else { 0 };
+        let gone = known.listing.state == EndpointStatus::Gone || known.withdrawn;
         StateRow {
             backend: backend.into(),
             server: self.list.name(server).into(),
@@ -203,14 +203,14 @@
         }
     }
 
-    fn belief(&self, server: Server, known: &Known) -> String {
+    fn belief(&self, server: EndpointId, known: &EndpointState) -> String {
         let counter = known.counter.map_or("unknown".into(), |counter| counter.to_string());
         let warm = known.warm_at.saturating_sub(self.now);
         let doubted = known.doubted_until.saturating_sub(self.now);
         let listed = match known.listing.state {
-            Listed::Ready => "ready",
-            Listed::Draining => "draining",
-            Listed::Gone => "gone",
+            EndpointStatus::Ready => "ready",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Gone => "gone",
         };
         let load = known.load.map_or("-".into(), |load| format!("{load:.2}"));
         format!(
@@ -251,7 +251,7 @@
         for (proxy, berth) in self.berths.iter().enumerate() {
             let files = self.files.report(proxy);
             let tables = files.as_ref().map_or_else(|| berth.book.tables(), |(_, tables)| tables.clone());
-            let tables: Vec<String> = tables.iter().map(|table: &TableNumber| format!("t{table}")).collect();
+            let tables: Vec<String> = tables.iter().map(|table: &TableId| format!("t{table}")).collect();
             let tables = if tables.is_empty() { "-".into() } else { tables.join(",") };
             let ago = berth.last_answer.map(|at| self.now.saturating_sub(at).as_secs_f64());
             let ago = ago.map_or("-".into(), |ago| format!("{ago:.1}"));
@@ -303,7 +303,7 @@
     ///
     /// # Errors
     /// In the guide's words.
-    pub fn server_of(&self, place: &str) -> Result<Server, String> {
+    pub fn server_of(&self, place: &str) -> Result<EndpointId, String> {
         let (backend, server) = place.split_once('/').ok_or("Require 'backend/server'.")?;
         let tables = self.pilot.beliefs().1.len();
         let number = backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
@@ -317,7 +317,7 @@
     ///
     /// # Errors
     /// In the guide's words.
-    pub fn weight_of(&self, server: Server, text: &str) -> Result<f64, String> {
+    pub fn weight_of(&self, server: EndpointId, text: &str) -> Result<f64, String> {
         let wrong = || "Require <weight> or <weight%>.".to_string();
         if let Some(percent) = text.strip_suffix('%') {
             let percent: f64 = percent.parse().map_err(|_| wrong())?;
@@ -350,12 +350,12 @@
     }
 }
 
-fn status(known: &Known) -> &'static str {
+fn status(known: &EndpointState) -> &'static str {
     match known.listing.state {
-        Listed::Draining => "DRAIN",
-        Listed::Gone => "MAINT",
-        Listed::Ready if known.counter.is_none() => "no check",
-        Listed::Ready if known.up() => "UP",
-        Listed::Ready => "DOWN",
+        EndpointStatus::Draining => "DRAIN",
+        EndpointStatus::Gone => "MAINT",
+        EndpointStatus::Ready if known.counter.is_none() => "no check",
+        EndpointStatus::Ready if known.up() => "UP",
+        EndpointStatus::Ready => "DOWN",
     }
 }
--- a/crates/fleet/tests/orders/converge.rs
+++ b/crates/fleet/tests/orders/converge.rs
@@ -1,6 +1,6 @@
 //! Whatever a proxy held, and whatever happens on its stream, it ends with what was published.
 
-use lockcroft::Listed;
+use lockcroft::EndpointStatus;
 use proptest::prelude::*;
 
 use crate::stage::{Disk, Stage, ms};
@@ -43,8 +43,8 @@
         stage.run_to(at);
         for trouble in troubles {
             match trouble {
-                Trouble::Drain(server) => stage.state(server, Listed::Draining),
-                Trouble::Ready(server) => stage.state(server, Listed::Ready),
+                Trouble::Drain(server) => stage.state(server, EndpointStatus::Draining),
+                Trouble::Ready(server) => stage.state(server, EndpointStatus::Ready),
                 Trouble::Silent(proxy) => stage.peers[proxy].silent = true,
                 Trouble::Speaks(proxy) => stage.peers[proxy].silent = false,
                 Trouble::Cut(proxy) => stage.cut(proxy),
@@ -57,7 +57,7 @@
                 }
             }
         }
-        (0..5).for_each(|server| stage.state(server, if server == 3 { Listed::Draining } else { Listed::Ready }));
+        (0..5).for_each(|server| stage.state(server, if server == 3 { EndpointStatus::Draining } else { EndpointStatus::Ready }));
         stage.peers.iter_mut().for_each(|peer| (peer.silent, peer.lags) = (false, false));
         stage.disk = Disk::Well;
         stage.run_to(at + 20_000);
--- a/crates/fleet/tests/orders/files.rs
+++ b/crates/fleet/tests/orders/files.rs
@@ -1,7 +1,7 @@
 //! Proxies that read files beside proxies that are ordered.
 
 use expect_test::expect;
-use lockcroft::Listed;
+use lockcroft::EndpointStatus;
 use lockcroft_fleet::Report;
 
 use crate::stage::{Disk, Stage, ms};
@@ -25,7 +25,7 @@
         5.0 r0 lays: set map classes look-up t0"#]]
     .assert_eq(&lays(&stage));
     assert_eq!(stage.picks(0), stage.picks(1));
-    stage.quiet().state(1, Listed::Draining);
+    stage.quiet().state(1, EndpointStatus::Draining);
     stage.run_to(7000);
     expect!["6.0 r0 lays: set server t0/e1 weight 0"].assert_eq(&lays(&stage));
     assert_eq!(stage.picks(2), stage.picks(3));
@@ -39,7 +39,7 @@
 #[test]
 fn a_drain_in_the_hold_is_a_generation_of_its_own() {
     let mut stage = Stage::both_fronts(3, 1);
-    stage.run_to(1000).state(1, Listed::Draining);
+    stage.run_to(1000).state(1, EndpointStatus::Draining);
     stage.run_to(1500);
     expect!["1.0 r0 lays: set server standing/e1 state maint"]
         .assert_eq(&stage.trace.lines().filter(|line| line.contains("lays")).collect::<Vec<_>>().join("\n"));
@@ -53,7 +53,7 @@
     let mut stage = Stage::both_fronts(3, 2);
     stage.run_to(6000).peers[0].away = true;
     stage.cut(0);
-    stage.run_to(6500).state(2, Listed::Draining);
+    stage.run_to(6500).state(2, EndpointStatus::Draining);
     stage.run_to(8000);
     assert_eq!(stage.picks(0).iter().map(|(name, _)| name.as_str()).collect::<Vec<_>>(), ["e0", "e1"]);
 }
@@ -65,8 +65,8 @@
     stage.run_to(6000);
     let version = stage.current.as_ref().map(|(version, _)| *version).expect("written");
     stage.disk = Disk::Full;
-    stage.state(1, Listed::Draining);
-    stage.run_to(7000).state(2, Listed::Draining);
+    stage.state(1, EndpointStatus::Draining);
+    stage.run_to(7000).state(2, EndpointStatus::Draining);
     stage.run_to(9000);
     assert_eq!(stage.current.as_ref().map(|(version, _)| *version), Some(version));
     assert!(stage.helm.lines_waiting() >= 2, "{}", stage.helm.lines_waiting());
@@ -90,7 +90,7 @@
     let version = stage.current.as_ref().map(|(version, _)| *version).expect("written");
     stage.disk = Disk::Hangs;
     for (at, server) in [(6200, 1), (6600, 2), (7000, 3)] {
-        stage.state(server, Listed::Draining);
+        stage.state(server, EndpointStatus::Draining);
         stage.run_to(at);
     }
     stage.disk = Disk::Well;
@@ -104,7 +104,7 @@
     let mut stage = Stage::both_fronts(4, 2);
     stage.run_to(6000);
     stage.disk = Disk::Fenced;
-    stage.state(1, Listed::Draining);
+    stage.state(1, EndpointStatus::Draining);
     stage.run_to(7000).disk = Disk::Well;
     stage.run_to(12_000);
     assert!(stage.helm.show_info().contains("FilesFencedBy: 2"), "{}", stage.helm.show_info());
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/orders/memory.rs
@@ -1,6 +1,6 @@
 //! A pilot that comes back: what was given out to be kept, aged, is what the next one begins with.
 
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 use lockcroft_state_store::{Key, Recalled, Rules, State, What, age};
 
 use crate::stage::{Stage, ms};
@@ -29,7 +29,7 @@
     assert!(stage.kept.iter().any(|entry| entry.key == Key::Server("e1".into())));
     stage.run_to(20_000);
     assert_eq!(stage.kept.len(), told, "nothing changed, nothing is told: {:?}", stage.kept.last());
-    stage.state(1, Listed::Draining);
+    stage.state(1, EndpointStatus::Draining);
     stage.run_to(21_000);
     let last = stage.kept.last().expect("told");
     assert!(matches!(&last.what, What::Server(note) if note.draining), "{last:?}");
@@ -41,7 +41,7 @@
 #[test]
 fn a_server_that_went_meanwhile_is_named_at_once() {
     let mut before = again(Stage::unlisted(3, 1), Recalled::default());
-    before.run_to(7000).state(1, Listed::Gone);
+    before.run_to(7000).state(1, EndpointStatus::Gone);
     before.run_to(8000);
     let state = kept(&before);
     let after = |recalled: Recalled| {
@@ -104,8 +104,8 @@
 #[test]
 fn a_clock_that_was_set_back_makes_nothing_worse() {
     let mut before = again(Stage::unlisted(3, 1), Recalled::default());
-    before.findings.insert(0, Finding::Refused);
-    before.run_to(9000).state(1, Listed::Gone);
+    before.findings.insert(0, HealthCheckOutcome::Refused);
+    before.run_to(9000).state(1, EndpointStatus::Gone);
     before.run_to(10_000);
     let state = kept(&before);
     let ahead = recalled(&state, 1);
--- a/crates/fleet/tests/orders/plans.rs
+++ b/crates/fleet/tests/orders/plans.rs
@@ -1,6 +1,6 @@
 //! Plans on the ordinary path: what is learnt becomes listed weights and ceilings.
 
-use lockcroft::Finding;
+use lockcroft::HealthCheckOutcome;
 use lockcroft_fleet::Helm;
 
 use crate::stage::{Stage, ms};
@@ -13,8 +13,8 @@
 fn what_servers_tell_becomes_weights() {
     let mut stage = Stage::with_solver(2, 1, SOLVER);
     stage.visits(60, &[ms(160), ms(160)], 1);
-    stage.findings.insert(0, Finding::Passed(Some(0.8)));
-    stage.findings.insert(1, Finding::Passed(Some(0.2)));
+    stage.findings.insert(0, HealthCheckOutcome::Passed(Some(0.8)));
+    stage.findings.insert(1, HealthCheckOutcome::Passed(Some(0.2)));
     stage.run_to(60_000);
     let picks = stage.picks(0);
     let [(_, small), (_, large)] = &picks[..] else { panic!("{picks:?}") };
--- a/crates/fleet/tests/orders/stage.rs
+++ b/crates/fleet/tests/orders/stage.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use lockcroft::{Finding, Listed, Server};
+use lockcroft::{HealthCheckOutcome, EndpointStatus, EndpointId};
 use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
 use lockcroft_fleet::{Effect, Helm, Publication, Report, Unwritten};
 use lockcroft_proxy::{Choice, Ending, FromFiles, Held, Limits, Orders, STANDING, Way};
@@ -76,7 +76,7 @@
     pub peers: Vec<Peer>,
     pub roster: Roster,
     /// How probes end, where not well.
-    pub findings: BTreeMap<Server, Finding>,
+    pub findings: BTreeMap<EndpointId, HealthCheckOutcome>,
     pub trace: String,
     /// What was given out to be kept.
     pub kept: Vec<Kept>,
@@ -234,7 +234,7 @@
         self.roster.version += 1;
     }
 
-    pub fn state(&mut self, server: usize, state: Listed) {
+    pub fn state(&mut self, server: usize, state: EndpointStatus) {
         self.roster.entries[server].state = state;
         self.list();
     }
@@ -284,7 +284,7 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Probe { server, .. } => {
-                let finding = self.findings.get(&server).copied().unwrap_or(Finding::Passed(None));
+                let finding = self.findings.get(&server).copied().unwrap_or(HealthCheckOutcome::Passed(None));
                 self.helm.probed(self.now, server, finding, Duration::ZERO);
             }
             Effect::Solve(task) => {
@@ -416,7 +416,7 @@
         zone: 0,
         kind: 0,
         address: format!("127.0.0.1:{}", 9000 + server).parse().expect("an address"),
-        state: Listed::Ready,
+        state: EndpointStatus::Ready,
         weight: 1.0,
         started: None,
     }
--- a/crates/fleet/tests/orders/troubles.rs
+++ b/crates/fleet/tests/orders/troubles.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use expect_test::expect;
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 use lockcroft_proxy::Orders;
 use lockcroft_runtime_api::Level;
 
@@ -29,7 +29,7 @@
 #[test]
 fn a_drain_in_the_hold_withdraws_from_standing_tables() {
     let mut stage = Stage::new(3, 1);
-    stage.run_to(1000).state(1, Listed::Draining);
+    stage.run_to(1000).state(1, EndpointStatus::Draining);
     stage.run_to(1500);
     expect![[r#"
         1.0 r0: set server standing/e1 state maint
@@ -43,9 +43,9 @@
 fn a_stalled_proxy_gets_the_last_word_only() {
     let mut stage = Stage::new(3, 2);
     stage.run_to(6000).quiet().peers[0].silent = true;
-    stage.state(1, Listed::Draining);
-    stage.run_to(6300).state(1, Listed::Ready);
-    stage.run_to(6600).state(2, Listed::Draining);
+    stage.state(1, EndpointStatus::Draining);
+    stage.run_to(6300).state(1, EndpointStatus::Ready);
+    stage.run_to(6600).state(2, EndpointStatus::Draining);
     stage.run_to(6900).peers[0].silent = false;
     let waiting = stage.helm.lines_waiting();
     stage.run_to(8000);
@@ -80,7 +80,7 @@
 fn a_command_left_unanswered_breaks_the_stream_and_the_waits_grow() {
     let mut stage = Stage::new(2, 1);
     stage.run_to(6000).peers[0].silent = true;
-    stage.state(0, Listed::Draining);
+    stage.state(0, EndpointStatus::Draining);
     stage.run_to(7200);
     let shown = stage.helm.show_proxies();
     assert!(shown.contains("a command was left unanswered"), "{shown}");
@@ -175,10 +175,10 @@
     // Somebody else's hand takes a line away.
     let table = stage.peers[0].held.backends.get_mut("t0").expect("laid");
     std::rc::Rc::make_mut(table).remove("e0");
-    stage.quiet().state(0, Listed::Draining);
+    stage.quiet().state(0, EndpointStatus::Draining);
     stage.run_to(5700);
     assert!(stage.helm.show_proxies().contains("No such server"), "{}", stage.helm.show_proxies());
-    stage.state(0, Listed::Ready);
+    stage.state(0, EndpointStatus::Ready);
     stage.run_to(8000);
     assert_eq!(stage.picks(0).len(), 2);
 }
@@ -234,7 +234,7 @@
 #[test]
 fn a_dead_server_leaves_the_tables_by_its_probes() {
     let mut stage = Stage::new(3, 2);
-    stage.run_to(6000).findings.insert(2, Finding::Refused);
+    stage.run_to(6000).findings.insert(2, HealthCheckOutcome::Refused);
     stage.run_to(9000);
     assert_eq!(stage.picks(1).len(), 2);
     assert!(stage.helm.next_due() < stage.now + Duration::from_secs(1));
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use lockcroft::{Class, Kind, Terms, Zone};
+use lockcroft::{ClassId, MachineTypeId, Settings, ZoneId};
 
 /// Names in the order in which they were first met; an index, once given, stays.
 #[derive(Clone, Debug, Default)]
@@ -56,7 +56,7 @@
 }
 
 impl Places {
-    pub fn read(terms: &Terms) -> Self {
+    pub fn read(terms: &Settings) -> Self {
         let texts = |list: &str| terms.texts(list).into_iter().map(String::from).collect();
         let classes = (0..terms.count("classes")).map_while(|i| terms.text(&format!("classes.{i}.name")));
         let classes = classes.map(String::from).collect();
@@ -65,15 +65,15 @@
 
     /// # Errors
     /// Names the word that the terms do not state; so do the two below.
-    pub fn zone(&self, name: &str) -> Result<Zone, String> {
+    pub fn zone(&self, name: &str) -> Result<ZoneId, String> {
         position(&self.zones, "zone", name)
     }
 
-    pub fn kind(&self, name: &str) -> Result<Kind, String> {
+    pub fn kind(&self, name: &str) -> Result<MachineTypeId, String> {
         position(&self.kinds, "kind", name)
     }
 
-    pub fn class(&self, name: &str) -> Result<Class, String> {
+    pub fn class(&self, name: &str) -> Result<ClassId, String> {
         position(&self.classes, "class", name)
     }
 }
--- a/crates/host/src/published.rs
+++ b/crates/host/src/published.rs
@@ -2,31 +2,31 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockcroft::{Class, Server, TableNumber};
+use lockcroft::{ClassId, EndpointId, TableId};
 
 /// One shared table, as last decided.
 #[derive(Clone, Debug, Default)]
 pub struct Sheet {
     /// Weights above 0.
-    pub lines: BTreeMap<Server, f64>,
+    pub lines: BTreeMap<EndpointId, f64>,
     /// By class: the share let in, and whether proxies try once more after proof.
-    pub levels: BTreeMap<Class, (f64, bool)>,
+    pub levels: BTreeMap<ClassId, (f64, bool)>,
 }
 
 /// All tables, and the servers that no proxy may use whatever its tables say.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
-    pub tables: BTreeMap<TableNumber, Sheet>,
-    pub withdrawn: BTreeSet<Server>,
+    pub tables: BTreeMap<TableId, Sheet>,
+    pub withdrawn: BTreeSet<EndpointId>,
 }
 
 impl Published {
-    pub fn weight(&self, table: TableNumber, server: Server) -> f64 {
+    pub fn weight(&self, table: TableId, server: EndpointId) -> f64 {
         self.tables.get(&table).and_then(|sheet| sheet.lines.get(&server)).copied().unwrap_or(0.0)
     }
 
     /// Takes a line in, or out where the weight is 0.
-    pub fn weigh(&mut self, table: TableNumber, server: Server, weight: f64) {
+    pub fn weigh(&mut self, table: TableId, server: EndpointId, weight: f64) {
         let lines = &mut self.tables.entry(table).or_default().lines;
         if weight > 0.0 {
             lines.insert(server, weight);
@@ -35,11 +35,11 @@
         }
     }
 
-    pub fn admit(&mut self, table: TableNumber, class: Class, share: f64, second_try: bool) {
+    pub fn admit(&mut self, table: TableId, class: ClassId, share: f64, second_try: bool) {
         self.tables.entry(table).or_default().levels.insert(class, (share, second_try));
     }
 
-    pub fn withdraw(&mut self, server: Server, withdrawn: bool) {
+    pub fn withdraw(&mut self, server: EndpointId, withdrawn: bool) {
         if withdrawn {
             self.withdrawn.insert(server);
         } else {
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings as the users' platform states them, flattened and renamed to the house's words. They reach an
 //! instance of the simulator in its first message and a pilot on the platform in its configuration.
 
-use lockcroft::{Term, Terms};
+use lockcroft::{SettingValue, Settings};
 use serde_json::Value;
 
 /// Wire name, house name. Names that are not here pass as they are.
@@ -35,27 +35,27 @@
 
 /// # Errors
 /// Says what is wrong with the text; so does the one below.
-pub fn read_settings(text: &str) -> Result<Terms, String> {
+pub fn read_settings(text: &str) -> Result<Settings, String> {
     let value: Value = serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?;
     settings(&value)
 }
 
-pub fn settings(value: &Value) -> Result<Terms, String> {
+pub fn settings(value: &Value) -> Result<Settings, String> {
     if !value.is_object() {
         return Err("settings: not an object".into());
     }
-    let mut terms = Terms::default();
+    let mut terms = Settings::default();
     flatten(String::new(), value, &mut terms);
     Ok(terms)
 }
 
-fn flatten(path: String, value: &Value, terms: &mut Terms) {
+fn flatten(path: String, value: &Value, terms: &mut Settings) {
     let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     let term = match value {
         Value::Null => return,
-        Value::Bool(flag) => Term::Flag(*flag),
-        Value::Number(number) => Term::Number(number.as_f64().unwrap_or(f64::NAN)),
-        Value::String(text) => Term::Text(text.clone()),
+        Value::Bool(flag) => SettingValue::Flag(*flag),
+        Value::Number(number) => SettingValue::Number(number.as_f64().unwrap_or(f64::NAN)),
+        Value::String(text) => SettingValue::Text(text.clone()),
         Value::Array(members) => {
             for (i, member) in members.iter().enumerate() {
                 flatten(below(&i.to_string()), member, terms);
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper::{HeaderMap, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lockcroft::Finding;
+use lockcroft::HealthCheckOutcome;
 use lockcroft::logic::PROBE_WAIT;
 use tokio::net::TcpStream;
 use tokio::task::{JoinHandle, spawn_local};
@@ -85,11 +85,11 @@
 
 /// What the status of an answer tells of a server; `load` is what it told beside it. One that answers that
 /// it has no room says nothing of its health, as it may just be asked by too many.
-pub fn finding(status: StatusCode, load: Option<f64>) -> Finding {
+pub fn finding(status: StatusCode, load: Option<f64>) -> HealthCheckOutcome {
     match status {
-        status if status.is_success() => Finding::Passed(load),
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Finding::TurnedAway,
-        _ => Finding::Failed,
+        status if status.is_success() => HealthCheckOutcome::Passed(load),
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::TurnedAway,
+        _ => HealthCheckOutcome::Failed,
     }
 }
 
@@ -99,14 +99,14 @@
     address: SocketAddr,
     path: &str,
     most: usize,
-    read: impl FnOnce(&Answer) -> Finding,
-) -> (Finding, Duration) {
+    read: impl FnOnce(&Answer) -> HealthCheckOutcome,
+) -> (HealthCheckOutcome, Duration) {
     let sent = Instant::now();
     let call = async { Line::open(address).await?.get(path, true, most).await };
     let finding = match timeout(PROBE_WAIT, call).await {
         Ok(Ok(answer)) => read(&answer),
-        Ok(Err(Fault::Broken(_))) => Finding::Refused,
-        Ok(Err(Fault::Cut(_))) | Err(_) => Finding::Failed,
+        Ok(Err(Fault::Broken(_))) => HealthCheckOutcome::Refused,
+        Ok(Err(Fault::Cut(_))) | Err(_) => HealthCheckOutcome::Failed,
     };
     (finding, sent.elapsed())
 }
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{Class, Proxy, Server, Terms, Zone};
+use lockcroft::{ClassId, ProxyId, EndpointId, Settings, ZoneId};
 use lockcroft_host::Places;
 use serde::Serialize;
 use serde_json::Value;
@@ -21,30 +21,30 @@
     Alive,
     /// A collector speaks, for the proxies of this zone.
     Collects {
-        zone: Zone,
+        zone: ZoneId,
     },
     Joins {
-        proxy: Proxy,
-        zone: Zone,
+        proxy: ProxyId,
+        zone: ZoneId,
         rate: f64,
         fresh: bool,
     },
     /// What proxies met at a server.
     Met {
-        server: Server,
+        server: EndpointId,
         tries: u32,
         failed: u32,
         took: Duration,
     },
     /// What came to a proxy.
     Came {
-        proxy: Proxy,
-        class: Class,
+        proxy: ProxyId,
+        class: ClassId,
         visits: u32,
     },
     /// It has applied all up to the mark of this number.
     Applied {
-        proxy: Proxy,
+        proxy: ProxyId,
         mark: u64,
     },
 }
@@ -58,7 +58,7 @@
 }
 
 /// What a message may name.
-pub struct Known<'a> {
+pub struct MessageContext<'a> {
     pub places: &'a Places,
     pub roster: &'a Roster,
     pub bounds: &'a Bounds,
@@ -72,7 +72,7 @@
 }
 
 impl Bounds {
-    pub fn read(terms: &Terms) -> Self {
+    pub fn read(terms: &Settings) -> Self {
         let patience = |class| terms.time(&format!("classes.{class}.patience_us"));
         let longest = (0..terms.count("classes")).filter_map(patience).max();
         let try_most = longest.map_or(Duration::from_secs(600), |patience| patience * 2);
@@ -107,20 +107,20 @@
         if count.fract() == 0.0 { Ok(count as u32) } else { Err(self.spoilt(name, "a whole number")) }
     }
 
-    fn proxy(&self, known: &Known) -> Result<Proxy, Fault> {
-        let proxy = self.count("node")? as Proxy;
+    fn proxy(&self, known: &MessageContext) -> Result<ProxyId, Fault> {
+        let proxy = self.count("node")? as ProxyId;
         let most = known.bounds.proxies;
         if proxy < most { Ok(proxy) } else { Err(self.spoilt("node", &format!("below {most}"))) }
     }
 
-    fn zone(&self, known: &Known) -> Result<Zone, Fault> {
+    fn zone(&self, known: &MessageContext) -> Result<ZoneId, Fault> {
         known.places.zone(self.word("locality")?).map_err(Fault::Spoilt)
     }
 }
 
 /// # Errors
 /// The line is no message, or one with a spoilt field.
-pub fn read(line: &[u8], known: &Known) -> Result<Message, Fault> {
+pub fn read(line: &[u8], known: &MessageContext) -> Result<Message, Fault> {
     let value: Value = serde_json::from_slice(line).map_err(|e| Fault::Unreadable(e.to_string()))?;
     if !value.is_object() {
         return Err(Fault::Unreadable("not an object".into()));
@@ -153,7 +153,7 @@
     }
 }
 
-fn met(fields: &Fields, known: &Known) -> Result<Message, Fault> {
+fn met(fields: &Fields, known: &MessageContext) -> Result<Message, Fault> {
     let name = fields.word("endpoint")?;
     let server = known.roster.find(name);
     let server = server.ok_or_else(|| Fault::Spoilt(format!("endpoint: {name:?} was never listed")))?;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lockcroft::{Term, Terms};
+use lockcroft::{SettingValue, Settings};
 use lockcroft_host::settings;
 use serde_json::Value;
 
@@ -15,7 +15,7 @@
     pub sockets: usize,
     /// The list as this pilot last held it.
     pub known: Option<Value>,
-    pub terms: Terms,
+    pub terms: Settings,
 }
 
 impl Config {
@@ -40,7 +40,7 @@
             .ok_or_else(|| format!("limits.sockets: {sockets}; allowed: a whole number"))?;
         let mut terms = settings(&value["settings"])?;
         // On this wire, a proxy keeps over a change of streams whom it was told to shut out.
-        terms.0.insert("fleet.keeps_withdrawals".into(), Term::Flag(true));
+        terms.0.insert("fleet.keeps_withdrawals".into(), SettingValue::Flag(true));
         Ok(Config {
             name: word("name")?.to_string(),
             listen: address("listen")?,
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::{Decision, Finding, Pilot, Proxy, Server, Zone};
+use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, ZoneId};
 use lockcroft_host::{Places, Published};
 use serde_json::Value;
 use tracing::{debug, info, warn};
 
 use crate::admission::{Acceptance, Admission, COLLECTORS};
-use crate::codec::{self, Bounds, Fault, Known, Message, Part};
+use crate::codec::{self, Bounds, Fault, MessageContext, Message, Part};
 use crate::config::Config;
 use crate::roster::Roster;
 use crate::stream::{ConnectionId, Context, ProxyStream};
@@ -20,7 +20,7 @@
 /// What is to be done on sockets.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Write; [`Controller::written`] tells when all of it is out.
+    /// Write; [`ControlPlane::written`] tells when all of it is out.
     Write {
         connection: ConnectionId,
         text: String,
@@ -29,7 +29,7 @@
     End {
         connection: ConnectionId,
     },
-    /// Read what has come on it, then say [`Controller::dismiss`].
+    /// Read what has come on it, then say [`ControlPlane::dismiss`].
     LastCall {
         connection: ConnectionId,
     },
@@ -38,7 +38,7 @@
         connection: ConnectionId,
     },
     Probe {
-        server: Server,
+        server: EndpointId,
         address: SocketAddr,
     },
 }
@@ -47,8 +47,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Unjoined,
-    Collector(Zone),
-    Proxy(Proxy),
+    Collector(ZoneId),
+    Proxy(ProxyId),
 }
 
 /// Counts for the log.
@@ -61,27 +61,27 @@
     pub reports: u64,
 }
 
-pub struct Controller {
-    pilot: Pilot,
+pub struct ControlPlane {
+    pilot: Controller,
     places: Places,
     bounds: Bounds,
     /// Whether probes ask for the load report.
     pub asks_load: bool,
     roster: Roster,
     published: Published,
-    streams: BTreeMap<Proxy, ProxyStream>,
+    streams: BTreeMap<ProxyId, ProxyStream>,
     connections: BTreeMap<ConnectionId, Role>,
     admission: Admission,
-    touched: BTreeSet<Proxy>,
+    touched: BTreeSet<ProxyId>,
     effects: VecDeque<Effect>,
     marks: u64,
     pub sums: Sums,
 }
 
-impl Controller {
+impl ControlPlane {
     pub fn new(config: &Config) -> Self {
         let terms = config.terms.clone();
-        Controller {
+        ControlPlane {
             places: Places::read(&terms),
             bounds: Bounds::read(&terms),
             asks_load: terms.text("report.how") == Some("on_probe"),
@@ -94,7 +94,7 @@
             effects: VecDeque::new(),
             marks: 0,
             sums: Sums::default(),
-            pilot: Pilot::new(terms, config.seed),
+            pilot: Controller::new(terms, config.seed),
         }
     }
 
@@ -129,15 +129,15 @@
     pub fn probed(
         &mut self,
         now: Duration,
-        server: Server,
+        server: EndpointId,
         address: SocketAddr,
-        finding: Finding,
+        finding: HealthCheckOutcome,
         took: Duration,
     ) {
         let name = self.roster.name(server);
         // What a former address says is nothing about the server that has moved on.
         let still = self.roster.address(server) == Some(address);
-        let finding = if still { finding } else { Finding::Moved };
+        let finding = if still { finding } else { HealthCheckOutcome::Moved };
         debug!(target: "lockcroft::probe", name, ?finding, us = took.as_micros() as u64);
         self.pilot.probed(now, server, finding, took);
     }
@@ -180,7 +180,7 @@
     /// A line came, without its end.
     pub fn read(&mut self, now: Duration, connection: ConnectionId, line: &[u8]) {
         let Some(role) = self.connections.get(&connection).copied() else { return };
-        let known = Known { places: &self.places, roster: &self.roster, bounds: &self.bounds };
+        let known = MessageContext { places: &self.places, roster: &self.roster, bounds: &self.bounds };
         match (codec::read(line, &known), role) {
             (Ok(Message::Alive), _) => {
                 self.effects.push_back(Effect::Write { connection, text: codec::ALIVE.into() });
@@ -232,7 +232,7 @@
         self.ended(connection);
     }
 
-    fn collects(&mut self, connection: ConnectionId, zone: Zone) {
+    fn collects(&mut self, connection: ConnectionId, zone: ZoneId) {
         let alike = self.connections.iter().filter(|(_, role)| **role == Role::Collector(zone));
         let alike: Vec<ConnectionId> = alike.map(|(connection, _)| *connection).collect();
         if alike.len() >= COLLECTORS {
@@ -243,7 +243,7 @@
         self.admission.joined(connection);
     }
 
-    fn joins(&mut self, connection: ConnectionId, proxy: Proxy, zone: Zone, rate: f64, fresh: bool) {
+    fn joins(&mut self, connection: ConnectionId, proxy: ProxyId, zone: ZoneId, rate: f64, fresh: bool) {
         // A new stream may come before the old one is seen to end, which then ends for nobody.
         let old = self.streams.get(&proxy).map(|stream| stream.connection);
         if let Some(old) = old {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// When [`Controller::decide`] has to be called at the latest.
+    /// When [`ControlPlane::decide`] has to be called at the latest.
     pub fn next_due(&self) -> Duration {
         let pilot = self.pilot.next_due();
         self.admission.next_due().map_or(pilot, |admission| admission.min(pilot))
@@ -314,26 +314,26 @@
         self.effects.drain(..).collect()
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn carry_out(&mut self, decision: Action) {
         match decision {
-            Decision::Probe(server) => {
+            Action::Probe(server) => {
                 let address = self.roster.address(server);
                 self.effects.extend(address.map(|address| Effect::Probe { server, address }));
             }
-            Decision::Weigh { table, server, weight } => {
+            Action::Weigh { table, server, weight } => {
                 let name = self.roster.name(server);
                 debug!(target: "lockcroft::decision", table, name, weight, "weigh");
                 self.published.weigh(table, server, weight);
                 self.touch(|stream| stream.on(table));
             }
-            Decision::Bind { table, classes, proxy } => {
+            Action::Bind { table, classes, proxy } => {
                 debug!(target: "lockcroft::decision", table, proxy, "bind");
                 if let Some(stream) = self.streams.get_mut(&proxy) {
                     stream.bind(table, classes);
                     self.touched.insert(proxy);
                 }
             }
-            Decision::Withdraw { server, withdrawn } => {
+            Action::Withdraw { server, withdrawn } => {
                 let name = self.roster.name(server);
                 debug!(target: "lockcroft::decision", name, withdrawn, "withdraw");
                 self.published.withdraw(server, withdrawn);
@@ -341,12 +341,12 @@
                 self.streams.values_mut().for_each(|stream| stream.withdraw(server, withdrawn, classes));
                 self.touch(|_| true);
             }
-            Decision::Admit { table, class, share, second_try } => {
+            Action::Admit { table, class, share, second_try } => {
                 debug!(target: "lockcroft::decision", table, class, share, second_try, "admit");
                 self.published.admit(table, class, share, second_try);
                 self.touch(|stream| stream.on(table));
             }
-            Decision::Note { about, text } => {
+            Action::Note { about, text } => {
                 let about = about.map(|server| self.roster.name(server));
                 info!(target: "lockcroft::note", about, "{text}");
             }
@@ -371,7 +371,7 @@
             stream.busy = !parts.is_empty();
             stream.busy.then_some((proxy, parts))
         });
-        let mut due: Vec<(Proxy, Vec<Part>)> = due.collect();
+        let mut due: Vec<(ProxyId, Vec<Part>)> = due.collect();
         let classes = self.places.classes.len();
         let lines = |parts: &[Part]| parts.iter().map(|part| part.lines(classes)).sum::<usize>();
         let last = due.len().saturating_sub(1);
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -20,7 +20,7 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::controller::{Controller, Effect};
+use crate::controller::{ControlPlane, Effect};
 use crate::stream::ConnectionId;
 
 use self::connections::Handle;
@@ -43,7 +43,7 @@
 
 /// What all tasks of the pilot share; all run on one thread, and none holds the controller across a wait.
 struct Shared {
-    controller: RefCell<Controller>,
+    controller: RefCell<ControlPlane>,
     start: Instant,
     /// There is news to be decided on.
     news: Notify,
@@ -137,7 +137,7 @@
 
 async fn run(path: &Path, config: Config, listener: TcpListener, mut signals: Signals) -> Result<(), String> {
     let shared = Rc::new(Shared {
-        controller: RefCell::new(Controller::new(&config)),
+        controller: RefCell::new(ControlPlane::new(&config)),
         start: Instant::now(),
         news: Notify::new(),
         handles: RefCell::default(),
--- a/crates/platform/src/io/probes.rs
+++ b/crates/platform/src/io/probes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::Finding;
+use lockcroft::HealthCheckOutcome;
 use lockcroft_http_client::Answer;
 use tracing::debug;
 
@@ -12,12 +12,12 @@
 /// Load reports are short.
 const REPORT_MOST: usize = 4096;
 
-pub async fn probe(address: SocketAddr, asks_load: bool) -> (Finding, Duration) {
+pub async fn probe(address: SocketAddr, asks_load: bool) -> (HealthCheckOutcome, Duration) {
     let path = if asks_load { "/metrics/load" } else { "/alive" };
     lockcroft_http_client::probe(address, path, REPORT_MOST, |answer| read(address, answer)).await
 }
 
-fn read(address: SocketAddr, answer: &Answer) -> Finding {
+fn read(address: SocketAddr, answer: &Answer) -> HealthCheckOutcome {
     if !answer.status.is_success() {
         debug!(target: "lockcroft::probe", status = %answer.status, body = ?answer.body, %address);
     }
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::{Listed, Listing, Server};
+use lockcroft::{EndpointStatus, EndpointRecord, EndpointId};
 use lockcroft_host::{Names, Places};
 use serde_json::Value;
 
@@ -12,7 +12,7 @@
 pub struct Told {
     pub whole: bool,
     pub version: u64,
-    pub listings: Vec<Listing>,
+    pub listings: Vec<EndpointRecord>,
     /// Entries that could not be used, and why; the others stand.
     pub faults: Vec<String>,
 }
@@ -27,12 +27,12 @@
 #[derive(Default)]
 pub struct Roster {
     names: Names,
-    addresses: BTreeMap<Server, SocketAddr>,
-    starts: BTreeMap<Server, Start>,
+    addresses: BTreeMap<EndpointId, SocketAddr>,
+    starts: BTreeMap<EndpointId, Start>,
     /// Servers that drained, went or started while this day runs: some pilot may have shut them out.
-    moved: BTreeSet<Server>,
+    moved: BTreeSet<EndpointId>,
     /// Those on the list now.
-    here: BTreeSet<Server>,
+    here: BTreeSet<EndpointId>,
     version: Option<u64>,
     /// Since then only whole lists older than what is held came.
     stale_since: Option<Duration>,
@@ -43,15 +43,15 @@
 const STALE_MOST: Duration = Duration::from_secs(6);
 
 impl Roster {
-    pub fn name(&self, server: Server) -> &str {
+    pub fn name(&self, server: EndpointId) -> &str {
         self.names.name(server)
     }
 
-    pub fn find(&self, name: &str) -> Option<Server> {
+    pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.find(name)
     }
 
-    pub fn address(&self, server: Server) -> Option<SocketAddr> {
+    pub fn address(&self, server: EndpointId) -> Option<SocketAddr> {
         self.addresses.get(&server).copied()
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Whether some pilot may have shut it out, at some time, at a proxy that still does.
-    pub fn moved(&self, server: Server) -> bool {
+    pub fn moved(&self, server: EndpointId) -> bool {
         self.moved.contains(&server)
     }
 
@@ -99,17 +99,17 @@
             return Err(format!("a whole list without a usable entry, {} faults", faults.len()));
         }
         if whole {
-            let all: BTreeSet<Server> = listings.iter().map(|listing| listing.server).collect();
+            let all: BTreeSet<EndpointId> = listings.iter().map(|listing| listing.server).collect();
             self.moved.extend(self.here.difference(&all));
             self.here.clear();
         }
-        for Listing { server, state, .. } in &listings {
-            if *state == Listed::Gone {
+        for EndpointRecord { server, state, .. } in &listings {
+            if *state == EndpointStatus::Gone {
                 self.here.remove(server);
             } else {
                 self.here.insert(*server);
             }
-            if *state != Listed::Ready || self.starts.contains_key(server) {
+            if *state != EndpointStatus::Ready || self.starts.contains_key(server) {
                 self.moved.insert(*server);
             }
         }
@@ -117,13 +117,13 @@
         Ok(Told { whole, version, listings, faults })
     }
 
-    fn entry(&mut self, now: Duration, wall: u64, entry: &Value, places: &Places) -> Result<Listing, String> {
+    fn entry(&mut self, now: Duration, wall: u64, entry: &Value, places: &Places) -> Result<EndpointRecord, String> {
         let word = |name: &str| entry[name].as_str().ok_or_else(|| format!("{name} of {entry}: not a text"));
         let name = word("name")?;
         let state = match word("status")? {
-            "up" => Listed::Ready,
-            "draining" => Listed::Draining,
-            "removed" => Listed::Gone,
+            "up" => EndpointStatus::Ready,
+            "draining" => EndpointStatus::Draining,
+            "removed" => EndpointStatus::Gone,
             other => return Err(format!("status of {name}: {other:?}; allowed: up, draining, removed")),
         };
         let (zone, kind) = (places.zone(word("zone")?)?, places.kind(word("type")?)?);
@@ -136,12 +136,12 @@
         let server = self.names.index(name);
         self.addresses.insert(server, address);
         let age = self.age(now, wall, server, entry["since_ms"].as_u64().unwrap_or(0));
-        Ok(Listing { server, zone, kind, state, weight, age })
+        Ok(EndpointRecord { server, zone, kind, state, weight, age })
     }
 
     /// How long ago it started. A start that was heard of keeps its age on the pilot's clock, so that two
     /// tellings never look like two starts.
-    fn age(&mut self, now: Duration, wall: u64, server: Server, since_ms: u64) -> Option<Duration> {
+    fn age(&mut self, now: Duration, wall: u64, server: EndpointId, since_ms: u64) -> Option<Duration> {
         if since_ms == 0 {
             return None;
         }
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use lockcroft::{Class, Server, TableNumber};
+use lockcroft::{ClassId, EndpointId, TableId};
 use lockcroft_host::{Published, Sheet};
 
 use crate::codec::Part;
@@ -18,7 +18,7 @@
 /// A table that the proxy is on.
 #[derive(Debug)]
 struct Laid {
-    classes: Vec<Class>,
+    classes: Vec<ClassId>,
     /// As it was last written on this stream.
     written: Option<Sheet>,
 }
@@ -28,12 +28,12 @@
     pub connection: ConnectionId,
     /// It holds nothing that any pilot ordered.
     fresh: bool,
-    laid: BTreeMap<TableNumber, Laid>,
+    laid: BTreeMap<TableId, Laid>,
     /// Servers that it is to shut out, and those that it was told on this stream to shut out.
-    ejects: BTreeSet<Server>,
-    ejected: BTreeSet<Server>,
+    ejects: BTreeSet<EndpointId>,
+    ejected: BTreeSet<EndpointId>,
     /// Servers that it surely does not shut out any more.
-    cleared: BTreeSet<Server>,
+    cleared: BTreeSet<EndpointId>,
     /// A message is still being written.
     pub busy: bool,
     /// Marks that went out on this stream and were not answered, by number.
@@ -70,17 +70,17 @@
         self.marks.drain(..=at).next_back().map(|(_, mark)| mark)
     }
 
-    pub fn bind(&mut self, table: TableNumber, classes: Vec<Class>) {
+    pub fn bind(&mut self, table: TableId, classes: Vec<ClassId>) {
         self.laid.insert(table, Laid { classes, written: None });
     }
 
-    pub fn on(&self, table: TableNumber) -> bool {
+    pub fn on(&self, table: TableId) -> bool {
         self.laid.contains_key(&table)
     }
 
     /// Keeps it from a server, or ends that. A proxy whose every class is on tables of ours needs no word:
     /// the server's line goes, or went.
-    pub fn withdraw(&mut self, server: Server, withdrawn: bool, classes: usize) {
+    pub fn withdraw(&mut self, server: EndpointId, withdrawn: bool, classes: usize) {
         let bound: usize = self.laid.values().map(|laid| laid.classes.len()).sum();
         if !withdrawn {
             self.ejects.remove(&server);
@@ -92,7 +92,7 @@
     /// The message that brings the proxy from what was written to what is published; no part if there is
     /// nothing to say. What is returned counts as written.
     pub fn message<'a>(&mut self, context: &Context<'a>) -> Vec<Part<'a>> {
-        let name = |server: &Server| context.roster.name(*server);
+        let name = |server: &EndpointId| context.roster.name(*server);
         let mut orders = Part {
             eject: self.ejects.difference(&self.ejected).map(name).collect(),
             restore: self.ejected.difference(&self.ejects).map(name).collect(),
@@ -135,12 +135,12 @@
             || (self.classes.len() < context.classes.len()).then(|| self.routes(&self.classes, context));
         let empty = Sheet::default();
         let (full, old) = (self.written.is_none(), self.written.as_ref().unwrap_or(&empty));
-        let name = |server: &Server| context.roster.name(*server);
+        let name = |server: &EndpointId| context.roster.name(*server);
         let gone = old.lines.keys().filter(|server| !sheet.lines.contains_key(server));
         let new = sheet.lines.iter().filter(|(server, weight)| old.lines.get(server) != Some(weight));
         let endpoints = new.map(|(server, weight)| (name(server), *weight));
         let endpoints: Vec<(&str, f64)> = endpoints.chain(gone.map(|server| (name(server), 0.0))).collect();
-        let mut levels: Vec<((f64, bool), Vec<Class>)> = Vec::new();
+        let mut levels: Vec<((f64, bool), Vec<ClassId>)> = Vec::new();
         for class in &self.classes {
             let level = sheet.levels.get(class).filter(|level| old.levels.get(class) != Some(level));
             let Some(level) = level else { continue };
@@ -165,7 +165,7 @@
         }
     }
 
-    fn routes<'a>(&self, classes: &[Class], context: &Context<'a>) -> Vec<&'a str> {
+    fn routes<'a>(&self, classes: &[ClassId], context: &Context<'a>) -> Vec<&'a str> {
         classes.iter().map(|class| context.classes[*class].as_str()).collect()
     }
 }
--- a/crates/platform/tests/controller/channel.rs
+++ b/crates/platform/tests/controller/channel.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use lockcroft::Finding;
-use lockcroft_platform::{Config, ConnectionId, Controller, Effect};
+use lockcroft::HealthCheckOutcome;
+use lockcroft_platform::{Config, ConnectionId, ControlPlane, Effect};
 use serde_json::{Value, json};
 
 use crate::stage::{Stage, WALL, config, entry, list};
@@ -66,7 +66,7 @@
     ] {
         settings["settings"]["specifics"][name] = json!(value);
     }
-    let mut controller = Controller::new(&Config::read(&settings.to_string()).expect("sound"));
+    let mut controller = ControlPlane::new(&Config::read(&settings.to_string()).expect("sound"));
     let names: Vec<String> = (0..200).map(|at| format!("s-{at}")).collect();
     let since = |at: usize| if at < 100 { 0 } else { WALL - 1000 };
     let entries = names.iter().enumerate().map(|(at, name)| entry(name, "up", since(at)));
@@ -106,7 +106,7 @@
                     }
                 }
                 Effect::Probe { server, address } => {
-                    controller.probed(now, server, address, Finding::Passed(Some(0.4)), Duration::ZERO);
+                    controller.probed(now, server, address, HealthCheckOutcome::Passed(Some(0.4)), Duration::ZERO);
                 }
                 Effect::End { .. } | Effect::Drop { .. } | Effect::LastCall { .. } => {
                     panic!("nobody is to go")
--- a/crates/platform/tests/controller/interleavings.rs
+++ b/crates/platform/tests/controller/interleavings.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lockcroft::Finding;
-use lockcroft_platform::{ConnectionId, Controller, Effect};
+use lockcroft::HealthCheckOutcome;
+use lockcroft_platform::{ConnectionId, ControlPlane, Effect};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -41,7 +41,7 @@
 }
 
 struct World {
-    controller: Controller,
+    controller: ControlPlane,
     now: Duration,
     index: u64,
     connection: ConnectionId,
@@ -137,7 +137,7 @@
                         self.now,
                         server,
                         address,
-                        Finding::Passed(Some(0.3)),
+                        HealthCheckOutcome::Passed(Some(0.3)),
                         Duration::ZERO,
                     );
                 }
--- a/crates/platform/tests/controller/stage.rs
+++ b/crates/platform/tests/controller/stage.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lockcroft::Finding;
-use lockcroft_platform::{Config, ConnectionId, Controller, Effect};
+use lockcroft::HealthCheckOutcome;
+use lockcroft_platform::{Config, ConnectionId, ControlPlane, Effect};
 use serde_json::{Value, json};
 
 /// Unix milliseconds at the start of the stage.
@@ -39,7 +39,7 @@
 }
 
 pub struct Stage {
-    pub controller: Controller,
+    pub controller: ControlPlane,
     pub now: Duration,
     pub trace: String,
     /// Streams that take nothing: their messages are never out.
@@ -62,7 +62,7 @@
     pub fn bare() -> Self {
         let config = Config::read(&config().to_string()).expect("sound");
         Stage {
-            controller: Controller::new(&config),
+            controller: ControlPlane::new(&config),
             now: Duration::ZERO,
             trace: String::new(),
             stalled: Vec::new(),
@@ -131,7 +131,7 @@
                 Effect::Probe { server, address } => {
                     let refused = self.refuses == Some(server);
                     let address = if self.former { ([127, 0, 0, 8], 8).into() } else { address };
-                    let finding = if refused { Finding::Refused } else { Finding::Passed(Some(0.5)) };
+                    let finding = if refused { HealthCheckOutcome::Refused } else { HealthCheckOutcome::Passed(Some(0.5)) };
                     self.controller.probed(self.now, server, address, finding, Duration::ZERO);
                 }
             }
--- a/crates/scenario/src/rules.rs
+++ b/crates/scenario/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use lockcroft::Terms;
+use lockcroft::Settings;
 use lockcroft_testbed::{Record, What};
 use serde::Serialize;
 
@@ -31,7 +31,7 @@
 }
 
 impl Limits {
-    pub fn read(terms: &Terms) -> Self {
+    pub fn read(terms: &Settings) -> Self {
         let class = |i: usize, what: &str| terms.text(&format!("classes.{i}.{what}")).map(String::from);
         let number = |name: &str| terms.number(name).unwrap_or(f64::INFINITY);
         let classes: Vec<String> = (0..terms.count("classes")).filter_map(|i| class(i, "name")).collect();
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lockcroft::Terms;
+use lockcroft::Settings;
 use lockcroft_testbed::{Record, What};
 use serde::{Deserialize, Serialize};
 
@@ -50,7 +50,7 @@
 }
 
 /// An answer in contract time earns in full, one within patience what the terms state for it.
-pub fn score(records: &[Record], terms: &Terms, zones: &Zones, restarts: &[Duration]) -> Score {
+pub fn score(records: &[Record], terms: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
     let figure = |i: usize, what: &str| terms.number(&format!("classes.{i}.{what}"));
     let classes = 0..terms.count("classes");
     let earns: BTreeMap<&str, (f64, f64, f64)> = classes
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -6,14 +6,14 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use lockcroft::{Decision, Finding, Listed, Listing, Pilot};
+use lockcroft::{Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, Controller};
 use lockcroft_host::{Names, Places, read_settings};
 
 use crate::codec::Line;
 
 /// One pilot and what belongs to the wire alone: names, the clock at its start, its timer.
 struct Instance {
-    pilot: Pilot,
+    pilot: Controller,
     born: Duration,
     /// When the earliest timer still out comes due.
     timer: Option<Duration>,
@@ -190,10 +190,10 @@
                 let wait = line.time("time")?;
                 let load = line.load("load report")?;
                 let finding = match verdict {
-                    "done" => Finding::Passed(load),
-                    "err" | "etimedout" => Finding::Failed,
-                    "econnrefused" | "econnreset" => Finding::Refused,
-                    "busy" | "ecanceled" | "skipped" => Finding::TurnedAway,
+                    "done" => HealthCheckOutcome::Passed(load),
+                    "err" | "etimedout" => HealthCheckOutcome::Failed,
+                    "econnrefused" | "econnreset" => HealthCheckOutcome::Refused,
+                    "busy" | "ecanceled" | "skipped" => HealthCheckOutcome::TurnedAway,
                     other => return Err(format!("unknown verdict {other:?}")),
                 };
                 instance.guard(|pilot| pilot.probed(now, server, finding, wait));
@@ -253,7 +253,7 @@
         lines: &mut Numbered<impl BufRead>,
         number: u32,
         count: usize,
-    ) -> Result<Vec<Listing>, String> {
+    ) -> Result<Vec<EndpointRecord>, String> {
         let clock = self.clock;
         let mut entries = Vec::new();
         for left in (0..count).rev() {
@@ -269,7 +269,7 @@
         Ok(entries)
     }
 
-    fn list(&mut self, number: u32, full: bool, version: u64, entries: &[Listing]) {
+    fn list(&mut self, number: u32, full: bool, version: u64, entries: &[EndpointRecord]) {
         let clock = self.clock;
         if let Some(instance) = self.instances.get_mut(&number) {
             let now = clock.saturating_sub(instance.born);
@@ -296,30 +296,30 @@
             timer: None,
             servers: Names::default(),
             idle,
-            pilot: Pilot::new(terms, seed),
+            pilot: Controller::new(terms, seed),
         })
     }
 
-    fn entry(&mut self, line: &mut Line, clock: Duration) -> Result<Listing, String> {
+    fn entry(&mut self, line: &mut Line, clock: Duration) -> Result<EndpointRecord, String> {
         let server = self.servers.index(line.word("server")?);
         let zone = self.places.zone(line.word("zone")?)?;
         let kind = self.places.kind(line.word("kind")?)?;
         line.number::<i64>("cell")?;
         let state = match line.word("state")? {
-            "U" => Listed::Ready,
-            "L" => Listed::Draining,
-            "D" => Listed::Gone,
+            "U" => EndpointStatus::Ready,
+            "L" => EndpointStatus::Draining,
+            "D" => EndpointStatus::Gone,
             other => return Err(format!("unknown state {other:?}")),
         };
         let weight = line.amount("weight")?;
         let started = line.time_or_none("start")?.filter(|started| !started.is_zero());
         line.end()?;
         let age = started.map(|started| clock.saturating_sub(started));
-        Ok(Listing { server, zone, kind, state, weight, age })
+        Ok(EndpointRecord { server, zone, kind, state, weight, age })
     }
 
     /// Calls the pilot; if that fails, the instance has failed and no other.
-    fn guard<T>(&mut self, call: impl FnOnce(&mut Pilot) -> T) -> Option<T> {
+    fn guard<T>(&mut self, call: impl FnOnce(&mut Controller) -> T) -> Option<T> {
         let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.pilot)));
         if let Err(panic) = &result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
@@ -352,31 +352,31 @@
         }
     }
 
-    fn encode(&self, number: u32, decision: Decision, reply: &mut String) {
+    fn encode(&self, number: u32, decision: Action, reply: &mut String) {
         let name = |server: usize| self.servers.name(server);
         match decision {
-            Decision::Probe(server) => line(reply, format_args!("POLL {number} {}", name(server))),
-            Decision::Weigh { table, server, weight } => {
+            Action::Probe(server) => line(reply, format_args!("POLL {number} {}", name(server))),
+            Action::Weigh { table, server, weight } => {
                 line(reply, format_args!("SET_LINE {number} {weight} {table} {}", name(server)))
             }
-            Decision::Bind { table, classes, proxy } => {
+            Action::Bind { table, classes, proxy } => {
                 let bits = classes.iter().fold(0u64, |bits, class| bits | 1 << class);
                 line(reply, format_args!("HAND_TABLE {number} {proxy} {table} {bits}"))
             }
-            Decision::Withdraw { server, withdrawn } => {
+            Action::Withdraw { server, withdrawn } => {
                 line(reply, format_args!("BENCH {number} {} {}", u8::from(withdrawn), name(server)))
             }
-            Decision::Admit { table, class, share, second_try } => {
+            Action::Admit { table, class, share, second_try } => {
                 let second_try = u8::from(second_try);
                 line(
                     reply,
                     format_args!("GATE_CLASS {number} {table} {} {share} {second_try}", 1u64 << class),
                 )
             }
-            Decision::Note { about: Some(server), text } => {
+            Action::Note { about: Some(server), text } => {
                 line(reply, format_args!("NOTE_DOWN {number} {} {text}", name(server)))
             }
-            Decision::Note { about: None, text } => line(reply, format_args!("NOTE_DOWN {number} {text}")),
+            Action::Note { about: None, text } => line(reply, format_args!("NOTE_DOWN {number} {text}")),
         }
     }
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{Class, Listed, Listing, Proxy, Server, TableNumber, Terms, Zone};
+use crate::{ClassId, EndpointStatus, EndpointRecord, ProxyId, EndpointId, TableId, Settings, ZoneId};
 
 /// Tries that ended, and how.
 #[derive(Clone, Copy, Default)]
@@ -42,14 +42,14 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Whom {
     Unbound(usize, u64),
-    On(TableNumber),
-    One(Proxy),
+    On(TableId),
+    One(ProxyId),
 }
 
 /// What is known of a server.
 #[derive(Default)]
-pub struct Known {
-    pub listing: Listing,
+pub struct EndpointState {
+    pub listing: EndpointRecord,
     pub part: usize,
     /// `None` until the first result.
     pub counter: Option<u32>,
@@ -73,9 +73,9 @@
     pub heard: u64,
 }
 
-impl Known {
+impl EndpointState {
     pub fn barred(&self) -> bool {
-        self.listing.state != Listed::Ready
+        self.listing.state != EndpointStatus::Ready
     }
 
     pub fn cold(&self, now: Duration) -> bool {
@@ -85,25 +85,25 @@
 
 /// A table that proxies share.
 #[derive(Default)]
-pub struct Table {
+pub struct RoutingTable {
     pub part: usize,
     /// Zones and kinds that its classes are bound to.
     pub only: [Option<Vec<usize>>; 2],
     pub released: bool,
     /// Weights as they should be by the last plan, and as they were published.
-    pub wanted: BTreeMap<Server, f64>,
-    pub lines: BTreeMap<Server, f64>,
+    pub wanted: BTreeMap<EndpointId, f64>,
+    pub lines: BTreeMap<EndpointId, f64>,
     /// How late its servers are, by their part in it, and which share of their tries fails, where told.
     pub late: f64,
     pub failing: Option<f64>,
     /// What each server has of its listed weight here by a plan made ahead; none: all of its part's.
-    pub shares: BTreeMap<Server, f64>,
+    pub shares: BTreeMap<EndpointId, f64>,
     /// What it keeps of its part at servers that classes with less choice need.
     pub kept: f64,
 }
 
-impl Table {
-    pub fn allows(&self, listing: &Listing) -> bool {
+impl RoutingTable {
+    pub fn allows(&self, listing: &EndpointRecord) -> bool {
         let place = [listing.zone, listing.kind];
         self.only.iter().zip(place).all(|(only, at)| only.as_ref().is_none_or(|only| only.contains(&at)))
     }
@@ -112,11 +112,11 @@
         self.only != [None, None]
     }
 
-    pub fn wants(&self, server: Server) -> f64 {
+    pub fn wants(&self, server: EndpointId) -> f64 {
         self.wanted.get(&server).copied().unwrap_or(0.0)
     }
 
-    pub fn held(&self, server: Server) -> f64 {
+    pub fn held(&self, server: EndpointId) -> f64 {
         self.lines.get(&server).copied().unwrap_or(0.0)
     }
 
@@ -127,9 +127,9 @@
 }
 
 /// What is let in of one class, at one table.
-pub struct Gate {
-    pub class: Class,
-    pub table: TableNumber,
+pub struct ClassAdmission {
+    pub class: ClassId,
+    pub table: TableId,
     pub name: String,
     pub contract: f64,
     pub earnings: f64,
@@ -142,10 +142,10 @@
     pub admitted: Option<f64>,
 }
 
-impl Gate {
-    pub fn read(terms: &Terms, class: Class, table: TableNumber) -> Self {
+impl ClassAdmission {
+    pub fn read(terms: &Settings, class: ClassId, table: TableId) -> Self {
         let name = |what: &str| format!("classes.{class}.{what}");
-        Gate {
+        ClassAdmission {
             class,
             table,
             name: terms.text(&name("name")).unwrap_or("a class without a name").to_string(),
@@ -164,12 +164,12 @@
 pub struct Joined {
     /// Joinings are numbered from 1.
     pub number: u64,
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Visits a second that it usually has.
     pub rate: f64,
     pub fresh: bool,
     pub part: Option<usize>,
-    pub tables: Vec<TableNumber>,
+    pub tables: Vec<TableId>,
     pub messages: VecDeque<Duration>,
 }
 
@@ -187,10 +187,10 @@
 /// time travels together, as one message to each.
 #[derive(Default)]
 pub struct Channel {
-    pub proxies: BTreeMap<Proxy, Joined>,
+    pub proxies: BTreeMap<ProxyId, Joined>,
     /// How many joinings there were.
     pub joinings: u64,
-    on: BTreeMap<TableNumber, usize>,
+    on: BTreeMap<TableId, usize>,
     /// Lines that wait at a time, as far as that is known, if the channel is slow and if it is less so.
     waiting: [f64; 2],
     /// Lines that wait by the host's word, where it gives one.
@@ -208,20 +208,20 @@
 }
 
 impl Channel {
-    pub fn join(&mut self, proxy: Proxy, joined: Joined) {
+    pub fn join(&mut self, proxy: ProxyId, joined: Joined) {
         self.leave(proxy);
         self.joinings += 1;
         self.proxies.insert(proxy, Joined { number: self.joinings, ..joined });
     }
 
-    pub fn leave(&mut self, proxy: Proxy) {
+    pub fn leave(&mut self, proxy: ProxyId) {
         let tables = self.proxies.remove(&proxy).map(|joined| joined.tables).unwrap_or_default();
         for table in tables {
             *self.on.entry(table).or_default() -= 1;
         }
     }
 
-    pub fn bind(&mut self, proxy: Proxy, table: TableNumber) {
+    pub fn bind(&mut self, proxy: ProxyId, table: TableId) {
         if let Some(joined) = self.proxies.get_mut(&proxy) {
             joined.tables.push(table);
             *self.on.entry(table).or_default() += 1;
@@ -245,7 +245,7 @@
     }
 
     /// Proxies on fewer tables than this, those with most visits first.
-    pub fn unbound(&mut self, tables: usize) -> Vec<(Proxy, &mut Joined)> {
+    pub fn unbound(&mut self, tables: usize) -> Vec<(ProxyId, &mut Joined)> {
         let proxies = self.proxies.iter_mut().map(|(proxy, joined)| (*proxy, joined));
         let mut unbound: Vec<_> = proxies.filter(|(_, joined)| joined.tables.len() < tables).collect();
         unbound.sort_by(|(_, a), (_, b)| b.rate.total_cmp(&a.rate));
@@ -332,7 +332,7 @@
     }
 }
 
-fn reached(proxies: &mut BTreeMap<Proxy, Joined>, whom: Whom) -> impl Iterator<Item = &mut Joined> {
-    let (first, last) = if let Whom::One(proxy) = whom { (proxy, proxy) } else { (0, Proxy::MAX) };
+fn reached(proxies: &mut BTreeMap<ProxyId, Joined>, whom: Whom) -> impl Iterator<Item = &mut Joined> {
+    let (first, last) = if let Whom::One(proxy) = whom { (proxy, proxy) } else { (0, ProxyId::MAX) };
     proxies.range_mut(first..=last).map(|(_, joined)| joined).filter(move |joined| joined.meant(whom))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,28 +6,28 @@
 pub mod logic;
 mod terms;
 
-pub use ledger::{Gate, Known, Table};
-pub use logic::Pilot;
-pub use terms::{Term, Terms};
+pub use ledger::{ClassAdmission, EndpointState, RoutingTable};
+pub use logic::Controller;
+pub use terms::{SettingValue, Settings};
 
 use std::time::Duration;
 
 /// Servers, proxies, zones and classes are small indices, given out by whoever hosts the pilot.
-pub type Server = usize;
-pub type Proxy = usize;
-pub type Zone = usize;
-pub type Kind = usize;
-pub type Class = usize;
+pub type EndpointId = usize;
+pub type ProxyId = usize;
+pub type ZoneId = usize;
+pub type MachineTypeId = usize;
+pub type ClassId = usize;
 /// A table that proxies share; the pilot numbers its own.
-pub type TableNumber = usize;
+pub type TableId = usize;
 
 /// What the list of servers says of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Listing {
-    pub server: Server,
-    pub zone: Zone,
-    pub kind: Kind,
-    pub state: Listed,
+pub struct EndpointRecord {
+    pub server: EndpointId,
+    pub zone: ZoneId,
+    pub kind: MachineTypeId,
+    pub state: EndpointStatus,
     /// The listed weight; 1 where the list gives none.
     pub weight: f64,
     /// How long ago its process started; `None` if that was long ago.
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointStatus {
     #[default]
     Ready,
     Draining,
@@ -44,7 +44,7 @@
 
 /// How one probe ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Finding {
+pub enum HealthCheckOutcome {
     /// Answered, with the share of its cores in use if the server tells.
     Passed(Option<f64>),
     /// Answered with an error, or not in time: the server may still be working.
@@ -60,18 +60,18 @@
 /// One decision, to be carried out by the host before it asks for the next. All decisions given
 /// out at one time travel together, as one message to each proxy concerned.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Decision {
-    /// Look at a server and tell [`Pilot::probed`].
-    Probe(Server),
+pub enum Action {
+    /// Look at a server and tell [`Controller::probed`].
+    Probe(EndpointId),
     /// Give a server this weight in a table; 0 takes it out.
-    Weigh { table: TableNumber, server: Server, weight: f64 },
+    Weigh { table: TableId, server: EndpointId, weight: f64 },
     /// Put a proxy on a table, for these classes.
-    Bind { table: TableNumber, classes: Vec<Class>, proxy: Proxy },
+    Bind { table: TableId, classes: Vec<ClassId>, proxy: ProxyId },
     /// Keep every joined proxy from a server, whatever tables it holds, or end that.
-    Withdraw { server: Server, withdrawn: bool },
+    Withdraw { server: EndpointId, withdrawn: bool },
     /// Let in this share of a class's visits at a table, and say whether proxies try once more after proof
     /// that a try never ran.
-    Admit { table: TableNumber, class: Class, share: f64, second_try: bool },
+    Admit { table: TableId, class: ClassId, share: f64, second_try: bool },
     /// Tell the people on call, of one server or in general.
-    Note { about: Option<Server>, text: String },
+    Note { about: Option<EndpointId>, text: String },
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,6 +1,6 @@
 //! All decisions of lockcroft, with every table and tuned value.
 //!
-//! How it is called: the host makes one [`Pilot`] an instance and calls the method named for what is new
+//! How it is called: the host makes one [`Controller`] an instance and calls the method named for what is new
 //! (`listed`, `probed`, `joined`, ...), which only updates what is known. It pulls `next_decision(now)` until
 //! there is none, and comes back at `next_due`. The types of the interface stand in `lib.rs`, what is read at
 //! the start in `terms.rs`, what is known and its sums in `ledger.rs`.
@@ -20,8 +20,8 @@
 use std::time::Duration;
 
 use crate::chance::Chance;
-use crate::ledger::{Channel, Gate, Joined, Known, Table, Tally, Whom};
-use crate::{Class, Decision, Finding, Listed, Listing, Proxy, Server, TableNumber, Terms, Zone};
+use crate::ledger::{Channel, ClassAdmission, Joined, EndpointState, RoutingTable, Tally, Whom};
+use crate::{ClassId, Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, ProxyId, EndpointId, TableId, Settings, ZoneId};
 
 // The design's figures, from its page.
 const RISE: u32 = 2;
@@ -95,7 +95,7 @@
 const SLOWEST: f64 = 8.0;
 const SLOW: f64 = 4.0;
 
-impl Known {
+impl EndpointState {
     fn late(&self, contract: f64) -> f64 {
         let busy = self.load.is_some_and(|load| load > BUSY);
         self.recent.lateness(contract).max(if busy { WORSE * LATE } else { 0.0 })
@@ -132,31 +132,31 @@
 struct Step(f64, Order);
 
 enum Order {
-    Withdraw(Server, bool),
-    Weigh(TableNumber, Server),
+    Withdraw(EndpointId, bool),
+    Weigh(TableId, EndpointId),
     Admit(usize, f64),
-    Bind(TableNumber, Proxy),
+    Bind(TableId, ProxyId),
 }
 
 #[derive(Default)]
-pub struct Pilot {
-    terms: Terms,
+pub struct Controller {
+    terms: Settings,
     chance: Chance,
     /// One a part and set of classes, part by part.
-    tables: Vec<Table>,
+    tables: Vec<RoutingTable>,
     parts: usize,
     /// So many parts lie beside each other, each in one of `places`; so many tables make a part.
     row: usize,
     each: usize,
     places: usize,
     /// The least earnings per contract time first.
-    gates: Vec<Gate>,
+    gates: Vec<ClassAdmission>,
     outdated: bool,
-    servers: BTreeMap<Server, Known>,
+    servers: BTreeMap<EndpointId, EndpointState>,
     channel: Channel,
     /// Times at which a probe is due or lost; those that others took the place of are passed over.
-    due: BTreeSet<(Duration, Server)>,
-    ready: VecDeque<Decision>,
+    due: BTreeSet<(Duration, EndpointId)>,
+    ready: VecDeque<Action>,
     /// The last plan, as far as it is still to be sent, and whether there is news that asks for another.
     steps: VecDeque<Step>,
     news: bool,
@@ -175,9 +175,9 @@
     pushing: bool,
 }
 
-impl Pilot {
-    pub fn new(terms: Terms, seed: u64) -> Self {
-        Pilot { chance: Chance::new(seed), terms, ..Pilot::default() }
+impl Controller {
+    pub fn new(terms: Settings, seed: u64) -> Self {
+        Controller { chance: Chance::new(seed), terms, ..Controller::default() }
     }
 
     /// Cuts the fleet into parts if it does not fit one table, and lays out the tables of each part.
@@ -199,12 +199,12 @@
         for part in 0..self.parts {
             for (class, only) in classes.iter().enumerate() {
                 // Classes that may use the same servers share a table: each line and binding costs once.
-                let alike = |table: &Table| table.part == part && table.only == *only;
+                let alike = |table: &RoutingTable| table.part == part && table.only == *only;
                 let table = self.tables.iter().position(alike).unwrap_or(self.tables.len());
                 if table == self.tables.len() {
-                    self.tables.push(Table { part, only: only.clone(), kept: 1.0, ..Table::default() });
+                    self.tables.push(RoutingTable { part, only: only.clone(), kept: 1.0, ..RoutingTable::default() });
                 }
-                self.gates.push(Gate::read(terms, class, table));
+                self.gates.push(ClassAdmission::read(terms, class, table));
             }
         }
         self.each = self.tables.len() / self.parts;
@@ -212,24 +212,24 @@
     }
 
     /// The list of servers is at this version; `full` says that the entries are all of it.
-    pub fn listed(&mut self, now: Duration, full: bool, version: u64, entries: &[Listing]) {
+    pub fn listed(&mut self, now: Duration, full: bool, version: u64, entries: &[EndpointRecord]) {
         self.outdated |= self.servers.is_empty() && version > 0;
         self.news = true;
         // Where only draining binds, a list that calls servers gone takes nothing from them.
         let binds = !self.terms.flag("rules.only_draining_binds");
-        let here: BTreeSet<Server> = entries.iter().map(|entry| entry.server).collect();
-        let gone = |server: &Server| full && binds && !here.contains(server);
+        let here: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.server).collect();
+        let gone = |server: &EndpointId| full && binds && !here.contains(server);
         for (_, known) in self.servers.iter_mut().filter(|(server, _)| gone(server)) {
-            known.listing.state = Listed::Gone;
+            known.listing.state = EndpointStatus::Gone;
         }
         if self.tables.is_empty() && !entries.is_empty() {
             self.lay_out(entries.len());
         }
         // Dealt to the parts of their zone like cards, so that each has its share of every kind.
-        let known = |entry: &&Listing| self.servers.contains_key(&entry.server);
-        let unknown = |entry: &&Listing| entry.state != Listed::Gone && !known(entry);
-        let mut new: Vec<Listing> = entries.iter().filter(unknown).copied().collect();
-        let place = |listing: &Listing| (listing.kind, listing.zone);
+        let known = |entry: &&EndpointRecord| self.servers.contains_key(&entry.server);
+        let unknown = |entry: &&EndpointRecord| entry.state != EndpointStatus::Gone && !known(entry);
+        let mut new: Vec<EndpointRecord> = entries.iter().filter(unknown).copied().collect();
+        let place = |listing: &EndpointRecord| (listing.kind, listing.zone);
         new.sort_by_key(|entry| (place(entry), entry.server));
         for listing in new {
             let mut dealt = vec![(0, 0); self.parts];
@@ -239,13 +239,13 @@
             }
             let near = (0..self.parts).filter(|part| part % self.places == listing.zone % self.places);
             let part = near.min_by_key(|part| dealt[*part]).unwrap_or(0);
-            let new = Known { part, listing, relief: 1.0, probe_at: Duration::MAX, ..Known::default() };
+            let new = EndpointState { part, listing, relief: 1.0, probe_at: Duration::MAX, ..EndpointState::default() };
             self.servers.insert(listing.server, new);
         }
         let (within, settle, probes) =
             (self.terms.span("rules.warm_within_us"), self.settle(), self.terms.flag("allowed.probes"));
         for entry in entries {
-            let known = self.servers.get_mut(&entry.server).filter(|_| binds || entry.state != Listed::Gone);
+            let known = self.servers.get_mut(&entry.server).filter(|_| binds || entry.state != EndpointStatus::Gone);
             let Some(known) = known else { continue };
             let fresh = known.probe_at == Duration::MAX || known.barred();
             known.listing = *entry;
@@ -267,20 +267,20 @@
         }
     }
 
-    pub fn probed(&mut self, now: Duration, server: Server, finding: Finding, took: Duration) {
+    pub fn probed(&mut self, now: Duration, server: EndpointId, finding: HealthCheckOutcome, took: Duration) {
         let Some(known) = self.servers.get_mut(&server) else { return };
         let by = match finding {
-            Finding::Passed(load) => {
+            HealthCheckOutcome::Passed(load) => {
                 known.load = load;
                 i32::from(now >= known.doubted_until)
             }
             // It is too full to tell: what it told before would look like room.
-            Finding::TurnedAway => {
+            HealthCheckOutcome::TurnedAway => {
                 known.load = known.load.map(|_| 1.0);
                 0
             }
-            Finding::Moved => 0,
-            Finding::Failed | Finding::Refused => -1,
+            HealthCheckOutcome::Moved => 0,
+            HealthCheckOutcome::Failed | HealthCheckOutcome::Refused => -1,
         };
         // It ends the probe that is out, not one before, within the wait: what comes later was lost then.
         let out = |sent: Duration| sent + took <= now && now < sent + PROBE_WAIT;
@@ -290,14 +290,14 @@
     }
 
     /// What proxies met at a server: `took` is the mean time of the tries that were answered.
-    pub fn reported(&mut self, now: Duration, server: Server, tries: u32, failed: u32, took: Duration) {
+    pub fn reported(&mut self, now: Duration, server: EndpointId, tries: u32, failed: u32, took: Duration) {
         let Some(known) = self.servers.get_mut(&server) else { return };
         if now >= known.heed_from {
             known.fresh = Tally::new(tries, failed, took).over(known.fresh, 1.0);
         }
     }
 
-    pub fn counted(&mut self, proxy: Proxy, class: Class, visits: u32) {
+    pub fn counted(&mut self, proxy: ProxyId, class: ClassId, visits: u32) {
         let part = self.channel.proxies.get(&proxy).and_then(|joined| joined.part);
         for gate in self.gates.iter_mut().filter(|gate| gate.class == class) {
             gate.demand += if part == Some(self.tables[gate.table].part) { f64::from(visits) } else { 0.0 };
@@ -305,24 +305,24 @@
     }
 
     /// A proxy's stream stands. Its tables are of before; unless `fresh`, it may shun what failed it.
-    pub fn joined(&mut self, proxy: Proxy, zone: Zone, rate: f64, fresh: bool) {
+    pub fn joined(&mut self, proxy: ProxyId, zone: ZoneId, rate: f64, fresh: bool) {
         let part = (self.parts == 1).then_some(0);
         self.channel.join(proxy, Joined { zone, rate, fresh, part, ..Joined::default() });
         self.news = true;
     }
 
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn left(&mut self, proxy: ProxyId) {
         self.channel.leave(proxy);
     }
 
     /// A plan made ahead has room for this share of a class's visits: no more is let in, whatever is late.
-    pub fn planned(&mut self, class: Class, share: f64) {
+    pub fn planned(&mut self, class: ClassId, share: f64) {
         self.gates.iter_mut().filter(|gate| gate.class == class).for_each(|gate| gate.planned = share);
     }
 
     /// A plan made ahead for one table: what each server has there of its listed weight, none for those not
     /// named. Where too few of them are well, all beside it stand in, as listed.
-    pub fn apportioned(&mut self, table: TableNumber, shares: BTreeMap<Server, f64>) {
+    pub fn apportioned(&mut self, table: TableId, shares: BTreeMap<EndpointId, f64>) {
         if let Some(table) = self.tables.get_mut(table) {
             table.shares = shares;
         }
@@ -333,7 +333,7 @@
     pub fn recalled(
         &mut self,
         now: Duration,
-        listing: Listing,
+        listing: EndpointRecord,
         relief: f64,
         warming: Option<(Duration, Duration)>,
         doubted: Duration,
@@ -341,8 +341,8 @@
         let near = |part: &usize| part % self.places.max(1) == listing.zone % self.places.max(1);
         let part = (0..self.parts).find(near).unwrap_or(0);
         let Some(known) = self.servers.get_mut(&listing.server) else {
-            if listing.state == Listed::Gone && self.parts > 0 {
-                let gone = Known { part, listing, relief: 1.0, probe_at: Duration::MAX, ..Known::default() };
+            if listing.state == EndpointStatus::Gone && self.parts > 0 {
+                let gone = EndpointState { part, listing, relief: 1.0, probe_at: Duration::MAX, ..EndpointState::default() };
                 self.servers.insert(listing.server, gone);
                 self.news = true;
             }
@@ -356,8 +356,8 @@
     }
 
     /// A level of before this start that is still to be believed.
-    pub fn recalled_level(&mut self, class: Class, table: TableNumber, level: f64) {
-        let meant = |gate: &&mut Gate| gate.class == class && gate.table == table;
+    pub fn recalled_level(&mut self, class: ClassId, table: TableId, level: f64) {
+        let meant = |gate: &&mut ClassAdmission| gate.class == class && gate.table == table;
         self.gates
             .iter_mut()
             .filter(meant)
@@ -380,7 +380,7 @@
     }
 
     /// What is believed of each server, the tables as wanted and published, and what is let in, to be shown.
-    pub fn beliefs(&self) -> (&BTreeMap<Server, Known>, &[Table], &[Gate]) {
+    pub fn beliefs(&self) -> (&BTreeMap<EndpointId, EndpointState>, &[RoutingTable], &[ClassAdmission]) {
         (&self.servers, &self.tables, &self.gates)
     }
 
@@ -388,13 +388,13 @@
         self.due.first().map_or(self.next_beat, |(time, _)| self.next_beat.min(*time))
     }
 
-    pub fn next_decision(&mut self, now: Duration) -> Option<Decision> {
+    pub fn next_decision(&mut self, now: Duration) -> Option<Action> {
         self.pass_time(now);
         if std::mem::take(&mut self.news) {
             self.plan(now);
         }
         while let Some(Step(part, order)) = self.steps.pop_front() {
-            let heard = |server: &Server| self.servers[server].heard >= self.newest();
+            let heard = |server: &EndpointId| self.servers[server].heard >= self.newest();
             if matches!(&order, Order::Withdraw(server, true) if heard(server)) {
                 continue;
             }
@@ -417,7 +417,7 @@
                 self.probe_ended(now, server, -1);
             } else if known.probe_sent.is_none() && known.probe_at == time && !known.barred() {
                 known.probe_sent = Some(now);
-                self.ready.push_back(Decision::Probe(server));
+                self.ready.push_back(Action::Probe(server));
                 self.due.insert((now + PROBE_WAIT, server));
             }
         }
@@ -434,7 +434,7 @@
     }
 
     /// The result of the probe that is out, if one is, moves the counter and sets the next probe.
-    fn probe_ended(&mut self, now: Duration, server: Server, by: i32) {
+    fn probe_ended(&mut self, now: Duration, server: EndpointId, by: i32) {
         let Some(known) = self.servers.get_mut(&server) else { return };
         let Some(sent) = known.probe_sent.take() else { return };
         known.moved(by);
@@ -471,7 +471,7 @@
                 known.relief = RELIEF_LEAST;
                 known.heed_from = known.doubted_until + settle;
                 let text = format!("fails {:.0} of {:.0} tries", seen.failed, seen.tries);
-                self.ready.push_back(Decision::Note { about: Some(*server), text });
+                self.ready.push_back(Action::Note { about: Some(*server), text });
             } else if known.counter.is_some() && (sound || !probes && now >= known.doubted_until) {
                 known.moved(RISE as i32);
             }
@@ -504,8 +504,8 @@
     /// and come back as their servers find time again.
     fn shed(&mut self, part: usize) {
         let own = self.lanes(part);
-        let late = |gate: &&Gate| own.contains(&gate.table) && self.tables[gate.table].late > LATE;
-        let work = |gate: &Gate| gate.contract * gate.demand.max(1e-9);
+        let late = |gate: &&ClassAdmission| own.contains(&gate.table) && self.tables[gate.table].late > LATE;
+        let work = |gate: &ClassAdmission| gate.contract * gate.demand.max(1e-9);
         let let_in: f64 = self.gates.iter().filter(late).map(|gate| work(gate) * gate.level).sum();
         let worst = self.tables[own.clone()].iter().fold(LATE, |worst, table| worst.max(table.late));
         let mut out = let_in * (1.0 - (LATE / worst).max(SHED_STEP));
@@ -559,7 +559,7 @@
     }
 
     /// Whether a server may be used for a table, being in its part or one beside it.
-    fn beside(&self, table: &Table, known: &Known) -> bool {
+    fn beside(&self, table: &RoutingTable, known: &EndpointState) -> bool {
         self.row_of(known.part) == self.row_of(table.part) && table.allows(&known.listing)
     }
 
@@ -568,7 +568,7 @@
         (part / self.row).min(self.parts / self.row - 1)
     }
 
-    fn lanes(&self, part: usize) -> Range<TableNumber> {
+    fn lanes(&self, part: usize) -> Range<TableId> {
         part * self.each..(part + 1) * self.each
     }
 
@@ -578,11 +578,11 @@
             let lines = table.lines.iter().map(|(server, weight)| (&self.servers[server], weight));
             let told = lines.filter(|(known, _)| known.recent.tries >= 1.0 && !known.withdrawn);
             // Lateness beyond what a server's own load accounts for is not mended by refusing visits.
-            let room = |known: &Known| known.load.filter(|load| *load < BUSY).map(|load| load / COMFORT);
-            let most = |known: &Known| room(known).map_or(LATE_MOST, |part| part * LATE);
-            let late = |known: &Known| known.late(contract).min(most(known));
-            let part = |(known, weight): (&Known, &f64)| (weight * late(known), *weight);
-            let failing = |(known, weight): (&Known, &f64)| weight * known.recent.failing();
+            let room = |known: &EndpointState| known.load.filter(|load| *load < BUSY).map(|load| load / COMFORT);
+            let most = |known: &EndpointState| room(known).map_or(LATE_MOST, |part| part * LATE);
+            let late = |known: &EndpointState| known.late(contract).min(most(known));
+            let part = |(known, weight): (&EndpointState, &f64)| (weight * late(known), *weight);
+            let failing = |(known, weight): (&EndpointState, &f64)| weight * known.recent.failing();
             let failing: f64 = told.clone().map(failing).sum();
             let (sum, all) = told.map(part).fold((0.0, 1e-9), |(a, b), (c, d)| (a + c, b + d));
             table.late = sum / all;
@@ -620,7 +620,7 @@
         // What is barred is off a proxy with its first table: due like drains where that is the shorter word.
         // In a release, those who join one by one would else wait while the longer word fills the queue.
         let owed = |number| self.servers.values().filter(|of| of.barred() && of.heard < number).count();
-        let shorter = |table: TableNumber, number| (1..owed(number)).contains(&self.tables[table].laid());
+        let shorter = |table: TableId, number| (1..owed(number)).contains(&self.tables[table].laid());
         for (proxy, joined) in self.channel.unbound(self.each) {
             let load = |part: usize| (carried[part] + joined.rate) / room[part];
             let rank = |part: usize, other: usize| load(part).total_cmp(&load(other));
@@ -659,7 +659,7 @@
             };
             let names: Vec<&str> = self.gates_of(index).map(|gate| gate.name.as_str()).collect();
             let text = format!("{}: table released, {why}", names.join(", "));
-            self.ready.push_back(Decision::Note { about: None, text });
+            self.ready.push_back(Action::Note { about: None, text });
             (self.tables[index].released, self.pushing) = (true, true);
         }
     }
@@ -668,7 +668,7 @@
         self.tables.iter().any(|table| !table.released)
     }
 
-    fn gates_of(&self, table: TableNumber) -> impl Iterator<Item = &Gate> {
+    fn gates_of(&self, table: TableId) -> impl Iterator<Item = &ClassAdmission> {
         self.gates.iter().filter(move |gate| gate.table == table)
     }
 
@@ -682,13 +682,13 @@
     /// the grace. One that returns comes back at its cold share, never at the weight it left with.
     fn withdrawals(&self, now: Duration) -> Vec<Step> {
         let (holding, newest) = (self.holding(), self.newest());
-        let held = |server: &Server| self.tables.iter().any(|t| t.held(*server) > t.wants(*server));
+        let held = |server: &EndpointId| self.tables.iter().any(|t| t.held(*server) > t.wants(*server));
         let due = self.servers.iter().filter(|(server, known)| match known.kept_out(now, holding) {
             true => known.heard < newest,
             false => known.withdrawn && newest == 0 && !held(server),
         });
         let order =
-            |(server, known): (&Server, &Known)| Order::Withdraw(*server, known.kept_out(now, holding));
+            |(server, known): (&EndpointId, &EndpointState)| Order::Withdraw(*server, known.kept_out(now, holding));
         due.map(|at| Step(DRAINING, order(at))).collect()
     }
 
@@ -728,20 +728,20 @@
         ranked.into_iter().map(|(_, step)| step).collect()
     }
 
-    fn take(&mut self, now: Duration, part: f64, order: Order) -> Option<Decision> {
+    fn take(&mut self, now: Duration, part: f64, order: Order) -> Option<Action> {
         match order {
             Order::Withdraw(server, withdrawn) => {
                 let unheard = Whom::Unbound(self.each, self.servers[&server].heard);
                 self.spend(now, 1, if withdrawn { unheard } else { Whom::Unbound(usize::MAX, 0) }, part)?;
                 let (known, all) = (self.servers.get_mut(&server)?, self.channel.joinings);
                 (known.withdrawn, known.heard) = (withdrawn, if withdrawn { all } else { 0 });
-                Some(Decision::Withdraw { server, withdrawn })
+                Some(Action::Withdraw { server, withdrawn })
             }
             Order::Weigh(index, server) => {
                 self.spend(now, 1, Whom::On(index), part)?;
                 let weight = self.tables[index].wants(server);
                 self.tables[index].lines.insert(server, weight);
-                Some(Decision::Weigh { table: index, server, weight })
+                Some(Action::Weigh { table: index, server, weight })
             }
             Order::Admit(index, share) => {
                 let (table, class) = (self.gates[index].table, self.gates[index].class);
@@ -750,13 +750,13 @@
                 if gate.admitted.replace(share).is_some_and(|before| before != share) {
                     let share = share * 100.0;
                     let text = format!("{}: {share:.0}% in, late by {late:.1} contract times", gate.name);
-                    self.ready.push_back(Decision::Note { about: None, text });
+                    self.ready.push_back(Action::Note { about: None, text });
                 }
-                Some(Decision::Admit { table, class, share, second_try: share >= 1.0 })
+                Some(Action::Admit { table, class, share, second_try: share >= 1.0 })
             }
             Order::Bind(index, proxy) => {
                 let lines = Some(self.tables[index].laid()).filter(|lines| *lines > 0)?;
-                let classes: Vec<Class> = self.gates_of(index).map(|gate| gate.class).collect();
+                let classes: Vec<ClassId> = self.gates_of(index).map(|gate| gate.class).collect();
                 let fresh = self.channel.proxies.get(&proxy).is_some_and(|joined| joined.fresh);
                 // What others withdrew at it, and it keeps to, goes with a line that lets it back.
                 let back = if fresh || !self.terms.flag("fleet.keeps_withdrawals") { 0 } else { lines };
@@ -766,48 +766,48 @@
                     let part = self.tables[index].part;
                     self.uneasy_until[part] = now + self.terms.span("rules.warm_within_us").mul_f64(UNEASY);
                 }
-                Some(Decision::Bind { table: index, classes, proxy })
+                Some(Action::Bind { table: index, classes, proxy })
             }
         }
     }
 
     /// The weights that a table should hold: a pure function of list and numbers.
-    fn desired(&self, now: Duration, index: TableNumber) -> BTreeMap<Server, f64> {
+    fn desired(&self, now: Duration, index: TableId) -> BTreeMap<EndpointId, f64> {
         let table = &self.tables[index];
         // A cold server gets nothing while the fleet is uneasy or a probe of its own fails.
         let uneasy = now < self.uneasy_until[table.part];
         let cold_share = self.terms.number("rules.cold_share").unwrap_or(1.0);
-        let safe = |known: &Known| !uneasy && known.counter.unwrap_or(TOP) == TOP;
-        let warmth = |known: &Known| known.warmth(now, cold_share);
-        let listed = |known: &Known, part: f64| known.listing.weight * grid(warmth(known) * part);
-        let carries = |known: &Known| !known.cold(now) || safe(known);
+        let safe = |known: &EndpointState| !uneasy && known.counter.unwrap_or(TOP) == TOP;
+        let warmth = |known: &EndpointState| known.warmth(now, cold_share);
+        let listed = |known: &EndpointState, part: f64| known.listing.weight * grid(warmth(known) * part);
+        let carries = |known: &EndpointState| !known.cold(now) || safe(known);
         let lanes = &self.tables[self.lanes(table.part)];
-        let needed = |known: &Known| lanes.iter().any(|t| t.narrow() && t.allows(&known.listing));
-        let kept = |known: &Known| if !table.narrow() && needed(known) { table.kept } else { 1.0 };
+        let needed = |known: &EndpointState| lanes.iter().any(|t| t.narrow() && t.allows(&known.listing));
+        let kept = |known: &EndpointState| if !table.narrow() && needed(known) { table.kept } else { 1.0 };
         // Where weights are fixed by the terms, relief only learns what it would do.
         let fixed = self.terms.flag("rules.fixed_weights");
-        let eased = |known: &Known| if fixed { 1.0 } else { known.relief * kept(known) };
+        let eased = |known: &EndpointState| if fixed { 1.0 } else { known.relief * kept(known) };
         // A table that had to be laid early counts on all that are not known to be down.
-        let up = |known: &Known| known.up() || known.counter.is_none() && now < HOLD_LEAST;
+        let up = |known: &EndpointState| known.up() || known.counter.is_none() && now < HOLD_LEAST;
         let members: Vec<_> = self.servers.iter().filter(|(_, known)| self.beside(table, known)).collect();
         // Where many tries fail, or nothing is known of them yet, all may come again at once: a cold one
         // would be pushed over before it tells that it is full.
         let calm = table.failing.is_some_and(|failing| failing <= SOUND);
         // One that tells that it has room takes its share all the same, half where all are late or it is less
         // empty: a part that is uneasy for want of servers would else keep out those that it needs.
-        let grown = |known: &Known| table.failing.is_none() && known.warmth(now, 0.0) >= GROWN;
-        let wary = |known: &Known| match known.load.filter(|_| known.counter == Some(TOP)) {
+        let grown = |known: &EndpointState| table.failing.is_none() && known.warmth(now, 0.0) >= GROWN;
+        let wary = |known: &EndpointState| match known.load.filter(|_| known.counter == Some(TOP)) {
             Some(load) if calm && load < COMFORT && table.late <= LATE => 1.0,
             Some(load) if (calm || grown(known)) && load < BUSY => WARY,
             _ => 0.0,
         };
-        let part = |known: &Known| eased(known) * if carries(known) { 1.0 } else { wary(known) };
-        let full = |known: &Known| listed(known, part(known));
+        let part = |known: &EndpointState| eased(known) * if carries(known) { 1.0 } else { wary(known) };
+        let full = |known: &EndpointState| listed(known, part(known));
         let good = || members.iter().filter(|(_, known)| !known.barred() && full(known) > 0.0);
         let any_up = good().any(|(_, known)| up(known));
         let laid = self.channel.count(Whom::On(index)) > 0;
         let any_held = laid && good().any(|(server, _)| table.held(**server) > 0.0);
-        let weight = |server: &Server, known: &Known, share: f64| match (any_up, any_held) {
+        let weight = |server: &EndpointId, known: &EndpointState, share: f64| match (any_up, any_held) {
             _ if known.barred() => 0.0,
             (true, _) if up(known) => listed(known, part(known) * share),
             (true, _) => 0.0,
@@ -815,7 +815,7 @@
             (false, true) => table.held(*server).min(full(known)),
             (false, false) => listed(known, share),
         };
-        let share = |alone: bool, (server, known): &(&Server, &Known)| match table.shares.get(*server) {
+        let share = |alone: bool, (server, known): &(&EndpointId, &EndpointState)| match table.shares.get(*server) {
             _ if !alone => 1.0,
             Some(planned) => *planned,
             None => f64::from(table.shares.is_empty() && known.part == table.part),
@@ -825,7 +825,7 @@
         let strength = |alone: bool| {
             let of = members.iter().map(|at| (at, share(alone, at))).filter(|(_, share)| *share > 0.0);
             let able = of.clone().filter(|(at, share)| weight(at.0, at.1, *share) > 0.0);
-            let counts = |known: &Known| if carries(known) { 1.0 } else { WARY };
+            let counts = |known: &EndpointState| if carries(known) { 1.0 } else { WARY };
             let sum: f64 = able.map(|(at, share)| listed(at.1, counts(at.1)) * share).sum();
             sum / of.map(|(at, share)| at.1.listing.weight * share).sum::<f64>().max(1e-9)
         };
@@ -836,7 +836,7 @@
         let of = |part: usize| members.iter().filter(move |at| at.1.part == part);
         let sum = |part: usize| of(part).map(|at| weight(at.0, at.1, 1.0)).sum::<f64>();
         let away = if leans { (1.0 / home - 1.0) * sum(table.part) / sum(helper).max(1e-9) } else { 0.0 };
-        let part = |at: &(&Server, &Known)| match share(alone, at) {
+        let part = |at: &(&EndpointId, &EndpointState)| match share(alone, at) {
             0.0 if leans && at.1.part == helper => weight(at.0, at.1, away.min(1.0)),
             0.0 => 0.0,
             share => weight(at.0, at.1, share),
@@ -870,7 +870,7 @@
 
     /// The mean contract time of what comes, in seconds.
     fn contract(&self) -> f64 {
-        let visits = |gate: &Gate| gate.demand + 1e-3;
+        let visits = |gate: &ClassAdmission| gate.demand + 1e-3;
         let sum: f64 = self.gates.iter().map(|gate| visits(gate) * gate.contract).sum();
         sum / self.gates.iter().map(visits).sum::<f64>()
     }
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Term {
+pub enum SettingValue {
     Number(f64),
     Flag(bool),
     Text(String),
@@ -13,12 +13,12 @@
 /// A plain map of names to values. Names of nested values are joined by dots, and the members of
 /// lists are numbered from 0: `classes.0.patience_us`. What was not stated is simply not there.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms(pub BTreeMap<String, Term>);
+pub struct Settings(pub BTreeMap<String, SettingValue>);
 
-impl Terms {
+impl Settings {
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
-            Some(Term::Number(value)) if value.is_finite() => Some(*value),
+            Some(SettingValue::Number(value)) if value.is_finite() => Some(*value),
             _ => None,
         }
     }
@@ -41,13 +41,13 @@
 
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
-            Some(Term::Text(value)) => Some(value),
+            Some(SettingValue::Text(value)) => Some(value),
             _ => None,
         }
     }
 
     pub fn flag(&self, name: &str) -> bool {
-        self.0.get(name) == Some(&Term::Flag(true))
+        self.0.get(name) == Some(&SettingValue::Flag(true))
     }
 
     /// How many members the list of this name has.
--- a/tests/pilot/design.rs
+++ b/tests/pilot/design.rs
@@ -2,14 +2,14 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 
 #[test]
 fn counter_life_sets_probe_intervals_and_weight() {
     let mut stage = Stage::new(2);
     stage.join(0).run_to(6000).quiet().print_probes = true;
-    stage.health[1] = Finding::Refused;
-    stage.run_to(10_000).health[1] = Finding::Passed(None);
+    stage.health[1] = HealthCheckOutcome::Refused;
+    stage.run_to(10_000).health[1] = HealthCheckOutcome::Passed(None);
     let trace = stage.run_to(12_500).said(&["probe 1", "table 0: server 1"]);
     expect![[r#"
         6.6 probe 1
@@ -28,7 +28,7 @@
 #[test]
 fn hold_releases_each_table_once_all_have_a_result() {
     let mut stage = Stage::new(2);
-    stage.health[1] = Finding::Failed;
+    stage.health[1] = HealthCheckOutcome::Failed;
     let trace = stage.join(0).join(1).run_to(5200).said(&[""]);
     expect![[r#"
         5.0 class 1: admit 1 twice
@@ -57,7 +57,7 @@
 #[test]
 fn drain_in_the_hold_reaches_standing_tables_and_late_joiners() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(1000).list(&[state(2, Listed::Draining)]).run_to(2000);
+    stage.join(0).run_to(1000).list(&[state(2, EndpointStatus::Draining)]).run_to(2000);
     let trace = stage.join(1).run_to(3000).said(&["withdraw", "released"]);
     expect![[r#"
         1.0 withdraw 2 true
@@ -70,7 +70,7 @@
 #[test]
 fn standing_tables_that_may_be_all_withdrawn_are_replaced_early() {
     let mut stage = Stage::new(8);
-    stage.join(0).run_to(1000).list(&[0, 2, 4].map(|server| state(server, Listed::Gone)));
+    stage.join(0).run_to(1000).list(&[0, 2, 4].map(|server| state(server, EndpointStatus::Gone)));
     let trace = stage.run_to(1100).said(&["withdraw", "released", "table 0"]);
     expect![[r#"
         1.0 table 0: server 1 1
@@ -87,7 +87,7 @@
 #[test]
 fn last_table_stays_when_all_look_down() {
     let mut stage = Stage::new(2);
-    stage.join(0).run_to(6000).quiet().health.fill(Finding::Refused);
+    stage.join(0).run_to(6000).quiet().health.fill(HealthCheckOutcome::Refused);
     let trace = stage.run_to(12_000).said(&["table 0: server", "withdraw"]);
     expect![[r#"
         7.6 table 0: server 1 0
@@ -116,7 +116,7 @@
 fn hold_gives_way_to_the_grace_when_the_list_had_changed_before() {
     let mut stage = Stage::with(0, &[("rules.drain_grace_us", 2e6)]);
     stage.pilot.listed(ms(0), true, 3, &[ready(0)]);
-    stage.health = vec![Finding::Passed(None)];
+    stage.health = vec![HealthCheckOutcome::Passed(None)];
     let trace = stage.join(0).run_to(2000).said(&["table 0"]);
     expect![[r#"
         0.6 table 0: server 0 1
--- a/tests/pilot/failures.rs
+++ b/tests/pilot/failures.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 
 const WELL: (u32, u32, u64) = (20, 0, 200);
 
@@ -24,7 +24,7 @@
 #[test]
 fn started_server_gets_nothing_while_failures_are_common() {
     let mut stage = Stage::new(3);
-    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, Listed::Gone)]);
+    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Gone)]);
     stage.report_to(12_000, &[(20, 9, 900), (0, 0, 0), (20, 9, 900)]).quiet().list(&[started(1, 500)]);
     let jam = [(20, 9, 900), (0, 0, 0), (20, 9, 900)];
     let trace = stage.report_to(18_000, &jam).said(&["table 0: server 1", "withdraw"]);
@@ -36,7 +36,7 @@
 #[test]
 fn no_withdrawal_ends_before_all_proxies_are_bound() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(1000).list(&[state(1, Listed::Gone)]).run_to(2000).list(&[started(1, 500)]);
+    stage.join(0).run_to(1000).list(&[state(1, EndpointStatus::Gone)]).run_to(2000).list(&[started(1, 500)]);
     let trace = stage.run_to(5400).said(&["withdraw", "table 0: bind", "table 0: server 1"]);
     expect![[r#"
         1.0 withdraw 1 true
@@ -51,7 +51,7 @@
 #[test]
 fn table_laid_early_holds_all_that_are_not_known_to_be_down() {
     let mut stage = Stage::new(8);
-    stage.list(&[0, 2, 4, 6].map(|server| state(server, Listed::Gone))).join(0).health.fill(Finding::Failed);
+    stage.list(&[0, 2, 4, 6].map(|server| state(server, EndpointStatus::Gone))).join(0).health.fill(HealthCheckOutcome::Failed);
     let trace = stage.run_to(100).said(&["table 0"]);
     expect![[r#"
         0.0 table 0: server 1 1
@@ -67,7 +67,7 @@
 #[test]
 fn server_that_answers_proxies_outlives_failing_probes() {
     let mut stage = Stage::new(3);
-    stage.join(0).report_to(8000, &[WELL; 3]).quiet().health[1] = Finding::Failed;
+    stage.join(0).report_to(8000, &[WELL; 3]).quiet().health[1] = HealthCheckOutcome::Failed;
     let trace = stage.report_to(14_000, &[WELL; 3]).said(&["server 1"]);
     expect![[""]].assert_eq(&trace);
     // Once reports stop, the probes decide.
@@ -143,7 +143,7 @@
     for proxy in 0..6 {
         stage.join(proxy);
     }
-    let trace = stage.run_to(6500).list(&[state(3, Listed::Draining)]).run_to(12_000);
+    let trace = stage.run_to(6500).list(&[state(3, EndpointStatus::Draining)]).run_to(12_000);
     let trace = trace.said(&["bind", "with", "server 3"]);
     expect![[r#"
         6.0 table 0: bind proxy 0
@@ -162,7 +162,7 @@
 #[test]
 fn stream_that_breaks_during_a_drain_is_told_again() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(6000).quiet().list(&[state(2, Listed::Draining)]).run_to(6010).pilot.left(0);
+    stage.join(0).run_to(6000).quiet().list(&[state(2, EndpointStatus::Draining)]).run_to(6010).pilot.left(0);
     let trace = stage.run_to(7000).join(0).run_to(7500).said(&["withdraw", "bind", "server 2"]);
     expect![[r#"
         6.0 table 0: server 2 0
@@ -176,16 +176,16 @@
 #[test]
 fn odd_news_changes_nothing() {
     let mut stage = Stage::new(2);
-    stage.join(0).run_to(6000).list(&[state(1, Listed::Gone)]).run_to(7000).quiet();
+    stage.join(0).run_to(6000).list(&[state(1, EndpointStatus::Gone)]).run_to(7000).quiet();
     let now = stage.now;
     stage.pilot.reported(now, 9, 5, 5, ms(10));
     stage.pilot.reported(now, 1, 5, 9, ms(10));
-    stage.pilot.probed(now, 9, Finding::Refused, ms(1));
-    stage.pilot.probed(now, 1, Finding::Refused, ms(1));
-    stage.pilot.probed(now, 0, Finding::Refused, ms(900));
+    stage.pilot.probed(now, 9, HealthCheckOutcome::Refused, ms(1));
+    stage.pilot.probed(now, 1, HealthCheckOutcome::Refused, ms(1));
+    stage.pilot.probed(now, 0, HealthCheckOutcome::Refused, ms(900));
     stage.pilot.counted(9, 9, 5);
     stage.pilot.left(9);
-    let trace = stage.list(&[ready(0), ready(0), state(1, Listed::Gone)]).run_to(8000).said(&[""]);
+    let trace = stage.list(&[ready(0), ready(0), state(1, EndpointStatus::Gone)]).run_to(8000).said(&[""]);
     expect![""].assert_eq(&trace);
 }
 
@@ -210,8 +210,8 @@
 fn answered_probe_leaves_no_time_out_behind() {
     let mut stage = Stage::new(2);
     stage.answers_after = 90;
-    stage.join(0).run_to(6000).quiet().health[1] = Finding::Refused;
-    stage.run_to(6800).health[1] = Finding::Passed(None);
+    stage.join(0).run_to(6000).quiet().health[1] = HealthCheckOutcome::Refused;
+    stage.run_to(6800).health[1] = HealthCheckOutcome::Passed(None);
     let trace = stage.run_to(14_000).said(&["table 0: server"]);
     expect![[""]].assert_eq(&trace);
 }
@@ -220,8 +220,8 @@
 #[test]
 fn load_told_to_probes_relieves_and_sheds_before_reports_are_late() {
     let mut stage = Stage::new(3);
-    stage.join(0).report_to(8000, &[WELL; 3]).quiet().health[1] = Finding::Passed(Some(0.99));
-    stage.report_to(10_100, &[WELL; 3]).health.fill(Finding::Passed(Some(0.99)));
+    stage.join(0).report_to(8000, &[WELL; 3]).quiet().health[1] = HealthCheckOutcome::Passed(Some(0.99));
+    stage.report_to(10_100, &[WELL; 3]).health.fill(HealthCheckOutcome::Passed(Some(0.99)));
     let trace = stage.report_to(11_100, &[WELL; 3]).said(&["table 0: server", "class 1: admit"]);
     expect![[r#"
         9.0 table 0: server 1 0.7
@@ -284,7 +284,7 @@
 #[test]
 fn lateness_of_idle_servers_closes_nothing() {
     let mut stage = Stage::new(3);
-    stage.health.fill(Finding::Passed(Some(0.3)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.3)));
     let trace = stage.join(0).report_to(8000, &[WELL; 3]).quiet().report_to(14_000, &[(20, 0, 900); 3]);
     expect![""].assert_eq(&trace.said(&["admit"]));
 }
@@ -294,9 +294,9 @@
 #[test]
 fn levels_come_back_by_what_servers_tell_of_their_load() {
     let mut stage = Stage::new(3);
-    stage.health.fill(Finding::Passed(Some(0.99)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.99)));
     stage.join(0).report_to(8000, &[WELL; 3]).report_to(12_000, &[(20, 0, 900); 3]).quiet();
-    stage.health.fill(Finding::Passed(Some(0.6)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.6)));
     let trace = stage.report_to(20_000, &[(20, 0, 500); 3]).said(&["admit"]);
     expect![[r#"
         14.0 class 1: admit 0.45
@@ -311,14 +311,14 @@
     .assert_eq(&trace);
 }
 
-/// Server 1 is replaced while the two others are in a jam; what it has then.
+/// Endpoint 1 is replaced while the two others are in a jam; what it has then.
 fn replaced(load: Option<f64>, failed: u32) -> (Stage, String) {
     let mut stage = Stage::new(3);
     let jam = [(20, failed, 900), (0, 0, 0), (20, failed, 900)];
-    stage.health.fill(Finding::Passed(Some(0.99)));
-    stage.health[1] = Finding::Passed(Some(0.4));
-    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, Listed::Gone)]);
-    stage.report_to(12_000, &jam).quiet().health[1] = Finding::Passed(load);
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.99)));
+    stage.health[1] = HealthCheckOutcome::Passed(Some(0.4));
+    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Gone)]);
+    stage.report_to(12_000, &jam).quiet().health[1] = HealthCheckOutcome::Passed(load);
     let trace = stage.list(&[started(1, 0)]).report_to(12_700, &jam).said(&["table 0: server 1"]);
     (stage, trace)
 }
@@ -344,7 +344,7 @@
 fn cold_server_that_tells_room_has_half_its_share_while_its_part_is_late() {
     let (mut stage, late) = replaced(Some(0.1), 0);
     assert_eq!(late, "12.2 table 0: server 1 0.1\n");
-    stage.health.fill(Finding::Passed(Some(0.4)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.4)));
     let uneasy = stage.quiet().report_to(17_000, &[WELL; 3]).said(&["table 0: server 1"]);
     expect![[r#"
         12.8 table 0: server 1 0.15
@@ -362,7 +362,7 @@
 #[test]
 fn cold_server_of_a_part_that_is_not_heard_comes_in_half_warm() {
     let mut stage = Stage::new(3);
-    stage.health.fill(Finding::Passed(Some(0.1)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.1)));
     stage.join(0).run_to(8000).quiet().list(&[started(1, 0)]);
     let trace = stage.run_to(15_000).said(&["table 0: server 1"]);
     expect![[r#"
@@ -381,7 +381,7 @@
 fn cold_server_stays_out_where_tries_fail_or_probes_are_turned_away() {
     assert_eq!(replaced(Some(0.1), 10).1, "");
     let mut stage = replaced(Some(0.1), 0).0;
-    stage.quiet().health[1] = Finding::TurnedAway;
+    stage.quiet().health[1] = HealthCheckOutcome::TurnedAway;
     let trace = stage.run_to(13_500).said(&["table 0: server 1"]);
     expect![[r#"
         12.8 table 0: server 1 0.15
@@ -395,14 +395,14 @@
 #[test]
 fn full_zone_leans_on_the_one_beside_it() {
     let mut stage = Stage::with(4, &[("solver.by_zone", 0.0)]);
-    stage.health.fill(Finding::Passed(Some(0.4)));
+    stage.health.fill(HealthCheckOutcome::Passed(Some(0.4)));
     stage.join(0).join(1).report_to(8000, &[WELL; 4]).quiet();
     for server in [0, 2] {
-        stage.health[server] = Finding::Passed(Some(0.98));
+        stage.health[server] = HealthCheckOutcome::Passed(Some(0.98));
     }
     stage.report_to(11_000, &[WELL; 4]);
     for server in [0, 2] {
-        stage.health[server] = Finding::Passed(Some(0.5));
+        stage.health[server] = HealthCheckOutcome::Passed(Some(0.5));
     }
     let trace = stage.report_to(16_000, &[WELL; 4]).said(&["table"]);
     expect![[r#"
@@ -454,7 +454,7 @@
     for proxy in 0..9 {
         stage.join(2 * proxy);
     }
-    stage.run_to(8000).quiet().list(&[0, 2, 4, 6, 8, 10].map(|server| state(server, Listed::Gone)));
+    stage.run_to(8000).quiet().list(&[0, 2, 4, 6, 8, 10].map(|server| state(server, EndpointStatus::Gone)));
     let trace = stage.run_to(8100).said(&["table 2"]);
     expect![[r#"
         8.0 table 2: server 2 0
@@ -482,7 +482,7 @@
     stage.report_to(9000, &[WELL; 24]);
     let late: Vec<_> = (0..24).map(|server| if server % 2 == 0 { (20, 0, 900) } else { WELL }).collect();
     stage.report_to(16_000, &late).quiet();
-    let gone: Vec<_> = (12..24).map(|server| state(server, Listed::Gone)).collect();
+    let gone: Vec<_> = (12..24).map(|server| state(server, EndpointStatus::Gone)).collect();
     let trace = stage.list(&gone).run_to(16_300).said(&["server"]);
     assert_eq!(trace.lines().filter(|line| line.ends_with(" 0")).count(), 12, "{trace}");
 }
@@ -501,7 +501,7 @@
     let mut stage = Stage::with(24, &few);
     stage.join(0).report_to(8000, &[WELL; 24]);
     for server in 4..24 {
-        stage.list(&[state(server, Listed::Draining)]).run_to(7000 + server as u64 * 250 + 250);
+        stage.list(&[state(server, EndpointStatus::Draining)]).run_to(7000 + server as u64 * 250 + 250);
     }
     stage.quiet();
     let late = [(20, 0, 900), WELL, WELL, WELL];
@@ -517,7 +517,7 @@
 #[test]
 fn all_that_drained_in_the_hold_come_back() {
     let mut stage = Stage::new(3);
-    stage.join(0).run_to(4000).list(&[0, 1, 2].map(|server| state(server, Listed::Draining))).run_to(4100);
+    stage.join(0).run_to(4000).list(&[0, 1, 2].map(|server| state(server, EndpointStatus::Draining))).run_to(4100);
     stage.quiet().list(&[0, 1, 2].map(ready));
     let trace = stage.run_to(6000).said(&["table", "withdraw"]);
     expect![[r#"
@@ -537,7 +537,7 @@
 #[test]
 fn a_join_does_not_lose_the_end_of_a_withdrawal() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(1000).list(&[state(2, Listed::Draining)]).run_to(2000);
+    stage.join(0).run_to(1000).list(&[state(2, EndpointStatus::Draining)]).run_to(2000);
     stage.join(1).list(&[ready(2)]);
     let trace = stage.run_to(7000).said(&["withdraw"]);
     expect![[r#"
--- a/tests/pilot/herds.rs
+++ b/tests/pilot/herds.rs
@@ -1,6 +1,6 @@
 //! Many proxies that join within moments.
 
-use lockcroft::{Decision, Finding, Listed};
+use lockcroft::{Action, HealthCheckOutcome, EndpointStatus};
 
 use crate::stage::{Stage, ms, state};
 
@@ -14,10 +14,10 @@
     (0..60).for_each(|proxy| {
         stage.join(proxy);
     });
-    stage.run_to(8000).health.resize(110, Finding::Passed(None));
+    stage.run_to(8000).health.resize(110, HealthCheckOutcome::Passed(None));
     // 50 are replaced by as many new ones.
-    let new: Vec<_> = (60..110).map(|server| state(server, Listed::Ready)).collect();
-    let gone: Vec<_> = (0..50).map(|server| state(server, Listed::Gone)).collect();
+    let new: Vec<_> = (60..110).map(|server| state(server, EndpointStatus::Ready)).collect();
+    let gone: Vec<_> = (0..50).map(|server| state(server, EndpointStatus::Gone)).collect();
     stage.list(&new).run_to(12_000).list(&gone).run_to(16_000).quiet();
     let mut bound = Vec::new();
     for proxy in 100..160 {
@@ -42,12 +42,12 @@
 #[test]
 fn a_withdrawal_that_all_have_heard_is_not_told_again() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(1000).list(&[state(2, Listed::Draining)]).run_to(2000).quiet();
+    stage.join(0).run_to(1000).list(&[state(2, EndpointStatus::Draining)]).run_to(2000).quiet();
     stage.run_to(2400);
     let told = |stage: &mut Stage| {
         let mut told = 0;
         while let Some(decision) = stage.pilot.next_decision(stage.now) {
-            told += usize::from(matches!(decision, Decision::Withdraw { .. }));
+            told += usize::from(matches!(decision, Action::Withdraw { .. }));
         }
         told
     };
--- a/tests/pilot/plans.rs
+++ b/tests/pilot/plans.rs
@@ -4,7 +4,7 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::Finding;
+use lockcroft::HealthCheckOutcome;
 
 /// Four servers, two a zone, and a proxy in each zone.
 fn by_zone() -> Stage {
@@ -47,7 +47,7 @@
     let mut stage = by_zone();
     stage.pilot.apportioned(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
     stage.run_to(7000).quiet();
-    (stage.health[0], stage.health[2]) = (Finding::Refused, Finding::Refused);
+    (stage.health[0], stage.health[2]) = (HealthCheckOutcome::Refused, HealthCheckOutcome::Refused);
     let trace = stage.run_to(10_000).said(&["table 0"]);
     expect![[r#"
         8.8 table 0: server 3 1
@@ -56,7 +56,7 @@
         8.8 table 0: server 2 0
     "#]]
     .assert_eq(&trace);
-    (stage.health[0], stage.health[2]) = (Finding::Passed(None), Finding::Passed(None));
+    (stage.health[0], stage.health[2]) = (HealthCheckOutcome::Passed(None), HealthCheckOutcome::Passed(None));
     let trace = stage.quiet().run_to(16_000).said(&["table 0"]);
     expect![[r#"
         11.6 table 0: server 2 1
@@ -73,7 +73,7 @@
     let mut stage = by_zone();
     stage.pilot.apportioned(0, BTreeMap::from([(0, 1.0), (2, 0.02)]));
     stage.run_to(7000).quiet();
-    stage.health[0] = Finding::Refused;
+    stage.health[0] = HealthCheckOutcome::Refused;
     let trace = stage.run_to(10_000).said(&["table 0"]);
     expect![[r#"
         8.8 table 0: server 1 1
--- a/tests/pilot/probes.rs
+++ b/tests/pilot/probes.rs
@@ -1,6 +1,6 @@
 //! Probes that end at the instant of their answer, or after it.
 
-use lockcroft::{Finding, Server};
+use lockcroft::{HealthCheckOutcome, EndpointId};
 
 use crate::stage::{Stage, ms};
 
@@ -8,7 +8,7 @@
 fn sent() -> Stage {
     let mut stage = Stage::new(4);
     stage.run_to(8000);
-    stage.health[0] = Finding::Failed;
+    stage.health[0] = HealthCheckOutcome::Failed;
     let before = out(&stage);
     while out(&stage).is_none() || out(&stage) == before {
         let next = stage.pilot.next_due().as_millis() as u64 + 1;
@@ -19,11 +19,11 @@
 
 /// When the probe that is out went.
 fn out(stage: &Stage) -> Option<std::time::Duration> {
-    stage.pilot.beliefs().0[&(0 as Server)].probe_sent
+    stage.pilot.beliefs().0[&(0 as EndpointId)].probe_sent
 }
 
 fn counter(stage: &Stage) -> Option<u32> {
-    stage.pilot.beliefs().0[&(0 as Server)].counter
+    stage.pilot.beliefs().0[&(0 as EndpointId)].counter
 }
 
 /// A probe that is lost may be followed by the next at once. An answer to the first that comes then, in time
@@ -42,7 +42,7 @@
         second = out(&stage);
     }
     let before = counter(&stage);
-    stage.pilot.probed(stage.now, 0, Finding::Refused, ms(499));
+    stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Refused, ms(499));
     assert_eq!((out(&stage), counter(&stage)), (second, before));
 }
 
@@ -54,11 +54,11 @@
             let mut stage = sent();
             stage.now = out(&stage).expect("one is out") + ms(500);
             if answer_first {
-                stage.pilot.probed(stage.now, 0, Finding::Passed(None), ms(took));
+                stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
             }
             let decisions = std::iter::from_fn(|| stage.pilot.next_decision(stage.now)).count();
             if !answer_first {
-                stage.pilot.probed(stage.now, 0, Finding::Passed(None), ms(took));
+                stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
             }
             (counter(&stage), out(&stage), decisions)
         });
--- a/tests/pilot/recorded.rs
+++ b/tests/pilot/recorded.rs
@@ -4,7 +4,7 @@
 
 use crate::stage::*;
 use expect_test::expect_file;
-use lockcroft::{Finding, Listed};
+use lockcroft::{HealthCheckOutcome, EndpointStatus};
 
 /// A fixed sequence of numbers, the same at every run on every machine.
 struct Script(u64);
@@ -31,19 +31,19 @@
         stage.run_to(now);
         let server = script.server(servers);
         match script.below(12) {
-            0 => stage.health[server] = Finding::Refused,
-            1 => stage.health[server] = Finding::Failed,
-            2 => stage.health[server] = Finding::TurnedAway,
-            3..6 => stage.health[server] = Finding::Passed(Some(script.below(100) as f64 / 100.0)),
+            0 => stage.health[server] = HealthCheckOutcome::Refused,
+            1 => stage.health[server] = HealthCheckOutcome::Failed,
+            2 => stage.health[server] = HealthCheckOutcome::TurnedAway,
+            3..6 => stage.health[server] = HealthCheckOutcome::Passed(Some(script.below(100) as f64 / 100.0)),
             _ => {}
         }
         let server = script.server(servers);
         match script.below(16) {
             0 => {
-                stage.list(&[state(server, Listed::Draining)]);
+                stage.list(&[state(server, EndpointStatus::Draining)]);
             }
             1 => {
-                stage.list(&[state(server, Listed::Gone)]);
+                stage.list(&[state(server, EndpointStatus::Gone)]);
             }
             2 => {
                 stage.list(&[started(server, script.below(2000))]);
--- a/tests/pilot/stage.rs
+++ b/tests/pilot/stage.rs
@@ -3,29 +3,29 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lockcroft::{Decision, Finding, Listed, Listing, Pilot, Server, Term, Terms};
+use lockcroft::{Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, Controller, EndpointId, SettingValue, Settings};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-pub fn ready(server: Server) -> Listing {
-    Listing { server, zone: server % 2, weight: 1.0, ..Listing::default() }
+pub fn ready(server: EndpointId) -> EndpointRecord {
+    EndpointRecord { server, zone: server % 2, weight: 1.0, ..EndpointRecord::default() }
 }
 
-pub fn state(server: Server, state: Listed) -> Listing {
-    Listing { state, ..ready(server) }
+pub fn state(server: EndpointId, state: EndpointStatus) -> EndpointRecord {
+    EndpointRecord { state, ..ready(server) }
 }
 
-pub fn started(server: Server, millis_ago: u64) -> Listing {
-    Listing { age: Some(ms(millis_ago)), ..ready(server) }
+pub fn started(server: EndpointId, millis_ago: u64) -> EndpointRecord {
+    EndpointRecord { age: Some(ms(millis_ago)), ..ready(server) }
 }
 
 pub struct Stage {
-    pub pilot: Pilot,
+    pub pilot: Controller,
     pub now: Duration,
     /// How the next probes of a server end.
-    pub health: Vec<Finding>,
+    pub health: Vec<HealthCheckOutcome>,
     /// Probes are left out of the trace unless wanted.
     pub print_probes: bool,
     pub trace: String,
@@ -49,19 +49,19 @@
     }
 
     pub fn with(servers: usize, more: &[(&str, f64)]) -> Self {
-        let mut terms = Terms::default();
+        let mut terms = Settings::default();
         let mut put = |name: &str, term| terms.0.insert(name.to_string(), term);
         for (i, name) in ["north", "south"].into_iter().enumerate() {
-            put(&format!("zones.{i}"), Term::Text(name.into()));
+            put(&format!("zones.{i}"), SettingValue::Text(name.into()));
         }
         for (i, (name, contract, earnings)) in
             [("look", 1.0, 3.0), ("book", 2.0, 1.0)].into_iter().enumerate()
         {
-            put(&format!("classes.{i}.name"), Term::Text(name.into()));
-            put(&format!("classes.{i}.contract_time_us"), Term::Number(contract * 1e6));
-            put(&format!("classes.{i}.earnings"), Term::Number(earnings));
+            put(&format!("classes.{i}.name"), SettingValue::Text(name.into()));
+            put(&format!("classes.{i}.contract_time_us"), SettingValue::Number(contract * 1e6));
+            put(&format!("classes.{i}.earnings"), SettingValue::Number(earnings));
         }
-        put("allowed.probes", Term::Flag(true));
+        put("allowed.probes", SettingValue::Flag(true));
         let figures = [
             ("rules.cold_share", 0.2),
             ("rules.warm_within_us", 10e6),
@@ -74,43 +74,43 @@
         ];
         for (name, value) in figures.iter().chain(more) {
             let term = match name.rsplit('.').next() {
-                Some("by_zone" | "fixed_weights") => Term::Flag(true),
-                Some("probes") => Term::Flag(*value > 0.0),
-                _ if name.contains("only_zones") => Term::Text("north".into()),
-                _ => Term::Number(*value),
+                Some("by_zone" | "fixed_weights") => SettingValue::Flag(true),
+                Some("probes") => SettingValue::Flag(*value > 0.0),
+                _ if name.contains("only_zones") => SettingValue::Text("north".into()),
+                _ => SettingValue::Number(*value),
             };
             put(name, term);
         }
-        let mut pilot = Pilot::new(terms, 7);
+        let mut pilot = Controller::new(terms, 7);
         let listings: Vec<_> = (0..servers).map(ready).collect();
         pilot.listed(ms(0), true, 0, &listings);
-        let health = vec![Finding::Passed(None); servers];
+        let health = vec![HealthCheckOutcome::Passed(None); servers];
         Stage { pilot, now: ms(0), health, print_probes: false, trace: String::new(), answers_after: 5 }
     }
 
     /// Pulls decisions until there is none; every probe ends a little later as its server's health says,
     /// a failed one by not ending at all.
-    fn pull(&mut self) -> Vec<Server> {
+    fn pull(&mut self) -> Vec<EndpointId> {
         let mut probes = Vec::new();
         while let Some(decision) = self.pilot.next_decision(self.now) {
             let at = self.now.as_secs_f64();
             let text = match &decision {
-                Decision::Probe(server) => format!("probe {server}"),
-                Decision::Weigh { table, server, weight } => {
+                Action::Probe(server) => format!("probe {server}"),
+                Action::Weigh { table, server, weight } => {
                     format!("table {table}: server {server} {weight}")
                 }
-                Decision::Bind { table, proxy, .. } => format!("table {table}: bind proxy {proxy}"),
-                Decision::Withdraw { server, withdrawn } => format!("withdraw {server} {withdrawn}"),
-                Decision::Admit { class, share, second_try, .. } => {
+                Action::Bind { table, proxy, .. } => format!("table {table}: bind proxy {proxy}"),
+                Action::Withdraw { server, withdrawn } => format!("withdraw {server} {withdrawn}"),
+                Action::Admit { class, share, second_try, .. } => {
                     format!("class {class}: admit {share}{}", if *second_try { " twice" } else { "" })
                 }
-                Decision::Note { about: Some(server), text } => format!("# {server} {text}"),
-                Decision::Note { about: None, text } => format!("# {text}"),
+                Action::Note { about: Some(server), text } => format!("# {server} {text}"),
+                Action::Note { about: None, text } => format!("# {text}"),
             };
-            if let Decision::Probe(server) = decision {
+            if let Action::Probe(server) = decision {
                 probes.push(server);
             }
-            if self.print_probes || !matches!(decision, Decision::Probe(_)) {
+            if self.print_probes || !matches!(decision, Action::Probe(_)) {
                 writeln!(self.trace, "{at:.1} {text}").expect("a string takes all");
             }
         }
@@ -119,7 +119,7 @@
 
     pub fn run_to(&mut self, millis: u64) -> &mut Self {
         let end = ms(millis);
-        let mut ends: Vec<(Duration, Server)> = Vec::new();
+        let mut ends: Vec<(Duration, EndpointId)> = Vec::new();
         loop {
             let sent = self.now + ms(self.answers_after);
             ends.extend(self.pull().into_iter().map(|server| (sent, server)));
@@ -131,7 +131,7 @@
             self.now = next;
             while ends.first().is_some_and(|(time, _)| *time <= next) {
                 let (_, server) = ends.remove(0);
-                if self.health[server] != Finding::Failed {
+                if self.health[server] != HealthCheckOutcome::Failed {
                     self.pilot.probed(next, server, self.health[server], ms(self.answers_after));
                 }
             }
@@ -145,7 +145,7 @@
         self
     }
 
-    pub fn list(&mut self, entries: &[Listing]) -> &mut Self {
+    pub fn list(&mut self, entries: &[EndpointRecord]) -> &mut Self {
         self.pilot.listed(self.now, false, 1, entries);
         self
     }
--- a/tests/pilot/unprobed.rs
+++ b/tests/pilot/unprobed.rs
@@ -1,6 +1,6 @@
 //! Deployments that allow no probes: health rests on the list and on reports.
 
-use lockcroft::Listed;
+use lockcroft::EndpointStatus;
 
 use crate::stage::{Stage, state};
 
@@ -50,6 +50,6 @@
 fn drains_and_starts_rest_on_the_list() {
     let mut stage = stage();
     stage.run_to(8000).quiet();
-    stage.list(&[state(2, Listed::Draining)]).run_to(8500);
+    stage.list(&[state(2, EndpointStatus::Draining)]).run_to(8500);
     assert!(stage.said(&["server 2"]).contains("8.0 table 0: server 2 0"));
 }
