--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use lockcroft_config::{Faults, Post};
+use lockcroft_config::{ConfigErrors, DaemonConfig};
 use lockcroft_proxy::ProxyPost;
-use lockcroft_runtime_api::{Address, ask};
+use lockcroft_runtime_api::{Address, request};
 use serde_json::json;
 
 /// Publishes weights and tables of servers to a fleet of plain proxies.
@@ -100,8 +100,8 @@
     }
 }
 
-fn open(file: &std::path::Path, json: bool) -> Result<Post, ExitCode> {
-    Post::open(file).map_err(|faults| {
+fn open(file: &std::path::Path, json: bool) -> Result<DaemonConfig, ExitCode> {
+    DaemonConfig::open(file).map_err(|faults| {
         if json {
             println!("{}", faults_json(&faults))
         } else {
@@ -111,8 +111,8 @@
     })
 }
 
-pub(crate) fn faults_json(faults: &Faults) -> serde_json::Value {
-    let fault = |fault: &lockcroft_config::Fault| {
+pub(crate) fn faults_json(faults: &ConfigErrors) -> serde_json::Value {
+    let fault = |fault: &lockcroft_config::ConfigError| {
         json!({"file": fault.file, "line": fault.line, "element": fault.element, "wrong": fault.wrong,
             "allowed": fault.allowed})
     };
@@ -170,7 +170,7 @@
     let line = command.join(" ");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let asked = match (runtime, Duration::try_from_secs_f64(within)) {
-        (Ok(runtime), Ok(within)) => runtime.block_on(ask(address, &line, within)).map_err(|e| e.to_string()),
+        (Ok(runtime), Ok(within)) => runtime.block_on(request(address, &line, within)).map_err(|e| e.to_string()),
         (Err(error), _) => Err(error.to_string()),
         (_, Err(error)) => Err(format!("--within: {error}")),
     };
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lockcroft_config::LogTerms;
+use lockcroft_config::LogConfig;
 use lockcroft_platform::io;
 use serde_json::json;
 
@@ -44,7 +44,7 @@
         if self.check {
             return ExitCode::SUCCESS;
         }
-        let logs = lockcroft_daemon::start_logs(&LogTerms { levels: Some(self.log), json: false });
+        let logs = lockcroft_daemon::start_logs(&LogConfig { levels: Some(self.log), json: false });
         match logs.and_then(|_logs| io::serve(&path, config)) {
             Ok(()) => ExitCode::SUCCESS,
             Err(fault) => {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -13,7 +13,7 @@
 
 /// One thing wrong with a file: where, what, and what is allowed there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: PathBuf,
     /// From 1; 0 where the file as a whole is meant.
     pub line: u32,
@@ -23,7 +23,7 @@
     pub allowed: Option<String>,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         write!(out, "{}:{}: ", self.file.display(), self.line)?;
         if !self.element.is_empty() {
@@ -36,16 +36,16 @@
 
 /// All that is wrong with a file, in the order of its lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Fault::to_string).collect();
+        let lines: Vec<String> = self.0.iter().map(ConfigError::to_string).collect();
         out.write_str(&lines.join("\n"))
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
 
 /// A file's text together with its name and the schema that it is held against.
 pub struct Document {
@@ -59,17 +59,17 @@
 impl Document {
     /// # Errors
     /// The file can't be read, is no XML, or breaks the schema.
-    pub fn open(file: &Path, schema: &'static str) -> Result<Self, Faults> {
+    pub fn open(file: &Path, schema: &'static str) -> Result<Self, ConfigErrors> {
         let text = std::fs::read_to_string(file).map_err(|e| {
             let wrong = format!("cannot be read: {e}");
-            Faults(vec![Fault { file: file.into(), line: 0, element: String::new(), wrong, allowed: None }])
+            ConfigErrors(vec![ConfigError { file: file.into(), line: 0, element: String::new(), wrong, allowed: None }])
         })?;
         Document::new(file, text, schema)
     }
 
     /// # Errors
     /// The text is no XML or breaks the schema.
-    pub fn new(file: &Path, text: String, schema: &'static str) -> Result<Self, Faults> {
+    pub fn new(file: &Path, text: String, schema: &'static str) -> Result<Self, ConfigErrors> {
         let document = Document { file: file.into(), text, schema, declared: Schema::new(schema) };
         document.check().map(|()| document)
     }
@@ -98,8 +98,8 @@
     }
 
     /// A fault that no schema can see, at this element.
-    pub fn fault(&self, node: Node, wrong: impl Into<String>, allowed: Option<&str>) -> Fault {
-        Fault {
+    pub fn fault(&self, node: Node, wrong: impl Into<String>, allowed: Option<&str>) -> ConfigError {
+        ConfigError {
             file: self.file.clone(),
             line: node.document().text_pos_at(node.range().start).row,
             element: format!("/{}", names(node).join("/")),
@@ -108,10 +108,10 @@
         }
     }
 
-    fn check(&self) -> Result<(), Faults> {
+    fn check(&self) -> Result<(), ConfigErrors> {
         let tree = roxmltree::Document::parse(&self.text).map_err(|e| {
             let (line, wrong) = (e.pos().row, format!("not well-formed: {e}"));
-            Faults(vec![Fault {
+            ConfigErrors(vec![ConfigError {
                 file: self.file.clone(),
                 line,
                 element: String::new(),
@@ -128,17 +128,17 @@
         let mut run = validator.start_run(sink);
         let driven = drive_quick_xml(self.text.as_bytes(), &mut run, &set);
         drop(run);
-        let mut faults: Vec<Fault> = errors.iter().map(|error| self.explain(&tree, error)).collect();
+        let mut faults: Vec<ConfigError> = errors.iter().map(|error| self.explain(&tree, error)).collect();
         if let Err(error) = driven {
             faults.push(self.fault(tree.root_element(), error.to_string(), None));
         }
         // What stands inside an unknown element is unknown as well; one message is enough.
         faults.dedup_by(|b, a| a.line == b.line && b.wrong.contains("is not declared"));
         faults.sort_by_key(|fault| fault.line);
-        if faults.is_empty() { Ok(()) } else { Err(Faults(faults)) }
+        if faults.is_empty() { Ok(()) } else { Err(ConfigErrors(faults)) }
     }
 
-    fn explain(&self, tree: &roxmltree::Document, error: &ValidationError) -> Fault {
+    fn explain(&self, tree: &roxmltree::Document, error: &ValidationError) -> ConfigError {
         let schema = &self.declared;
         let path = error.instance_path().map(ToString::to_string).unwrap_or_default();
         let (node, attribute) = locate(tree, &path);
@@ -161,7 +161,7 @@
         };
         let element = format!("/{}", names.join("/"));
         let line = tree.text_pos_at(node.range().start).row;
-        Fault { file: self.file.clone(), line, element, wrong, allowed }
+        ConfigError { file: self.file.clone(), line, element, wrong, allowed }
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,10 +8,10 @@
 mod schema;
 mod values;
 
-pub use document::{Document, Fault, Faults};
-pub use post::{Door, FilesAt, LogTerms, Post, ProxyAt, RosterAt};
-pub use roster::{Entry, Roster};
-pub use values::span;
+pub use document::{Document, ConfigError, ConfigErrors};
+pub use post::{ListenerConfig, TableFilesConfig, LogConfig, DaemonConfig, ProxyConfig, EndpointListSource};
+pub use roster::{EndpointEntry, EndpointList};
+pub use values::parse_duration;
 
 /// The schema of the settings and of rosters, as published with the program.
 pub const SCHEMA: &str = include_str!("../lockcroft.xsd");
--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -5,29 +5,29 @@
 use std::time::Duration;
 
 use lockcroft::{SettingValue, Settings, ZoneId};
-use lockcroft_host::Places;
+use lockcroft_host::NameIndex;
 use lockcroft_runtime_api::{Address, Level};
 use roxmltree::Node;
 
-use crate::document::{Document, Fault, Faults};
-use crate::roster::Roster;
-use crate::values::span;
+use crate::document::{Document, ConfigError, ConfigErrors};
+use crate::roster::EndpointList;
+use crate::values::parse_duration;
 
 /// A pilot's post: the terms its decisions read, and where its sockets stand.
 #[derive(Clone, Debug)]
-pub struct Post {
+pub struct DaemonConfig {
     pub file: PathBuf,
     pub name: String,
     pub seed: u64,
     /// Under the names that the decisions read, times in microseconds.
     pub terms: Settings,
-    pub places: Places,
-    pub doors: Vec<Door>,
-    pub proxies: Vec<ProxyAt>,
-    pub roster: RosterAt,
-    pub log: LogTerms,
+    pub places: NameIndex,
+    pub doors: Vec<ListenerConfig>,
+    pub proxies: Vec<ProxyConfig>,
+    pub roster: EndpointListSource,
+    pub log: LogConfig,
     /// The folder for proxies that read files.
-    pub files: Option<FilesAt>,
+    pub files: Option<TableFilesConfig>,
     /// The folder in which what was learned is kept across restarts.
     pub memory: Option<PathBuf>,
     /// A command that a proxy leaves unanswered for so long breaks its stream.
@@ -38,14 +38,14 @@
 
 /// A socket of the pilot's own runtime API.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Door {
+pub struct ListenerConfig {
     pub address: Address,
     pub level: Level,
 }
 
 /// A proxy that the pilot steers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProxyAt {
+pub struct ProxyConfig {
     pub name: String,
     pub zone: ZoneId,
     pub address: Address,
@@ -57,7 +57,7 @@
 
 /// Where tables are written as files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FilesAt {
+pub struct TableFilesConfig {
     pub folder: PathBuf,
     /// The file with the keys that seal generations.
     pub keys: PathBuf,
@@ -69,23 +69,23 @@
 
 /// Where the list of servers comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterAt {
+pub enum EndpointListSource {
     /// A file, looked at anew this often.
     File(PathBuf, Duration),
-    Here(Roster),
+    Here(EndpointList),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LogTerms {
+pub struct LogConfig {
     pub json: bool,
     /// Levels by target, as `info,lockcroft_daemon=debug`.
     pub levels: Option<String>,
 }
 
-impl LogTerms {
+impl LogConfig {
     /// From the element `log`, if there is one.
     pub fn read(node: Option<Node>) -> Self {
-        LogTerms {
+        LogConfig {
             json: node.and_then(|node| node.attribute("form")) == Some("json"),
             levels: node.and_then(|node| node.attribute("levels")).map(String::from),
         }
@@ -97,29 +97,29 @@
 const GENERATIONS: usize = 8;
 const LOOK_EVERY: Duration = Duration::from_millis(200);
 
-impl Post {
+impl DaemonConfig {
     /// Reads and checks a settings file, and the roster file that it names.
     ///
     /// # Errors
     /// All that is wrong with either file.
-    pub fn open(file: &Path) -> Result<Self, Faults> {
-        Post::read(&Document::open(file, crate::SCHEMA)?)
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
+        DaemonConfig::read(&Document::open(file, crate::SCHEMA)?)
     }
 
     /// Reads settings that passed the schema.
     ///
     /// # Errors
     /// All that no schema can see.
-    pub fn read(document: &Document) -> Result<Self, Faults> {
+    pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
         if !root.has_tag_name("lockcroft") {
             let allowed = Some("the root element lockcroft");
-            return Err(Faults(vec![document.fault(root, "is no settings file", allowed)]));
+            return Err(ConfigErrors(vec![document.fault(root, "is no settings file", allowed)]));
         }
         let mut reader = Reader { document, terms: Settings::default(), faults: Vec::new() };
         let post = reader.post(root);
-        if reader.faults.is_empty() { Ok(post) } else { Err(Faults(reader.faults)) }
+        if reader.faults.is_empty() { Ok(post) } else { Err(ConfigErrors(reader.faults)) }
     }
 
     pub fn weight_most(&self) -> f64 {
@@ -134,11 +134,11 @@
 struct Reader<'a> {
     document: &'a Document,
     terms: Settings,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 impl Reader<'_> {
-    fn post(&mut self, root: Node) -> Post {
+    fn post(&mut self, root: Node) -> DaemonConfig {
         let part = |name: &'static str| root.children().find(|node| node.has_tag_name(name));
         let pilot = part("pilot");
         for list in ["zones", "kinds"] {
@@ -165,19 +165,19 @@
         self.put("pilots", SettingValue::Number(pilots));
         let count = SettingValue::Number(proxies.len() as f64 * pilots.max(1.0));
         self.terms.0.entry("fleet.proxies".into()).or_insert(count);
-        let places = Places::read(&self.terms);
+        let places = NameIndex::read(&self.terms);
         self.once(part("proxies"));
         let proxies: Vec<_> = proxies.into_iter().filter_map(|node| self.proxy(node, &places)).collect();
-        let time = |name: &str| pilot.and_then(|node| node.attribute(name)).and_then(|t| span(t).ok());
+        let time = |name: &str| pilot.and_then(|node| node.attribute(name)).and_then(|t| parse_duration(t).ok());
         let redial = [time("redial-least").unwrap_or(REDIAL[0]), time("redial-most").unwrap_or(REDIAL[1])];
-        Post {
+        DaemonConfig {
             file: self.document.file().into(),
             name: pilot
                 .map_or_else(|| "pilot".into(), |node| node.attribute("name").unwrap_or("pilot").into()),
             seed: pilot.and_then(|node| node.attribute("seed")?.parse().ok()).unwrap_or(0),
             doors: self.doors(part("runtime")),
             roster: self.roster(part("roster-file"), part("roster"), &places),
-            log: LogTerms::read(part("log")),
+            log: LogConfig::read(part("log")),
             files: self.files(part("files"), &proxies),
             memory: part("memory").map(|node| self.base().join(text(node, "folder"))),
             terms: std::mem::take(&mut self.terms),
@@ -204,7 +204,7 @@
             let value = attribute.value();
             let kind = self.document.attribute_type(node, attribute.name()).unwrap_or_default();
             match kind.as_str() {
-                "time" => match span(value) {
+                "time" => match parse_duration(value) {
                     Ok(time) => self.put(&format!("{name}_us"), SettingValue::Number(time.as_micros() as f64)),
                     Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
                 },
@@ -247,14 +247,14 @@
     }
 
     fn span_order(&mut self, node: Node, low: &str, high: &str) {
-        let time = |name: &str| span(&text(node, name)).unwrap_or_default();
+        let time = |name: &str| parse_duration(&text(node, name)).unwrap_or_default();
         if time(low) > time(high) {
             let wrong = format!("{low} {} is longer than {high} {}", text(node, low), text(node, high));
             self.faults.push(self.document.fault(node, wrong, Some(&format!("{low} up to {high}"))));
         }
     }
 
-    fn proxy(&mut self, node: Node, places: &Places) -> Option<ProxyAt> {
+    fn proxy(&mut self, node: Node, places: &NameIndex) -> Option<ProxyConfig> {
         let zones = places.zones.join(", ");
         let zone = places.zone(&text(node, "zone"));
         let zone = zone.map_err(|wrong| self.document.fault(node, wrong, Some(&zones)));
@@ -264,7 +264,7 @@
         match (zone, address) {
             (Ok(zone), Ok(address)) => {
                 let reads_files = node.attribute("front") == Some("files");
-                Some(ProxyAt { name: text(node, "name"), zone, address, rate, reads_files })
+                Some(ProxyConfig { name: text(node, "name"), zone, address, rate, reads_files })
             }
             (zone, address) => {
                 self.faults.extend(zone.err().into_iter().chain(address.err()));
@@ -273,7 +273,7 @@
         }
     }
 
-    fn files(&mut self, files: Option<Node>, proxies: &[ProxyAt]) -> Option<FilesAt> {
+    fn files(&mut self, files: Option<Node>, proxies: &[ProxyConfig]) -> Option<TableFilesConfig> {
         let Some(node) = files else {
             if let Some(proxy) = proxies.iter().find(|proxy| proxy.reads_files) {
                 let wrong =
@@ -288,9 +288,9 @@
             return None;
         };
         let base = self.base();
-        let time = node.attribute("look-every").and_then(|time| span(time).ok());
+        let time = node.attribute("look-every").and_then(|time| parse_duration(time).ok());
         let count = node.attribute("generations").and_then(|count| count.parse().ok());
-        Some(FilesAt {
+        Some(TableFilesConfig {
             folder: base.join(text(node, "folder")),
             keys: base.join(text(node, "keys")),
             generations: count.unwrap_or(GENERATIONS),
@@ -298,35 +298,35 @@
         })
     }
 
-    fn doors(&mut self, runtime: Option<Node>) -> Vec<Door> {
+    fn doors(&mut self, runtime: Option<Node>) -> Vec<ListenerConfig> {
         let mut doors = Vec::new();
         for node in members(runtime) {
             let level =
                 node.attribute("level").and_then(|level| level.parse().ok()).unwrap_or(Level::Operator);
             match text(node, "address").parse() {
-                Ok(address) => doors.push(Door { address, level }),
+                Ok(address) => doors.push(ListenerConfig { address, level }),
                 Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
             }
         }
         doors
     }
 
-    fn roster(&mut self, file: Option<Node>, here: Option<Node>, places: &Places) -> RosterAt {
+    fn roster(&mut self, file: Option<Node>, here: Option<Node>, places: &NameIndex) -> EndpointListSource {
         let most = weight_most(&self.terms);
         if let Some(node) = file {
             let path = self.base().join(text(node, "path"));
-            if let Err(faults) = Roster::open(&path, places, most) {
+            if let Err(faults) = EndpointList::open(&path, places, most) {
                 self.faults.extend(faults.0);
             }
-            let every = node.attribute("look-every").and_then(|time| span(time).ok());
-            return RosterAt::File(path, every.unwrap_or(LOOK_EVERY));
+            let every = node.attribute("look-every").and_then(|time| parse_duration(time).ok());
+            return EndpointListSource::File(path, every.unwrap_or(LOOK_EVERY));
         }
-        let read = here.map(|node| Roster::read(self.document, node, places, most));
+        let read = here.map(|node| EndpointList::read(self.document, node, places, most));
         let read = read.transpose().unwrap_or_else(|faults| {
             self.faults.extend(faults.0);
             None
         });
-        RosterAt::Here(read.unwrap_or_default())
+        EndpointListSource::Here(read.unwrap_or_default())
     }
 }
 
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -6,14 +6,14 @@
 use std::time::SystemTime;
 
 use lockcroft::{MachineTypeId, EndpointStatus, ZoneId};
-use lockcroft_host::Places;
+use lockcroft_host::NameIndex;
 use roxmltree::Node;
 
-use crate::document::{Document, Fault, Faults};
+use crate::document::{Document, ConfigError, ConfigErrors};
 
 /// One server of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub name: String,
     pub zone: ZoneId,
     pub kind: MachineTypeId,
@@ -27,33 +27,33 @@
 
 /// A whole list, at its version.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Roster {
+pub struct EndpointList {
     /// 0 is the first version: nothing was ever taken off it.
     pub version: u64,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
-impl Roster {
+impl EndpointList {
     /// Reads a roster that stands in a file of its own.
     ///
     /// # Errors
     /// All that is wrong with the file; nothing of it is used then.
-    pub fn open(file: &Path, places: &Places, weight_most: f64) -> Result<Self, Faults> {
+    pub fn open(file: &Path, places: &NameIndex, weight_most: f64) -> Result<Self, ConfigErrors> {
         let document = Document::open(file, crate::SCHEMA)?;
         let tree = document.tree();
         let root = tree.root_element();
         if !root.has_tag_name("roster") {
-            return Err(Faults(vec![document.fault(root, "is no roster", Some("the root element roster"))]));
+            return Err(ConfigErrors(vec![document.fault(root, "is no roster", Some("the root element roster"))]));
         }
-        Roster::read(&document, root, places, weight_most)
+        EndpointList::read(&document, root, places, weight_most)
     }
 
     pub(crate) fn read(
         document: &Document,
         root: Node,
-        places: &Places,
+        places: &NameIndex,
         weight_most: f64,
-    ) -> Result<Self, Faults> {
+    ) -> Result<Self, ConfigErrors> {
         let (mut entries, mut faults) = (Vec::new(), Vec::new());
         let mut lines: BTreeMap<String, u32> = BTreeMap::new();
         for node in root.children().filter(Node::is_element) {
@@ -70,11 +70,11 @@
             }
         }
         let version = root.attribute("version").and_then(|version| version.parse().ok()).unwrap_or(0);
-        if faults.is_empty() { Ok(Roster { version, entries }) } else { Err(Faults(faults)) }
+        if faults.is_empty() { Ok(EndpointList { version, entries }) } else { Err(ConfigErrors(faults)) }
     }
 }
 
-fn entry(document: &Document, node: Node, places: &Places, weight_most: f64) -> Result<Entry, Fault> {
+fn entry(document: &Document, node: Node, places: &NameIndex, weight_most: f64) -> Result<EndpointEntry, ConfigError> {
     let text = |name: &str| node.attribute(name).unwrap_or_default();
     let zones = places.zones.join(", ");
     let kinds = places.kinds.join(", ");
@@ -96,5 +96,5 @@
     let started = started.map_err(|e| {
         document.fault(node, format!("started: {e}"), Some("a time in UTC such as 2026-12-01T08:30:00Z"))
     })?;
-    Ok(Entry { name: text("name").into(), zone, kind, address, state, weight, started })
+    Ok(EndpointEntry { name: text("name").into(), zone, kind, address, state, weight, started })
 }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -6,7 +6,7 @@
 ///
 /// # Errors
 /// Says what is wrong with the text.
-pub fn span(text: &str) -> Result<Duration, String> {
+pub fn parse_duration(text: &str) -> Result<Duration, String> {
     let split = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
     let seconds = match unit {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -4,7 +4,7 @@
 
 use expect_test::{Expect, expect};
 use lockcroft::SettingValue;
-use lockcroft_config::{Document, Post, SCHEMA};
+use lockcroft_config::{Document, DaemonConfig, SCHEMA};
 
 const SOUND: &str = r#"<lockcroft>
   <pilot name="p1" seed="9"/>
@@ -23,9 +23,9 @@
 </lockcroft>
 "#;
 
-fn read(text: &str) -> Result<Post, String> {
+fn read(text: &str) -> Result<DaemonConfig, String> {
     let document = Document::new(Path::new("pilot.xml"), text.into(), SCHEMA);
-    document.and_then(|document| Post::read(&document)).map_err(|faults| faults.to_string())
+    document.and_then(|document| DaemonConfig::read(&document)).map_err(|faults| faults.to_string())
 }
 
 #[test]
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, SystemTime};
 
-use lockcroft_config::FilesAt;
+use lockcroft_config::TableFilesConfig;
 use lockcroft_fleet::{Publication, Report, Unwritten};
 use lockcroft_table_format::proto::Status;
 use lockcroft_table_store::{Statuses, WriteError, Writer, Written, read_keys};
@@ -19,7 +19,7 @@
 impl Press {
     /// # Errors
     /// The thread can't be had, or the keys can't be read.
-    pub fn start(at: &FilesAt, pilot: &str, told: Told) -> Result<Self, String> {
+    pub fn start(at: &TableFilesConfig, pilot: &str, told: Told) -> Result<Self, String> {
         let (sender, inbox) = channel();
         // Wrong keys are told at the start; later the last good ones stay.
         read_keys(&at.keys)?;
@@ -36,7 +36,7 @@
 }
 
 struct Hand {
-    at: FilesAt,
+    at: TableFilesConfig,
     pilot: String,
     writer: Option<Writer>,
 }
@@ -78,7 +78,7 @@
     }
 }
 
-fn failed(at: &FilesAt, why: &str) -> Unwritten {
+fn failed(at: &TableFilesConfig, why: &str) -> Unwritten {
     Unwritten::Failed(format!("{}: {why}", at.folder.display()))
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::{HealthCheckOutcome, ProxyId, EndpointId};
-use lockcroft_config::{Post, Roster, RosterAt};
+use lockcroft_config::{DaemonConfig, EndpointList, EndpointListSource};
 use lockcroft_fleet::{Effect, Helm, Kept, Report, Task, Unwritten};
 use lockcroft_runtime_api::{Address, Listener};
 use lockcroft_solver::Answer;
@@ -35,7 +35,7 @@
 
 /// Something that happened on a socket or to a file.
 enum News {
-    Listed(Roster),
+    Listed(EndpointList),
     Probed { server: EndpointId, finding: HealthCheckOutcome, took: Duration },
     Connected { proxy: ProxyId, stream: u64 },
     Broken { proxy: ProxyId, stream: u64, why: String },
@@ -57,14 +57,14 @@
 ///
 /// # Errors
 /// A socket can't be had, or the logs can't be set up.
-pub fn serve(post: &Post) -> Result<(), String> {
+pub fn serve(post: &DaemonConfig) -> Result<(), String> {
     let logs = logs::start(&post.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
     LocalSet::new().block_on(&runtime, run(post, logs))
 }
 
-async fn run(post: &Post, logs: logs::Logs) -> Result<(), String> {
+async fn run(post: &DaemonConfig, logs: logs::Logs) -> Result<(), String> {
     let start = Instant::now();
     let epoch =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -90,10 +90,10 @@
         spawn_local(files::watch(at.folder.clone(), at.look_every, wall, told.clone()));
     }
     match &post.roster {
-        RosterAt::Here(roster) => {
+        EndpointListSource::Here(roster) => {
             let _ = told.send(News::Listed(roster.clone())).await;
         }
-        RosterAt::File(path, every) => {
+        EndpointListSource::File(path, every) => {
             let (places, most) = (post.places.clone(), post.weight_most());
             spawn_local(roster::watch(path.clone(), *every, places, most, reread, told.clone()));
         }
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-async fn open_doors(post: &Post, station: &Rc<RefCell<Station>>, poke: &Rc<Notify>) -> Result<(), String> {
+async fn open_doors(post: &DaemonConfig, station: &Rc<RefCell<Station>>, poke: &Rc<Notify>) -> Result<(), String> {
     for door in &post.doors {
         let listener = Listener::bind(&door.address).await;
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", door.address))?;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,6 +1,6 @@
 //! Structured logs to standard error, as text or JSON lines; levels can be changed while it runs.
 
-use lockcroft_config::LogTerms;
+use lockcroft_config::LogConfig;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Registry, fmt, reload};
@@ -13,7 +13,7 @@
 
 /// # Errors
 /// The levels are malformed, or logs were started before.
-pub fn start(terms: &LogTerms) -> Result<Logs, String> {
+pub fn start(terms: &LogConfig) -> Result<Logs, String> {
     let levels = terms.levels.clone().unwrap_or_else(|| "info".into());
     let (filter, handle) = reload::Layer::new(read(&levels)?);
     let lines = fmt::layer().with_writer(std::io::stderr);
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::Settings;
-use lockcroft_config::Post;
+use lockcroft_config::DaemonConfig;
 use lockcroft_fleet::Kept;
 use lockcroft_state_store::{Entry, Folder, Loaded, Owner, Recalled, Rules, Store, Trouble, age};
 use tracing::{info, warn};
@@ -20,7 +20,7 @@
 
 /// Reads what there is, and begins to write. Without a memory that is sound and its own the pilot starts with none, and
 /// leaves the folder alone.
-pub fn open(post: &Post, folder: &Path, told: Told) -> Option<(Keeper, Recalled)> {
+pub fn open(post: &DaemonConfig, folder: &Path, told: Told) -> Option<(Keeper, Recalled)> {
     let begun = Instant::now();
     let opened = Folder::hold(folder).map_err(Trouble::from);
     let opened = opened.and_then(|disk| Store::open(disk, owner(post)));
@@ -48,7 +48,7 @@
 }
 
 /// Whose memory it is.
-pub fn owner(post: &Post) -> Owner {
+pub fn owner(post: &DaemonConfig) -> Owner {
     let names = [&post.places.zones, &post.places.kinds, &post.places.classes];
     // A blank between the lists: none of the names has one.
     let names = names.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
--- a/crates/daemon/src/probes.rs
+++ b/crates/daemon/src/probes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::HealthCheckOutcome;
-use lockcroft_http_client::Answer;
+use lockcroft_http_client::HttpResponse;
 
 /// Where servers tell the share of their cores in use, from 0 to 1.
 const LOAD: &str = "x-load";
@@ -12,10 +12,10 @@
 const BODY_MOST: usize = 1 << 16;
 
 pub async fn probe(address: SocketAddr) -> (HealthCheckOutcome, Duration) {
-    lockcroft_http_client::probe(address, "/health", BODY_MOST, read).await
+    lockcroft_http_client::check_health(address, "/health", BODY_MOST, read).await
 }
 
-fn read(answer: &Answer) -> HealthCheckOutcome {
+fn read(answer: &HttpResponse) -> HealthCheckOutcome {
     let load = answer.headers.get(LOAD).and_then(|load| load.to_str().ok()?.parse().ok());
-    lockcroft_http_client::finding(answer.status, load)
+    lockcroft_http_client::outcome_of_status(answer.status, load)
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_config::Roster;
-use lockcroft_host::Places;
+use lockcroft_config::EndpointList;
+use lockcroft_host::NameIndex;
 use tokio::sync::Notify;
 
 use crate::{News, Told, complain};
@@ -16,7 +16,7 @@
 pub async fn watch(
     path: PathBuf,
     every: Duration,
-    places: Places,
+    places: NameIndex,
     weight_most: f64,
     reread: Rc<Notify>,
     told: Told,
@@ -27,7 +27,7 @@
         let looks = std::fs::metadata(&path).ok().as_ref().map(mark);
         if asked || looks != last {
             last = looks;
-            match Roster::open(&path, &places, weight_most) {
+            match EndpointList::open(&path, &places, weight_most) {
                 Ok(roster) => {
                     if told.send(News::Listed(roster)).await.is_err() {
                         return;
--- a/crates/daemon/src/station.rs
+++ b/crates/daemon/src/station.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use lockcroft_fleet::Helm;
-use lockcroft_runtime_api::{Answer, Command, Desk, Entry, Level};
+use lockcroft_runtime_api::{CommandResult, Command, CommandHandler, CommandEntry, Level};
 use lockcroft_solver_format::Named;
 use tokio::sync::Notify;
 
@@ -39,7 +39,7 @@
     }
 }
 
-const ENTRIES: [Entry; 17] = [
+const ENTRIES: [CommandEntry; 17] = [
     user("show info", "what this pilot is and how it fares"),
     user("show version", "the version of the program"),
     user("show stat", "counters by class, table and server, as CSV"),
@@ -62,12 +62,12 @@
     admin("reload roster", "read the roster file again now"),
 ];
 
-const fn user(words: &'static str, help: &'static str) -> Entry {
-    Entry { words, level: Level::User, help }
+const fn user(words: &'static str, help: &'static str) -> CommandEntry {
+    CommandEntry { words, level: Level::User, help }
 }
 
-const fn admin(words: &'static str, help: &'static str) -> Entry {
-    Entry { words, level: Level::Admin, help }
+const fn admin(words: &'static str, help: &'static str) -> CommandEntry {
+    CommandEntry { words, level: Level::Admin, help }
 }
 
 fn problem(helm: &Helm) -> Result<String, String> {
@@ -77,12 +77,12 @@
     Ok(lockcroft_solver_format::write(&Named { problem: problem.clone(), zones, servers, classes }))
 }
 
-impl Desk for Station {
-    fn entries(&self) -> &'static [Entry] {
+impl CommandHandler for Station {
+    fn entries(&self) -> &'static [CommandEntry] {
         &ENTRIES
     }
 
-    fn answer(&mut self, entry: &Entry, command: &Command) -> Answer {
+    fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult {
         let helm = &self.helm;
         let said = match entry.words {
             "show info" => Ok(helm.show_info()),
@@ -99,7 +99,7 @@
                 let mut mark = 0;
                 let text = helm.events_since(&mut mark);
                 if command.word(2) == Some("-w") {
-                    return Answer::Follow(text, mark);
+                    return CommandResult::Follow(text, mark);
                 }
                 Ok(text)
             }
@@ -124,7 +124,7 @@
             }
             _ => self.set_server(command),
         };
-        Answer::Text(said.unwrap_or_else(|wrong| wrong + "\n"))
+        CommandResult::Text(said.unwrap_or_else(|wrong| wrong + "\n"))
     }
 
     fn more(&mut self, mark: &mut u64) -> String {
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use lockcroft::ProxyId;
-use lockcroft_runtime_api::{ANSWER_MOST, Address, Answers, Stream, dial};
+use lockcroft_runtime_api::{MAX_RESPONSE_BYTES, Address, ResponseReader, Stream, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -75,7 +75,7 @@
     told: &Told,
     inbox: &mut mpsc::UnboundedReceiver<Task>,
 ) -> Option<String> {
-    let (mut answers, mut out) = (Answers::default(), BytesMut::new());
+    let (mut answers, mut out) = (ResponseReader::default(), BytesMut::new());
     let (mut reader, mut writer) = tokio::io::split(&mut socket);
     loop {
         tokio::select! {
@@ -97,7 +97,7 @@
                     if !texts.is_empty() {
                         told.send(News::Answered { proxy, stream, texts }).await.ok()?;
                     }
-                    if answers.held() > ANSWER_MOST {
+                    if answers.held() > MAX_RESPONSE_BYTES {
                         return Some("an answer without an end".into());
                     }
                 }
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use lockcroft::{HealthCheckOutcome, EndpointStatus};
-use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
+use lockcroft_config::{Document, EndpointEntry, DaemonConfig, EndpointList, SCHEMA};
 use lockcroft_fleet::{Effect, Helm};
 use lockcroft_state_store::Recalled;
 
@@ -31,8 +31,8 @@
     )
 }
 
-fn roster(version: u64, lost: Option<usize>) -> Roster {
-    let entry = |i: usize| Entry {
+fn roster(version: u64, lost: Option<usize>) -> EndpointList {
+    let entry = |i: usize| EndpointEntry {
         name: format!("server-{i}"),
         zone: i % 4,
         kind: 0,
@@ -41,7 +41,7 @@
         weight: 1.0,
         started: None,
     };
-    Roster { version, entries: (0..SERVERS).map(entry).collect() }
+    EndpointList { version, entries: (0..SERVERS).map(entry).collect() }
 }
 
 /// Carries effects out in no time at all: probes pass, orders are answered as done.
@@ -76,7 +76,7 @@
 /// and all of them for a second of it.
 fn keeping(memory: bool) {
     let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-    let post = Post::read(&document).expect("sound");
+    let post = DaemonConfig::read(&document).expect("sound");
     let mut helm = Helm::new(&post, 0);
     if memory {
         helm.remember(Recalled::default());
@@ -116,7 +116,7 @@
     }
     for round in 1..=5 {
         let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-        let post = Post::read(&document).expect("sound");
+        let post = DaemonConfig::read(&document).expect("sound");
         let mut helm = Helm::new(&post, 0);
         helm.listed(Duration::ZERO, SystemTime::now(), roster(0, None));
         let mut now = Duration::ZERO;
--- a/crates/fleet/src/berth.rs
+++ b/crates/fleet/src/berth.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use lockcroft_config::ProxyAt;
-use lockcroft_runtime_api::sheets::{StateRow, read_states};
+use lockcroft_config::ProxyConfig;
+use lockcroft_runtime_api::tables::{StateRow, read_states};
 use nanorand::{Rng, WyRand};
 
 use crate::book::Book;
@@ -38,7 +38,7 @@
 }
 
 pub struct Berth {
-    pub at: ProxyAt,
+    pub at: ProxyConfig,
     pub stage: Stage,
     /// Streams are numbered: what is heard of an earlier one is not heard.
     pub stream: u64,
@@ -57,7 +57,7 @@
 }
 
 impl Berth {
-    pub fn new(at: ProxyAt) -> Self {
+    pub fn new(at: ProxyConfig) -> Self {
         Berth {
             at,
             stage: Stage::Away,
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_host::Published;
-use lockcroft_runtime_api::sheets::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
+use lockcroft_host::PublishedTables;
+use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
 
 use crate::list::List;
 use crate::scale::Scale;
 
 /// Commands of one message are written as lines of up to so many bytes: half of what a proxy takes.
 /// A message of several lines is prepared and committed, so that it takes effect as a whole.
-const LINE: usize = lockcroft_runtime_api::LINE_MOST / 2;
+const LINE: usize = lockcroft_runtime_api::MAX_LINE_BYTES / 2;
 
 const PREPARE: &str = "prepare map tables";
 
@@ -125,7 +125,7 @@
 
 /// Names and weights as an order needs them.
 pub struct Desk<'a> {
-    pub published: &'a Published,
+    pub published: &'a PublishedTables,
     pub list: &'a List,
     pub classes: &'a [String],
     pub scale: Scale,
@@ -306,7 +306,7 @@
         &mut self,
         table: TableId,
         classes: &[ClassId],
-        published: &Published,
+        published: &PublishedTables,
         since: Duration,
         wave: u64,
     ) {
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -8,9 +8,9 @@
 
 use hdrhistogram::Histogram;
 use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, TableId};
-use lockcroft_config::{Post, Roster};
-use lockcroft_host::{Places, Published};
-use lockcroft_runtime_api::sheets::read_stat;
+use lockcroft_config::{DaemonConfig, EndpointList};
+use lockcroft_host::{NameIndex, PublishedTables};
+use lockcroft_runtime_api::tables::read_stat;
 use lockcroft_solver::Answer;
 use lockcroft_state_store::{Entry, Recalled};
 use nanorand::WyRand;
@@ -91,9 +91,9 @@
 
 pub struct Helm {
     pub(crate) pilot: Controller,
-    pub(crate) places: Places,
+    pub(crate) places: NameIndex,
     pub(crate) list: List,
-    pub(crate) published: Published,
+    pub(crate) published: PublishedTables,
     pub(crate) berths: Vec<Berth>,
     pub(crate) events: Events,
     pub(crate) scale: Scale,
@@ -131,7 +131,7 @@
     ///
     /// # Panics
     /// Never: the histogram's bounds are constants.
-    pub fn new(post: &Post, epoch: u64) -> Self {
+    pub fn new(post: &DaemonConfig, epoch: u64) -> Self {
         let berths: Vec<Berth> = post.proxies.iter().cloned().map(Berth::new).collect();
         let readers = post.proxies.iter().enumerate().filter(|(_, at)| at.reads_files);
         let readers = readers.map(|(proxy, at)| (proxy, at.name.clone()));
@@ -140,7 +140,7 @@
             pilot: Controller::new(post.terms.clone(), post.seed),
             places: post.places.clone(),
             list: List::default(),
-            published: Published::default(),
+            published: PublishedTables::default(),
             effects: (0..berths.len()).map(dial).collect(),
             notes: None,
             kept: Kept::default(),
@@ -170,7 +170,7 @@
     }
 
     /// The list of servers, read anew.
-    pub fn listed(&mut self, now: Duration, wall: SystemTime, roster: Roster) {
+    pub fn listed(&mut self, now: Duration, wall: SystemTime, roster: EndpointList) {
         self.now = now;
         info!(target: "lockcroft::input", wave = self.wave, version = roster.version,
             servers = roster.entries.len(), "listed");
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft::{EndpointStatus, EndpointRecord, EndpointId};
-use lockcroft_config::{Entry, Roster};
-use lockcroft_host::Names;
+use lockcroft_config::{EndpointEntry, EndpointList};
+use lockcroft_host::NameInterner;
 
 /// An operator's word on one server; it holds until the opposite word, whatever the file says later.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -18,7 +18,7 @@
 
 /// One server as the file lists it, its start on the pilot's own clock.
 struct Line {
-    entry: Entry,
+    entry: EndpointEntry,
     /// The age at the time when this start was first heard of, and that time.
     age: Option<(Duration, Duration)>,
 }
@@ -26,7 +26,7 @@
 /// Servers by index; an index stays with its name, also when the server is off the list.
 #[derive(Default)]
 pub struct List {
-    names: Names,
+    names: NameInterner,
     lines: BTreeMap<EndpointId, Line>,
     words: BTreeMap<EndpointId, Word>,
     /// Weights that were worked out, in place of the file's.
@@ -37,7 +37,7 @@
 impl List {
     /// Takes a whole list. A start that was known keeps its age on the pilot's clock, so that two
     /// readings of one file never look like two starts.
-    pub fn take(&mut self, now: Duration, wall: SystemTime, roster: Roster) {
+    pub fn take(&mut self, now: Duration, wall: SystemTime, roster: EndpointList) {
         let mut old = std::mem::take(&mut self.lines);
         self.version = roster.version;
         for entry in roster.entries {
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lockcroft::{ClassAdmission, EndpointState, EndpointStatus, EndpointId};
-use lockcroft_host::Places;
+use lockcroft_host::NameIndex;
 use lockcroft_state_store::{Entry, Key, ServerNote, What};
 
 use crate::list::List;
@@ -47,7 +47,7 @@
         servers: &BTreeMap<EndpointId, EndpointState>,
         gates: &[ClassAdmission],
         list: &List,
-        places: &Places,
+        places: &NameIndex,
     ) -> Vec<Entry> {
         if now < self.due {
             return Vec::new();
@@ -89,7 +89,7 @@
         }
     }
 
-    fn note(&self, now: Duration, known: &EndpointState, places: &Places) -> ServerNote {
+    fn note(&self, now: Duration, known: &EndpointState, places: &NameIndex) -> ServerNote {
         let later = |time: Duration| if time > now { self.wall(time) } else { 0 };
         let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
         ServerNote {
--- a/crates/fleet/src/reports.rs
+++ b/crates/fleet/src/reports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lockcroft_runtime_api::sheets::StatRow;
+use lockcroft_runtime_api::tables::StatRow;
 
 /// What one look tells beyond the look before.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -1,10 +1,10 @@
-//! What a pilot shows to those who ask: sheets in the guide's form where it has one.
+//! What a pilot shows to those who ask: tables in the guide's form where it has one.
 
 use std::fmt::Write;
 
 use lockcroft::{EndpointState, EndpointStatus, EndpointId, TableId};
-use lockcroft_host::Places;
-use lockcroft_runtime_api::sheets::{
+use lockcroft_host::NameIndex;
+use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
 };
 use lockcroft_solver::{Objective, Problem};
@@ -95,7 +95,7 @@
         Some((&task.problem, task.servers.iter().map(|server| self.list.name(*server).into()).collect()))
     }
 
-    pub fn places(&self) -> &Places {
+    pub fn places(&self) -> &NameIndex {
         &self.places
     }
 
--- a/crates/fleet/tests/orders/stage.rs
+++ b/crates/fleet/tests/orders/stage.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft::{HealthCheckOutcome, EndpointStatus, EndpointId};
-use lockcroft_config::{Document, Entry, Post, Roster, SCHEMA};
+use lockcroft_config::{Document, EndpointEntry, DaemonConfig, EndpointList, SCHEMA};
 use lockcroft_fleet::{Effect, Helm, Publication, Report, Unwritten};
 use lockcroft_proxy::{Choice, Ending, FromFiles, Held, Limits, Orders, STANDING, Way};
-use lockcroft_runtime_api::{Answers, Feed, Level};
+use lockcroft_runtime_api::{ResponseReader, CommandReader, Level};
 use lockcroft_state_store::Entry as Kept;
 use lockcroft_table_format::Bound;
 use lockcroft_table_store::{Mine, Written};
@@ -33,7 +33,7 @@
 /// A proxy behind a stream that may hold answers back, or break.
 pub struct Peer {
     pub held: Held,
-    feed: Feed,
+    feed: CommandReader,
     orders: Orders,
     pub stream: Option<u64>,
     /// Orders are taken up and carried out, but no answer goes back.
@@ -74,7 +74,7 @@
     pub helm: Helm,
     pub now: Duration,
     pub peers: Vec<Peer>,
-    pub roster: Roster,
+    pub roster: EndpointList,
     /// How probes end, where not well.
     pub findings: BTreeMap<EndpointId, HealthCheckOutcome>,
     pub trace: String,
@@ -157,9 +157,9 @@
         let text = SETTINGS.replace("{PROXIES}", &lines).replace("{QUEUE}", &queue.to_string());
         let text = text.replace("{SOLVER}", solver).replace("{ONLY}", only);
         let document = Document::new(Path::new("test.xml"), text, SCHEMA).expect("sound");
-        let post = Post::read(&document).expect("sound");
-        let place = |i: usize| Entry { zone: i % zones, ..entry(i) };
-        let entries: Vec<Entry> = (0..servers).map(place).collect();
+        let post = DaemonConfig::read(&document).expect("sound");
+        let place = |i: usize| EndpointEntry { zone: i % zones, ..entry(i) };
+        let entries: Vec<EndpointEntry> = (0..servers).map(place).collect();
         let standing: Vec<_> = entries.iter().map(|entry| (entry.name.clone(), entry.address)).collect();
         let peer = |i: usize| Peer {
             held: Held::new(
@@ -169,7 +169,7 @@
                 Limits { way: Way::Wheel, outstanding_most: 0, shuns_after: 0, shuns_for: ms(0) },
                 i as u64,
             ),
-            feed: Feed::default(),
+            feed: CommandReader::default(),
             orders: Orders::new(Level::Admin),
             stream: None,
             silent: false,
@@ -184,7 +184,7 @@
             helm: Helm::new(&post, 0),
             now: ms(0),
             peers: (0..proxies).map(peer).collect(),
-            roster: Roster { version: 0, entries },
+            roster: EndpointList { version: 0, entries },
             findings: BTreeMap::new(),
             trace: String::new(),
             kept: Vec::new(),
@@ -297,7 +297,7 @@
             Effect::Dial { proxy, stream, .. } => {
                 let peer = &mut self.peers[proxy];
                 (peer.stream, peer.feed, peer.orders) =
-                    (Some(stream), Feed::default(), Orders::new(Level::Admin));
+                    (Some(stream), CommandReader::default(), Orders::new(Level::Admin));
                 self.helm.connected(self.now, proxy, stream);
             }
             // What was meant for a stream that is gone by now goes nowhere.
@@ -375,7 +375,7 @@
         for proxy in 0..self.peers.len() {
             let peer = &mut self.peers[proxy];
             let (Some(stream), false) = (peer.stream, peer.silent) else { continue };
-            let mut answers = Answers::default();
+            let mut answers = ResponseReader::default();
             while let Some(out) = peer.answers.pop_front() {
                 answers.push(out.as_bytes());
             }
@@ -410,8 +410,8 @@
     }
 }
 
-pub fn entry(server: usize) -> Entry {
-    Entry {
+pub fn entry(server: usize) -> EndpointEntry {
+    EndpointEntry {
         name: format!("e{server}"),
         zone: 0,
         kind: 0,
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -4,21 +4,21 @@
 mod published;
 mod settings;
 
-pub use published::{Published, Sheet};
+pub use published::{PublishedTables, PublishedTable};
 pub use settings::{read_settings, settings};
 
 use std::collections::BTreeMap;
 
 use lockcroft::{ClassId, MachineTypeId, Settings, ZoneId};
 
-/// Names in the order in which they were first met; an index, once given, stays.
+/// NameInterner in the order in which they were first met; an index, once given, stays.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameInterner {
     names: Vec<String>,
     indices: BTreeMap<String, usize>,
 }
 
-impl Names {
+impl NameInterner {
     /// The index of a name, a new one if it was not met before.
     pub fn index(&mut self, name: &str) -> usize {
         if let Some(index) = self.indices.get(name) {
@@ -49,22 +49,22 @@
 
 /// The zones, kinds and classes that the terms state, each an index in the order stated.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct NameIndex {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub classes: Vec<String>,
 }
 
-impl Places {
+impl NameIndex {
     pub fn read(terms: &Settings) -> Self {
         let texts = |list: &str| terms.texts(list).into_iter().map(String::from).collect();
         let classes = (0..terms.count("classes")).map_while(|i| terms.text(&format!("classes.{i}.name")));
         let classes = classes.map(String::from).collect();
-        Places { zones: texts("zones"), kinds: texts("kinds"), classes }
+        NameIndex { zones: texts("zones"), kinds: texts("kinds"), classes }
     }
 
     /// # Errors
-    /// Names the word that the terms do not state; so do the two below.
+    /// NameInterner the word that the terms do not state; so do the two below.
     pub fn zone(&self, name: &str) -> Result<ZoneId, String> {
         position(&self.zones, "zone", name)
     }
--- a/crates/host/src/published.rs
+++ b/crates/host/src/published.rs
@@ -6,7 +6,7 @@
 
 /// One shared table, as last decided.
 #[derive(Clone, Debug, Default)]
-pub struct Sheet {
+pub struct PublishedTable {
     /// Weights above 0.
     pub lines: BTreeMap<EndpointId, f64>,
     /// By class: the share let in, and whether proxies try once more after proof.
@@ -15,12 +15,12 @@
 
 /// All tables, and the servers that no proxy may use whatever its tables say.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
-    pub tables: BTreeMap<TableId, Sheet>,
+pub struct PublishedTables {
+    pub tables: BTreeMap<TableId, PublishedTable>,
     pub withdrawn: BTreeSet<EndpointId>,
 }
 
-impl Published {
+impl PublishedTables {
     pub fn weight(&self, table: TableId, server: EndpointId) -> f64 {
         self.tables.get(&table).and_then(|sheet| sheet.lines.get(&server)).copied().unwrap_or(0.0)
     }
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -4,7 +4,7 @@
 use lockcroft::{SettingValue, Settings};
 use serde_json::Value;
 
-/// Wire name, house name. Names that are not here pass as they are.
+/// Wire name, house name. NameInterner that are not here pass as they are.
 const NAMES: [(&str, &str); 25] = [
     ("agents", "proxies"),
     ("cold_from", "cold_share"),
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -19,73 +19,73 @@
 
 /// Why a call got no answer.
 #[derive(Debug)]
-pub enum Fault {
+pub enum CallError {
     /// Nothing listens there, or the connection broke before the head of an answer.
     Broken(String),
     /// The head came and the rest did not, or it is longer than allowed.
     Cut(String),
 }
 
-impl Fault {
+impl CallError {
     fn broken(why: impl fmt::Display) -> Self {
-        Fault::Broken(why.to_string())
+        CallError::Broken(why.to_string())
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CallError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Broken(why) => write!(out, "the connection broke: {why}"),
-            Fault::Cut(why) => write!(out, "the answer is cut off: {why}"),
+            CallError::Broken(why) => write!(out, "the connection broke: {why}"),
+            CallError::Cut(why) => write!(out, "the answer is cut off: {why}"),
         }
     }
 }
 
-pub struct Answer {
+pub struct HttpResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
 /// A connection for one call after the other.
-pub struct Line {
+pub struct HttpConnection {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
     connection: JoinHandle<hyper::Result<()>>,
 }
 
-impl Line {
+impl HttpConnection {
     /// # Errors
     /// The connection can't be made.
-    pub async fn open(address: SocketAddr) -> Result<Self, Fault> {
-        let stream = TcpStream::connect(address).await.map_err(Fault::broken)?;
+    pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
+        let stream = TcpStream::connect(address).await.map_err(CallError::broken)?;
         let _ = stream.set_nodelay(true);
         let made = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = made.map_err(Fault::broken)?;
-        Ok(Line { address, sender, connection: spawn_local(connection) })
+        let (sender, connection) = made.map_err(CallError::broken)?;
+        Ok(HttpConnection { address, sender, connection: spawn_local(connection) })
     }
 
     /// Calls and reads an answer of at most so many bytes; after the last call the other end may close.
     ///
     /// # Errors
     /// The connection breaks, or the answer is longer.
-    pub async fn get(&mut self, path: &str, last: bool, most: usize) -> Result<Answer, Fault> {
-        self.sender.ready().await.map_err(Fault::broken)?;
+    pub async fn get(&mut self, path: &str, last: bool, most: usize) -> Result<HttpResponse, CallError> {
+        self.sender.ready().await.map_err(CallError::broken)?;
         let mut call = Request::get(path).header(HOST, self.address.to_string());
         if last {
             call = call.header(CONNECTION, "close");
         }
-        let call = call.body(Empty::<Bytes>::new()).map_err(Fault::broken)?;
-        let answer = self.sender.send_request(call).await.map_err(Fault::broken)?;
+        let call = call.body(Empty::<Bytes>::new()).map_err(CallError::broken)?;
+        let answer = self.sender.send_request(call).await.map_err(CallError::broken)?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, most).collect().await.map_err(|e| Fault::Cut(e.to_string()))?;
-        Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() })
+        let body = Limited::new(body, most).collect().await.map_err(|e| CallError::Cut(e.to_string()))?;
+        Ok(HttpResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
     }
 }
 
 /// What the status of an answer tells of a server; `load` is what it told beside it. One that answers that
 /// it has no room says nothing of its health, as it may just be asked by too many.
-pub fn finding(status: StatusCode, load: Option<f64>) -> HealthCheckOutcome {
+pub fn outcome_of_status(status: StatusCode, load: Option<f64>) -> HealthCheckOutcome {
     match status {
         status if status.is_success() => HealthCheckOutcome::Passed(load),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::TurnedAway,
@@ -95,23 +95,23 @@
 
 /// Looks at a server, over a connection of its own so that a listener that is gone shows, and says how long
 /// it took. `read` tells what an answer of at most so many bytes means.
-pub async fn probe(
+pub async fn check_health(
     address: SocketAddr,
     path: &str,
     most: usize,
-    read: impl FnOnce(&Answer) -> HealthCheckOutcome,
+    read: impl FnOnce(&HttpResponse) -> HealthCheckOutcome,
 ) -> (HealthCheckOutcome, Duration) {
     let sent = Instant::now();
-    let call = async { Line::open(address).await?.get(path, true, most).await };
-    let finding = match timeout(PROBE_WAIT, call).await {
+    let call = async { HttpConnection::open(address).await?.get(path, true, most).await };
+    let outcome = match timeout(PROBE_WAIT, call).await {
         Ok(Ok(answer)) => read(&answer),
-        Ok(Err(Fault::Broken(_))) => HealthCheckOutcome::Refused,
-        Ok(Err(Fault::Cut(_))) | Err(_) => HealthCheckOutcome::Failed,
+        Ok(Err(CallError::Broken(_))) => HealthCheckOutcome::Refused,
+        Ok(Err(CallError::Cut(_))) | Err(_) => HealthCheckOutcome::Failed,
     };
-    (finding, sent.elapsed())
+    (outcome, sent.elapsed())
 }
 
-impl Drop for Line {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.connection.abort();
     }
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::{ClassId, ProxyId, EndpointId, Settings, ZoneId};
-use lockcroft_host::Places;
+use lockcroft_host::NameIndex;
 use serde::Serialize;
 use serde_json::Value;
 
@@ -59,7 +59,7 @@
 
 /// What a message may name.
 pub struct MessageContext<'a> {
-    pub places: &'a Places,
+    pub places: &'a NameIndex,
     pub roster: &'a Roster,
     pub bounds: &'a Bounds,
 }
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, ZoneId};
-use lockcroft_host::{Places, Published};
+use lockcroft_host::{NameIndex, PublishedTables};
 use serde_json::Value;
 use tracing::{debug, info, warn};
 
@@ -63,12 +63,12 @@
 
 pub struct ControlPlane {
     pilot: Controller,
-    places: Places,
+    places: NameIndex,
     bounds: Bounds,
     /// Whether probes ask for the load report.
     pub asks_load: bool,
     roster: Roster,
-    published: Published,
+    published: PublishedTables,
     streams: BTreeMap<ProxyId, ProxyStream>,
     connections: BTreeMap<ConnectionId, Role>,
     admission: Admission,
@@ -82,11 +82,11 @@
     pub fn new(config: &Config) -> Self {
         let terms = config.terms.clone();
         ControlPlane {
-            places: Places::read(&terms),
+            places: NameIndex::read(&terms),
             bounds: Bounds::read(&terms),
             asks_load: terms.text("report.how") == Some("on_probe"),
             roster: Roster::default(),
-            published: Published::default(),
+            published: PublishedTables::default(),
             streams: BTreeMap::new(),
             connections: BTreeMap::new(),
             admission: Admission::new(config.sockets),
--- a/crates/platform/src/io/connections.rs
+++ b/crates/platform/src/io/connections.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use lockcroft_runtime_api::Lines;
+use lockcroft_runtime_api::LineBuffer;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -133,7 +133,7 @@
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream.split();
-    let (mut inbox, mut out) = (Lines::default(), BytesMut::new());
+    let (mut inbox, mut out) = (LineBuffer::default(), BytesMut::new());
     let mut heard = false;
     loop {
         if out.is_empty() {
@@ -152,7 +152,7 @@
             continue;
         }
         if inbox.waiting().is_empty() && inbox.buffer().capacity() > KEEP {
-            inbox = Lines::default();
+            inbox = LineBuffer::default();
         }
         tokio::select! {
             read = reader.read_buf(inbox.buffer()) => {
@@ -177,7 +177,7 @@
 /// The other end says no more. Its last line may lack its end; what is due it still gets, as it may have closed
 /// its sending side only.
 async fn end_of_input(
-    inbox: &Lines,
+    inbox: &LineBuffer,
     writer: &mut WriteHalf<'_>,
     mut out: BytesMut,
     connection: ConnectionId,
@@ -225,7 +225,7 @@
 /// What lies in the socket by now, without waiting for more.
 async fn read_what_came(
     reader: &mut ReadHalf<'_>,
-    inbox: &mut Lines,
+    inbox: &mut LineBuffer,
     connection: ConnectionId,
     shared: &Rc<Shared>,
 ) -> io::Result<()> {
@@ -241,7 +241,7 @@
 }
 
 /// Hands whole lines on; the rest stays. A line without end is nothing that can be read.
-fn take_lines(inbox: &mut Lines, connection: ConnectionId, shared: &Rc<Shared>) {
+fn take_lines(inbox: &mut LineBuffer, connection: ConnectionId, shared: &Rc<Shared>) {
     let mut controller = shared.controller.borrow_mut();
     while inbox.next_line(|line| controller.read(shared.now(), connection, line)).is_some() {}
     if inbox.waiting().len() > controller.line_most(connection) {
--- a/crates/platform/src/io/discovery.rs
+++ b/crates/platform/src/io/discovery.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_http_client::Line;
+use lockcroft_http_client::HttpConnection;
 use serde_json::Value;
 use tokio::sync::{Notify, watch};
 use tokio::task::{JoinHandle, spawn_local};
@@ -60,7 +60,7 @@
 
 /// Calls on one connection until one fails; says why.
 async fn talk(address: SocketAddr, whole: &mut bool, heard: &Notify, shared: &Rc<Shared>) -> String {
-    let mut line = match timeout(ANSWER, Line::open(address)).await {
+    let mut line = match timeout(ANSWER, HttpConnection::open(address)).await {
         Ok(Ok(line)) => line,
         Ok(Err(fault)) => return fault.to_string(),
         Err(_) => return "no connection in time".into(),
--- a/crates/platform/src/io/probes.rs
+++ b/crates/platform/src/io/probes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::HealthCheckOutcome;
-use lockcroft_http_client::Answer;
+use lockcroft_http_client::HttpResponse;
 use tracing::debug;
 
 use crate::codec::load;
@@ -14,12 +14,12 @@
 
 pub async fn probe(address: SocketAddr, asks_load: bool) -> (HealthCheckOutcome, Duration) {
     let path = if asks_load { "/metrics/load" } else { "/alive" };
-    lockcroft_http_client::probe(address, path, REPORT_MOST, |answer| read(address, answer)).await
+    lockcroft_http_client::check_health(address, path, REPORT_MOST, |answer| read(address, answer)).await
 }
 
-fn read(address: SocketAddr, answer: &Answer) -> HealthCheckOutcome {
+fn read(address: SocketAddr, answer: &HttpResponse) -> HealthCheckOutcome {
     if !answer.status.is_success() {
         debug!(target: "lockcroft::probe", status = %answer.status, body = ?answer.body, %address);
     }
-    lockcroft_http_client::finding(answer.status, load(&String::from_utf8_lossy(&answer.body)))
+    lockcroft_http_client::outcome_of_status(answer.status, load(&String::from_utf8_lossy(&answer.body)))
 }
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_host::{Published, Sheet};
+use lockcroft_host::{PublishedTables, PublishedTable};
 
 use crate::codec::Part;
 use crate::roster::Roster;
@@ -20,7 +20,7 @@
 struct Laid {
     classes: Vec<ClassId>,
     /// As it was last written on this stream.
-    written: Option<Sheet>,
+    written: Option<PublishedTable>,
 }
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
 
 /// What an order needs beside the stream.
 pub struct Context<'a> {
-    pub published: &'a Published,
+    pub published: &'a PublishedTables,
     pub roster: &'a Roster,
     pub classes: &'a [String],
 }
@@ -100,7 +100,7 @@
         };
         self.cleared.extend(self.ejected.difference(&self.ejects));
         self.ejected.clone_from(&self.ejects);
-        let (mut parts, empty) = (Vec::new(), Sheet::default());
+        let (mut parts, empty) = (Vec::new(), PublishedTable::default());
         for (table, laid) in &mut self.laid {
             let sheet = context.published.tables.get(table).unwrap_or(&empty);
             let before = parts.len();
@@ -130,10 +130,10 @@
 impl Laid {
     /// The parts that bring the table from what was written to this sheet. The first says the lines, and the
     /// level where one holds for all of its classes.
-    fn changes<'a>(&self, sheet: &Sheet, context: &Context<'a>, parts: &mut Vec<Part<'a>>) {
+    fn changes<'a>(&self, sheet: &PublishedTable, context: &Context<'a>, parts: &mut Vec<Part<'a>>) {
         let all =
             || (self.classes.len() < context.classes.len()).then(|| self.routes(&self.classes, context));
-        let empty = Sheet::default();
+        let empty = PublishedTable::default();
         let (full, old) = (self.written.is_none(), self.written.as_ref().unwrap_or(&empty));
         let name = |server: &EndpointId| context.roster.name(*server);
         let gone = old.lines.keys().filter(|server| !sheet.lines.contains_key(server));
--- a/crates/platform/tests/controller/pieces.rs
+++ b/crates/platform/tests/controller/pieces.rs
@@ -1,6 +1,6 @@
 //! Any bytes, in any pieces.
 
-use lockcroft_runtime_api::Lines;
+use lockcroft_runtime_api::LineBuffer;
 use proptest::prelude::*;
 
 use crate::stage::Stage;
@@ -32,7 +32,7 @@
     fn pieces_make_no_difference(bytes in prop::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>()], 0..200),
             cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..8)) {
         let lines = |pieces: &[&[u8]]| {
-            let (mut inbox, mut lines) = (Lines::default(), Vec::new());
+            let (mut inbox, mut lines) = (LineBuffer::default(), Vec::new());
             for piece in pieces {
                 inbox.buffer().extend_from_slice(piece);
                 while let Some(line) = inbox.next_line(<[u8]>::to_vec) {
--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 use lockcroft_proxy::{Proxy, ProxyPost};
-use lockcroft_runtime_api::{Address, ask};
+use lockcroft_runtime_api::{Address, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -156,7 +156,7 @@
     let address = Address::Unix(socket.to_path_buf());
     for some in (0..600).collect::<Vec<_>>().chunks(at_once) {
         let lines: Vec<String> = some.iter().map(|i| line(*i)).collect();
-        let _ = runtime.block_on(ask(&address, &lines.join("; "), Duration::from_secs(5)));
+        let _ = runtime.block_on(request(&address, &lines.join("; "), Duration::from_secs(5)));
     }
 }
 
@@ -195,7 +195,7 @@
     let _ = swapping.join();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let orders = "set var proc.level_look int(1000); set var proc.again_look int(1)";
-    let _ = runtime.block_on(ask(&Address::Unix(socket), orders, Duration::from_secs(5)));
+    let _ = runtime.block_on(request(&Address::Unix(socket), orders, Duration::from_secs(5)));
     tell("level and second tries on, as many as go", through, None);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -4,17 +4,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use lockcroft_runtime_api::sheets::{
+use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
 };
-use lockcroft_runtime_api::{Answer, Command, Desk, Entry, Level};
+use lockcroft_runtime_api::{CommandResult, Command, CommandHandler, CommandEntry, Level};
 
 use crate::held::{Backend, Held, Line, STANDING};
 
 /// Backends `t0` up to this number stand in every proxy's settings, as the guide can't add one.
 pub const BACKENDS_MOST: usize = 1024;
 
-const ENTRIES: [Entry; 21] = [
+const ENTRIES: [CommandEntry; 21] = [
     at(Level::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
     at(Level::Admin, "del server <b>/<s>", "delete a server that is in maintenance"),
     at(Level::Admin, "set server <b>/<s> weight|state|addr <v>", "change a server"),
@@ -38,19 +38,19 @@
     at(Level::Operator, "get var <name>", "a variable of the process"),
 ];
 
-const fn at(level: Level, words: &'static str, help: &'static str) -> Entry {
-    Entry { words, level, help }
+const fn at(level: Level, words: &'static str, help: &'static str) -> CommandEntry {
+    CommandEntry { words, level, help }
 }
 
 type Said = Result<String, String>;
 
-impl Desk for Held {
-    fn entries(&self) -> &'static [Entry] {
+impl CommandHandler for Held {
+    fn entries(&self) -> &'static [CommandEntry] {
         &ENTRIES
     }
 
-    fn answer(&mut self, _: &Entry, command: &Command) -> Answer {
-        Answer::Text(self.carry_out(command).unwrap_or_else(|wrong| wrong + "\n"))
+    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+        CommandResult::Text(self.carry_out(command).unwrap_or_else(|wrong| wrong + "\n"))
     }
 }
 
--- a/crates/proxy/src/files.rs
+++ b/crates/proxy/src/files.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lockcroft_runtime_api::Command;
-use lockcroft_runtime_api::sheets::class_variable;
+use lockcroft_runtime_api::tables::class_variable;
 use lockcroft_table_format::{Bound, Table};
 use lockcroft_table_store::Mine;
 
--- a/crates/proxy/src/held.rs
+++ b/crates/proxy/src/held.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_runtime_api::sheets::{Digest, class_variable};
+use lockcroft_runtime_api::tables::{Digest, class_variable};
 use nanorand::WyRand;
 
 use crate::choose::{Chooser, Way};
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_runtime_api::{After, Command, Feed, Level, Listener, Stream};
+use lockcroft_runtime_api::{SessionState, Command, CommandReader, Level, Listener, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
@@ -24,7 +24,7 @@
 }
 
 async fn converse(mut stream: Box<dyn Stream>, core: &Core) -> io::Result<()> {
-    let (mut feed, mut orders) = (Feed::default(), Orders::new(Level::Admin));
+    let (mut feed, mut orders) = (CommandReader::default(), Orders::new(Level::Admin));
     loop {
         while let Some(commands) =
             feed.next_line().map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?
@@ -34,13 +34,13 @@
             let after = match core.own(&commands) {
                 Some(said) => {
                     out = said;
-                    After::Stay
+                    SessionState::Stay
                 }
                 None => carry_out(commands, &mut orders, core, &mut out).await,
             };
             stream.write_all(out.as_bytes()).await?;
             core.room.notify_waiters();
-            if after == After::Close {
+            if after == SessionState::Close {
                 return stream.shutdown().await;
             }
         }
@@ -51,7 +51,7 @@
 }
 
 /// Visits have their turn between the pieces of a set; other sets wait until this one is through.
-pub async fn carry_out(commands: Vec<Command>, orders: &mut Orders, core: &Core, out: &mut String) -> After {
+pub async fn carry_out(commands: Vec<Command>, orders: &mut Orders, core: &Core, out: &mut String) -> SessionState {
     let count = commands.len();
     let _alone = if commands.iter().any(changes) { Some(core.laying.lock().await) } else { None };
     let mut laying = orders.begin(commands, &core.held());
--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -7,7 +7,7 @@
 
 use std::collections::VecDeque;
 
-use lockcroft_runtime_api::{After, Answer, Command, Desk, Entry, Level, Session};
+use lockcroft_runtime_api::{SessionState, CommandResult, Command, CommandHandler, CommandEntry, Level, Session};
 
 use crate::held::{Held, Tables};
 
@@ -32,13 +32,13 @@
     laid: Held,
     before: Tables,
     refused: Option<String>,
-    after: After,
+    after: SessionState,
     answers: Vec<String>,
 }
 
 impl Laying {
     fn done(&self) -> bool {
-        self.after != After::Stay || (self.left.is_empty() && self.replay.is_none())
+        self.after != SessionState::Stay || (self.left.is_empty() && self.replay.is_none())
     }
 }
 
@@ -49,7 +49,7 @@
 
     /// Carries out a line, all of it at once. If an order in it is refused, none of them was done, and
     /// each says so.
-    pub fn line(&mut self, commands: &[Command], held: &mut Held, out: &mut String) -> After {
+    pub fn line(&mut self, commands: &[Command], held: &mut Held, out: &mut String) -> SessionState {
         let mut laying = self.begin(commands.to_vec(), held);
         while !self.step(&mut laying) {}
         self.finish(laying, held, out)
@@ -65,7 +65,7 @@
             laid: held.clone(),
             before: held.tables(),
             refused: None,
-            after: After::Stay,
+            after: SessionState::Stay,
             answers: Vec::new(),
         }
     }
@@ -86,7 +86,7 @@
     }
 
     /// What was laid becomes what is held, or nothing of it; the answers go out.
-    pub fn finish(&mut self, mut laying: Laying, held: &mut Held, out: &mut String) -> After {
+    pub fn finish(&mut self, mut laying: Laying, held: &mut Held, out: &mut String) -> SessionState {
         let refused = laying.refused.take().filter(|_| laying.orders.len() > 1);
         if let Some(why) = &refused {
             let said = format!("Not done, as an order of its set was refused: {}\n", why.trim());
@@ -112,7 +112,7 @@
         if empty {
             return self.session.line(&[], held, out);
         }
-        if self.session.lasting() || laying.after != After::Stay { laying.after } else { After::Close }
+        if self.session.lasting() || laying.after != SessionState::Stay { laying.after } else { SessionState::Close }
     }
 
     fn command(&mut self, command: &Command, laying: &mut Laying) {
@@ -235,12 +235,12 @@
     refused: &'a mut Option<String>,
 }
 
-impl Desk for Noting<'_> {
-    fn entries(&self) -> &'static [Entry] {
+impl CommandHandler for Noting<'_> {
+    fn entries(&self) -> &'static [CommandEntry] {
         self.held.entries()
     }
 
-    fn answer(&mut self, _: &Entry, command: &Command) -> Answer {
-        Answer::Text(note(self.held.carry_out(command), command, self.refused))
+    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+        CommandResult::Text(note(self.held.carry_out(command), command, self.refused))
     }
 }
--- a/crates/proxy/src/post.rs
+++ b/crates/proxy/src/post.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft_config::{Document, Faults, LogTerms, span};
+use lockcroft_config::{Document, ConfigErrors, LogConfig, parse_duration};
 use lockcroft_runtime_api::Address;
 use roxmltree::Node;
 
@@ -23,7 +23,7 @@
     /// Where visits come in.
     pub visits: SocketAddr,
     pub control: Vec<Address>,
-    pub log: LogTerms,
+    pub log: LogConfig,
     pub limits: Limits,
     pub seed: u64,
     /// Connections of clients at a time; more are closed at once.
@@ -74,7 +74,7 @@
             name: name.into(),
             visits,
             control,
-            log: LogTerms::default(),
+            log: LogConfig::default(),
             limits: Limits {
                 way: Way::Wheel,
                 outstanding_most: 0,
@@ -101,7 +101,7 @@
 
     /// # Errors
     /// All that is wrong with the file.
-    pub fn open(file: &Path) -> Result<Self, Faults> {
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         let document = Document::open(file, SCHEMA)?;
         let tree = document.tree();
         let root = tree.root_element();
@@ -128,10 +128,10 @@
         let at = part("visits").and_then(|node| node.attribute("address")).unwrap_or_default();
         let Ok(visits) = at.parse() else {
             faults.push(document.fault(root, format!("visits: {at:?} is no address"), Some("IP:PORT")));
-            return Err(Faults(faults));
+            return Err(ConfigErrors(faults));
         };
         if !faults.is_empty() {
-            return Err(Faults(faults));
+            return Err(ConfigErrors(faults));
         }
         let mut post = ProxyPost::new(root.attribute("name").unwrap_or_default(), visits, control, classes);
         post.standing = standing;
@@ -170,12 +170,12 @@
         self.limits.way = number(part("choosing"), "way").unwrap_or_default();
         self.seed = number(part("choosing"), "seed").unwrap_or(self.seed);
         self.second_share = number(part("tries"), "second-share").unwrap_or(self.second_share);
-        self.log = LogTerms::read(part("log"));
+        self.log = LogConfig::read(part("log"));
     }
 }
 
 fn time(node: Option<Node>, name: &str) -> Option<Duration> {
-    span(node?.attribute(name)?).ok()
+    parse_duration(node?.attribute(name)?).ok()
 }
 
 fn number<T: std::str::FromStr>(node: Option<Node>, name: &str) -> Option<T> {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_proxy::{Proxy, ProxyPost};
-use lockcroft_runtime_api::{Address, ask, dial};
+use lockcroft_runtime_api::{Address, request, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -90,7 +90,7 @@
 
 impl Stage {
     async fn tell(&self, line: &str) -> String {
-        ask(&self.control, line, Duration::from_secs(5)).await.expect("answered")
+        request(&self.control, line, Duration::from_secs(5)).await.expect("answered")
     }
 
     /// Status of the final answer.
--- a/crates/runtime-api/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -1,11 +1,11 @@
 //! Lines a second through the codec, against a plain `split` reader that knows neither pieces nor
-//! escapes nor limits; and sheets of counters. Run: cargo bench -p lockcroft-runtime-api
+//! escapes nor limits; and tables of counters. Run: cargo bench -p lockcroft-runtime-api
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use lockcroft_runtime_api::sheets::{StatRow, read_stat, write_stat};
-use lockcroft_runtime_api::{Answers, Feed};
+use lockcroft_runtime_api::tables::{StatRow, read_stat, write_stat};
+use lockcroft_runtime_api::{ResponseReader, CommandReader};
 
 const LINES: usize = 200_000;
 /// What a socket gives at a time.
@@ -16,7 +16,7 @@
 }
 
 fn codec(text: &str) -> usize {
-    let (mut feed, mut words) = (Feed::default(), 0);
+    let (mut feed, mut words) = (CommandReader::default(), 0);
     for piece in text.as_bytes().chunks(PIECE) {
         feed.push(piece);
         while let Ok(Some(commands)) = feed.next_line() {
@@ -33,7 +33,7 @@
 }
 
 fn answers(text: &str) -> usize {
-    let (mut answers, mut count) = (Answers::default(), 0);
+    let (mut answers, mut count) = (ResponseReader::default(), 0);
     for piece in text.as_bytes().chunks(PIECE) {
         answers.push(piece);
         while answers.next_answer().is_some() {
--- a/crates/runtime-api/src/feed.rs
+++ b/crates/runtime-api/src/command_reader.rs
@@ -2,25 +2,25 @@
 
 use bytes::BytesMut;
 
-use crate::lines::Lines;
-use crate::words::{Command, split};
+use crate::line_buffer::LineBuffer;
+use crate::tokenizer::{Command, split};
 
 /// A line, and a payload, may be so long; the guide's `tune.bufsize`.
-pub const LINE_MOST: usize = 16_384;
+pub const MAX_LINE_BYTES: usize = 16_384;
 
-/// A line that has no end within [`LINE_MOST`] bytes: the stream can't be followed any further.
+/// A line that has no end within [`MAX_LINE_BYTES`] bytes: the stream can't be followed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Overlong;
+pub struct LineTooLong;
 
 /// Collects bytes, gives out whole lines.
 #[derive(Default)]
-pub struct Feed {
-    lines: Lines,
+pub struct CommandReader {
+    lines: LineBuffer,
     /// A line whose payload is still coming, and the line that ends it.
     open: Option<(Vec<Command>, String, String)>,
 }
 
-impl Feed {
+impl CommandReader {
     /// Where to read into, with room for what a socket has at a time.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.lines.buffer()
@@ -33,8 +33,8 @@
     /// The commands of the next whole line with its payload; `None` until there is one.
     ///
     /// # Errors
-    /// [`Overlong`], for good.
-    pub fn next_line(&mut self) -> Result<Option<Vec<Command>>, Overlong> {
+    /// [`LineTooLong`], for good.
+    pub fn next_line(&mut self) -> Result<Option<Vec<Command>>, LineTooLong> {
         while let Some(line) = self.raw_line()? {
             let Some((mut commands, mut payload, end)) = self.open.take() else {
                 let mut commands = split(&line);
@@ -50,8 +50,8 @@
                 }
                 return Ok(Some(commands));
             }
-            if payload.len() + line.len() >= LINE_MOST {
-                return Err(Overlong);
+            if payload.len() + line.len() >= MAX_LINE_BYTES {
+                return Err(LineTooLong);
             }
             payload.push_str(&line);
             payload.push('\n');
@@ -60,10 +60,10 @@
         Ok(None)
     }
 
-    fn raw_line(&mut self) -> Result<Option<String>, Overlong> {
+    fn raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
         let long = self.lines.next_len().unwrap_or(self.lines.waiting().len());
-        if long > LINE_MOST {
-            return Err(Overlong);
+        if long > MAX_LINE_BYTES {
+            return Err(LineTooLong);
         }
         let text = |line: &[u8]| String::from_utf8_lossy(line).trim_end_matches('\r').to_string();
         Ok(self.lines.next_line(text))
--- a/crates/runtime-api/src/lines.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -7,13 +7,13 @@
 
 /// Collects bytes, gives out whole lines.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineBuffer {
     buffer: BytesMut,
     /// What was looked through already without an end of line.
     seen: usize,
 }
 
-impl Lines {
+impl LineBuffer {
     /// Where to read into, with room for what a socket has at a time.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.buffer.reserve(PIECE);
--- a/crates/runtime-api/src/answers.rs
+++ b/crates/runtime-api/src/response_reader.rs
@@ -2,17 +2,17 @@
 
 use bytes::{Buf, BytesMut};
 
-use crate::lines::PIECE;
+use crate::line_buffer::PIECE;
 
 /// Collects bytes, gives out whole answers.
 #[derive(Default)]
-pub struct Answers {
+pub struct ResponseReader {
     buffer: BytesMut,
     /// What was looked through already without an empty line.
     seen: usize,
 }
 
-impl Answers {
+impl ResponseReader {
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.buffer.reserve(PIECE);
         &mut self.buffer
--- a/crates/runtime-api/src/serve.rs
+++ b/crates/runtime-api/src/serve.rs
@@ -10,11 +10,11 @@
 use tokio::time::timeout;
 
 use crate::address::{Address, Listener, Stream, dial};
-use crate::feed::Feed;
-use crate::session::{After, Desk, Level, Session};
+use crate::command_reader::CommandReader;
+use crate::session::{SessionState, CommandHandler, Level, Session};
 
 /// So many connections at a time; more are closed at once.
-pub const SESSIONS_MOST: usize = 256;
+pub const MAX_SESSIONS: usize = 256;
 /// An answer that a reader leaves for so long is given up with its connection.
 const UNREAD_MOST: Duration = Duration::from_secs(10);
 /// A connection without a command for so long ends.
@@ -22,14 +22,14 @@
 /// So often is it seen whether there is more to follow.
 const FOLLOW: Duration = Duration::from_millis(100);
 /// What may wait for one reader, in bytes; a longer answer is cut off with its connection.
-pub const ANSWER_MOST: usize = 4 << 20;
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Accepts connections at one level until dropped. A desk is never held across a wait, so that
 /// no reader keeps another, or the decisions, waiting.
 pub async fn serve(
     listener: Listener,
     level: Level,
-    desk: Rc<RefCell<dyn Desk>>,
+    desk: Rc<RefCell<dyn CommandHandler>>,
     changed: impl Fn() + 'static,
 ) {
     let (open, changed) = (Rc::new(Cell::new(0_usize)), Rc::new(changed));
@@ -39,7 +39,7 @@
             tokio::time::sleep(FOLLOW).await;
             continue;
         };
-        if open.get() >= SESSIONS_MOST {
+        if open.get() >= MAX_SESSIONS {
             continue;
         }
         open.set(open.get() + 1);
@@ -55,10 +55,10 @@
 async fn converse(
     mut stream: Box<dyn Stream>,
     level: Level,
-    desk: &RefCell<dyn Desk>,
+    desk: &RefCell<dyn CommandHandler>,
     changed: &dyn Fn(),
 ) -> io::Result<()> {
-    let (mut feed, mut session) = (Feed::default(), Session::new(level));
+    let (mut feed, mut session) = (CommandReader::default(), Session::new(level));
     loop {
         loop {
             let commands = match feed.next_line() {
@@ -71,9 +71,9 @@
             changed();
             write(&mut stream, &out).await?;
             match after {
-                After::Stay => {}
-                After::Close => return stream.shutdown().await,
-                After::Follow(mark) => return follow(stream, desk, mark).await,
+                SessionState::Stay => {}
+                SessionState::Close => return stream.shutdown().await,
+                SessionState::Follow(mark) => return follow(stream, desk, mark).await,
             }
         }
         let read = timeout(SILENT_MOST, stream.read_buf(feed.buffer())).await;
@@ -83,7 +83,7 @@
     }
 }
 
-async fn follow(mut stream: Box<dyn Stream>, desk: &RefCell<dyn Desk>, mut mark: u64) -> io::Result<()> {
+async fn follow(mut stream: Box<dyn Stream>, desk: &RefCell<dyn CommandHandler>, mut mark: u64) -> io::Result<()> {
     let mut ignored = [0; 256];
     loop {
         let more = desk.borrow_mut().more(&mut mark);
@@ -96,7 +96,7 @@
 }
 
 async fn write(stream: &mut Box<dyn Stream>, text: &str) -> io::Result<()> {
-    if text.len() > ANSWER_MOST {
+    if text.len() > MAX_RESPONSE_BYTES {
         return Err(io::Error::from(io::ErrorKind::OutOfMemory));
     }
     let written = timeout(UNREAD_MOST, stream.write_all(text.as_bytes())).await;
@@ -105,41 +105,41 @@
 
 /// Why a question got no answer.
 #[derive(Debug)]
-pub enum AskError {
+pub enum RequestError {
     Unreachable(io::Error),
     Broken(io::Error),
     Late,
     TooLong,
 }
 
-impl fmt::Display for AskError {
+impl fmt::Display for RequestError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            AskError::Unreachable(error) => write!(out, "cannot be reached: {error}"),
-            AskError::Broken(error) => write!(out, "the connection broke: {error}"),
-            AskError::Late => write!(out, "no whole answer in time"),
-            AskError::TooLong => write!(out, "the answer is longer than {ANSWER_MOST} bytes"),
+            RequestError::Unreachable(error) => write!(out, "cannot be reached: {error}"),
+            RequestError::Broken(error) => write!(out, "the connection broke: {error}"),
+            RequestError::Late => write!(out, "no whole answer in time"),
+            RequestError::TooLong => write!(out, "the answer is longer than {MAX_RESPONSE_BYTES} bytes"),
         }
     }
 }
 
-impl std::error::Error for AskError {}
+impl std::error::Error for RequestError {}
 
 /// Sends one line of commands and reads until the other end closes.
 ///
 /// # Errors
 /// The connection can't be made, breaks, or is not over within the given time.
-pub async fn ask(address: &Address, line: &str, within: Duration) -> Result<String, AskError> {
+pub async fn request(address: &Address, line: &str, within: Duration) -> Result<String, RequestError> {
     let talk = async {
-        let mut stream = dial(address).await.map_err(AskError::Unreachable)?;
-        stream.write_all(format!("{line}\n").as_bytes()).await.map_err(AskError::Broken)?;
+        let mut stream = dial(address).await.map_err(RequestError::Unreachable)?;
+        stream.write_all(format!("{line}\n").as_bytes()).await.map_err(RequestError::Broken)?;
         let mut text = Vec::new();
-        while stream.read_buf(&mut text).await.map_err(AskError::Broken)? > 0 {
-            if text.len() > ANSWER_MOST {
-                return Err(AskError::TooLong);
+        while stream.read_buf(&mut text).await.map_err(RequestError::Broken)? > 0 {
+            if text.len() > MAX_RESPONSE_BYTES {
+                return Err(RequestError::TooLong);
             }
         }
         Ok(String::from_utf8_lossy(&text).into_owned())
     };
-    timeout(within, talk).await.unwrap_or(Err(AskError::Late))
+    timeout(within, talk).await.unwrap_or(Err(RequestError::Late))
 }
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use crate::words::Command;
+use crate::tokenizer::Command;
 
 /// What a connection may do, by the guide's levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
 
 /// A command that a desk knows: its first words, the level that it needs, a line of help.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct CommandEntry {
     pub words: &'static str,
     pub level: Level,
     pub help: &'static str,
@@ -46,18 +46,18 @@
 
 /// What a desk says to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CommandResult {
     Text(String),
-    /// The text, and then whatever [`Desk::more`] has, until the connection ends.
+    /// The text, and then whatever [`CommandHandler::more`] has, until the connection ends.
     Follow(String, u64),
 }
 
 /// Whoever carries commands out.
-pub trait Desk {
+pub trait CommandHandler {
     /// The commands it knows.
-    fn entries(&self) -> &'static [Entry];
+    fn entries(&self) -> &'static [CommandEntry];
 
-    fn answer(&mut self, entry: &Entry, command: &Command) -> Answer;
+    fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult;
 
     /// What there is to follow from this mark on; the mark moves with it.
     fn more(&mut self, mark: &mut u64) -> String {
@@ -68,7 +68,7 @@
 
 /// What becomes of the connection after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum SessionState {
     Stay,
     Close,
     Follow(u64),
@@ -98,7 +98,7 @@
     }
 
     /// Carries out the commands of one line; each answer ends with an empty line.
-    pub fn line(&mut self, commands: &[Command], desk: &mut dyn Desk, out: &mut String) -> After {
+    pub fn line(&mut self, commands: &[Command], desk: &mut dyn CommandHandler, out: &mut String) -> SessionState {
         if commands.is_empty() {
             // An empty line: just the prompt, or the end of a connection that is for one line.
             self.end(out);
@@ -106,18 +106,18 @@
         for command in commands {
             let after = self.command(command, desk, out);
             self.end(out);
-            if after != After::Stay {
+            if after != SessionState::Stay {
                 return after;
             }
         }
-        if self.lasting { After::Stay } else { After::Close }
+        if self.lasting { SessionState::Stay } else { SessionState::Close }
     }
 
     /// Carries out one command; [`Session::end`] ends its answer.
-    pub fn command(&mut self, command: &Command, desk: &mut dyn Desk, out: &mut String) -> After {
+    pub fn command(&mut self, command: &Command, desk: &mut dyn CommandHandler, out: &mut String) -> SessionState {
         let words: Vec<&str> = command.words.iter().map(String::as_str).collect();
         match words[..] {
-            ["quit"] => return After::Close,
+            ["quit"] => return SessionState::Close,
             ["prompt", ref rest @ ..] => self.set_mode(rest, out),
             ["operator"] => self.level = self.level.min(Level::Operator),
             ["user"] => self.level = Level::User,
@@ -127,22 +127,22 @@
                 let Some(entry) = find(desk.entries(), &words) else {
                     say(out, "Unknown command, but maybe one of the following ones is a better match:");
                     self.help(desk, out);
-                    return After::Stay;
+                    return SessionState::Stay;
                 };
                 if entry.level > self.level {
                     say(out, "Permission denied");
-                    return After::Stay;
+                    return SessionState::Stay;
                 }
                 match desk.answer(entry, command) {
-                    Answer::Text(text) => say(out, &text),
-                    Answer::Follow(text, mark) => {
+                    CommandResult::Text(text) => say(out, &text),
+                    CommandResult::Follow(text, mark) => {
                         say(out, &text);
-                        return After::Follow(mark);
+                        return SessionState::Follow(mark);
                     }
                 }
             }
         }
-        After::Stay
+        SessionState::Stay
     }
 
     /// Whether the connection stays after a line.
@@ -172,7 +172,7 @@
         };
     }
 
-    fn help(&self, desk: &dyn Desk, out: &mut String) {
+    fn help(&self, desk: &dyn CommandHandler, out: &mut String) {
         for (words, text) in OWN {
             say(out, &format!("  {words:<40} : {text}"));
         }
@@ -190,8 +190,8 @@
 }
 
 /// The entry whose plain words all stand at the start; of several the longest.
-fn find<'a>(entries: &'a [Entry], words: &[&str]) -> Option<&'a Entry> {
-    let met = |entry: &Entry| {
+fn find<'a>(entries: &'a [CommandEntry], words: &[&str]) -> Option<&'a CommandEntry> {
+    let met = |entry: &CommandEntry| {
         let mut count = 0;
         for wanted in entry.words.split(' ').take_while(|word| !word.starts_with(['<', '[', '@'])) {
             if words.get(count) != Some(&wanted) {
--- a/crates/runtime-api/src/sheets.rs
+++ b/crates/runtime-api/src/tables.rs
@@ -1,4 +1,4 @@
-//! The sheets that the guide prints in columns, written and read: `show stat`, `show servers state`.
+//! The tables that the guide prints in columns, written and read: `show stat`, `show servers state`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -226,7 +226,7 @@
     format!("proc.{what}_{}", class.replace('-', "_"))
 }
 
-/// What two sides hold, as one number that they can compare: `get var proc.digest`. Lines go in by
+/// What two sides hold, as one number that they can compare: `get var proc.digest`. LineBuffer go in by
 /// backend and server, then the entries of the map by class, then variables by name, each in the order
 /// of their names.
 #[derive(Clone, Debug, Default)]
--- a/crates/runtime-api/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -1,26 +1,26 @@
 //! Lines in, answers out: in pieces of any size, malformed, too long.
 
-use lockcroft_runtime_api::sheets::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
+use lockcroft_runtime_api::tables::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
 use lockcroft_runtime_api::{
-    After, Answer, Answers, Command, Desk, Entry, Feed, LINE_MOST, Level, Overlong, Session, escaped, split,
+    SessionState, CommandResult, ResponseReader, Command, CommandHandler, CommandEntry, CommandReader, MAX_LINE_BYTES, Level, LineTooLong, Session, escaped, split,
 };
 use proptest::prelude::*;
 
 /// Says back what it was told.
 struct Echo;
 
-const ENTRIES: [Entry; 2] = [
-    Entry { words: "show echo [<word>]", level: Level::User, help: "say it" },
-    Entry { words: "set echo <word>", level: Level::Admin, help: "say it loud" },
+const ENTRIES: [CommandEntry; 2] = [
+    CommandEntry { words: "show echo [<word>]", level: Level::User, help: "say it" },
+    CommandEntry { words: "set echo <word>", level: Level::Admin, help: "say it loud" },
 ];
 
-impl Desk for Echo {
-    fn entries(&self) -> &'static [Entry] {
+impl CommandHandler for Echo {
+    fn entries(&self) -> &'static [CommandEntry] {
         &ENTRIES
     }
 
-    fn answer(&mut self, _: &Entry, command: &Command) -> Answer {
-        Answer::Text(format!(
+    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+        CommandResult::Text(format!(
             "{}{}",
             command.words[2..].join("|"),
             command.payload.clone().unwrap_or_default()
@@ -28,13 +28,13 @@
     }
 }
 
-fn talk(level: Level, text: &str) -> (String, After) {
-    let (mut feed, mut session, mut out) = (Feed::default(), Session::new(level), String::new());
+fn talk(level: Level, text: &str) -> (String, SessionState) {
+    let (mut feed, mut session, mut out) = (CommandReader::default(), Session::new(level), String::new());
     feed.push(text.as_bytes());
-    let mut after = After::Stay;
+    let mut after = SessionState::Stay;
     while let Ok(Some(commands)) = feed.next_line() {
         after = session.line(&commands, &mut Echo, &mut out);
-        if after != After::Stay {
+        if after != SessionState::Stay {
             break;
         }
     }
@@ -43,16 +43,16 @@
 
 #[test]
 fn one_line_of_commands_and_then_the_end() {
-    assert_eq!(talk(Level::User, "show echo a; show echo b\\ c\n"), ("a\n\nb c\n\n".into(), After::Close));
-    assert_eq!(talk(Level::User, "\n"), ("\n".into(), After::Close));
+    assert_eq!(talk(Level::User, "show echo a; show echo b\\ c\n"), ("a\n\nb c\n\n".into(), SessionState::Close));
+    assert_eq!(talk(Level::User, "\n"), ("\n".into(), SessionState::Close));
 }
 
 #[test]
 fn prompt_mode_stays() {
-    assert_eq!(talk(Level::User, "prompt\nshow echo a\n"), ("\n> a\n\n> ".into(), After::Stay));
-    assert_eq!(talk(Level::User, "prompt i\nshow echo a\n"), ("\na\n\n".into(), After::Stay));
-    assert_eq!(talk(Level::User, "prompt i\nprompt n\nshow echo a\n").1, After::Close);
-    assert_eq!(talk(Level::User, "prompt\nquit\n").1, After::Close);
+    assert_eq!(talk(Level::User, "prompt\nshow echo a\n"), ("\n> a\n\n> ".into(), SessionState::Stay));
+    assert_eq!(talk(Level::User, "prompt i\nshow echo a\n"), ("\na\n\n".into(), SessionState::Stay));
+    assert_eq!(talk(Level::User, "prompt i\nprompt n\nshow echo a\n").1, SessionState::Close);
+    assert_eq!(talk(Level::User, "prompt\nquit\n").1, SessionState::Close);
 }
 
 #[test]
@@ -77,16 +77,16 @@
 
 #[test]
 fn lines_without_an_end_are_given_up() {
-    let mut feed = Feed::default();
+    let mut feed = CommandReader::default();
     let mut ended = None;
     for _ in 0..(1 << 20) / 1024 {
         feed.push(&[b'x'; 1024]);
-        if let Err(Overlong) = feed.next_line() {
+        if let Err(LineTooLong) = feed.next_line() {
             ended = Some(feed.buffer().len());
             break;
         }
     }
-    assert!(ended.is_some_and(|held| held <= LINE_MOST + 1024), "{ended:?}");
+    assert!(ended.is_some_and(|held| held <= MAX_LINE_BYTES + 1024), "{ended:?}");
 }
 
 #[test]
@@ -138,9 +138,9 @@
     #[test]
     fn pieces_do_not_matter(lines in proptest::collection::vec("[a-z;\\\\ ]{0,30}", 1..8), cuts in proptest::collection::vec(1..20_usize, 1..50)) {
         let text = lines.join("\n") + "\n";
-        let mut whole = Feed::default();
+        let mut whole = CommandReader::default();
         whole.push(text.as_bytes());
-        let mut pieces = Feed::default();
+        let mut pieces = CommandReader::default();
         let (mut at, mut got) = (0, Vec::new());
         for cut in cuts.iter().cycle() {
             if at >= text.len() { break }
@@ -163,7 +163,7 @@
     /// Whatever comes, nothing panics, and a session answers every line.
     #[test]
     fn garbage_is_answered(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
-        let mut feed = Feed::default();
+        let mut feed = CommandReader::default();
         feed.push(&bytes);
         let mut session = Session::new(Level::Admin);
         while let Ok(Some(commands)) = feed.next_line() {
@@ -177,7 +177,7 @@
     fn answers_are_told_apart(texts in proptest::collection::vec("([a-z]{1,8}\n){0,3}", 1..6), prompt in any::<bool>(), cut in 1..9_usize) {
         let end = if prompt { "\n> " } else { "\n" };
         let all: String = texts.iter().map(|text| text.clone() + end).collect();
-        let (mut answers, mut got) = (Answers::default(), Vec::new());
+        let (mut answers, mut got) = (ResponseReader::default(), Vec::new());
         for piece in all.as_bytes().chunks(cut) {
             answers.push(piece);
             while let Some(answer) = answers.next_answer() { got.push(answer) }
--- a/crates/scenario/src/day.rs
+++ b/crates/scenario/src/day.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lockcroft_config::{Document, Faults, span};
+use lockcroft_config::{Document, ConfigErrors, parse_duration};
 use lockcroft_proxy::{ProxyPost, Way};
 use roxmltree::Node;
 
@@ -146,17 +146,17 @@
 impl Day {
     /// # Errors
     /// All that is wrong with the file.
-    pub fn open(file: &Path) -> Result<Self, Faults> {
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         Day::read(&Document::open(file, crate::SCHEMA)?)
     }
 
     /// # Errors
     /// All that is wrong with the text.
-    pub fn parse(text: &str) -> Result<Self, Faults> {
+    pub fn parse(text: &str) -> Result<Self, ConfigErrors> {
         Day::read(&Document::new(Path::new("day.xml"), text.into(), crate::SCHEMA)?)
     }
 
-    fn read(document: &Document) -> Result<Self, Faults> {
+    fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
         let all = |name: &'static str| root.children().filter(move |node| node.has_tag_name(name));
@@ -246,7 +246,7 @@
 }
 
 fn time(node: Node, name: &str) -> Option<Duration> {
-    node.attribute(name).and_then(|time| span(time).ok())
+    node.attribute(name).and_then(|time| parse_duration(time).ok())
 }
 
 fn number(node: Node, name: &str, default: f64) -> f64 {
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime};
 
-use lockcroft_runtime_api::{Address, ask};
+use lockcroft_runtime_api::{Address, request};
 use lockcroft_testbed::{Caller, ClassTerms, Mode, Record, call_on};
 use serde::{Deserialize, Serialize};
 
@@ -169,7 +169,7 @@
 
 async fn ask_pilot(stage: &Stage, command: &str) -> String {
     let socket = Address::Unix(stage.socket.clone());
-    ask(&socket, command, Duration::from_secs(2)).await.unwrap_or_else(|e| e.to_string())
+    request(&socket, command, Duration::from_secs(2)).await.unwrap_or_else(|e| e.to_string())
 }
 
 /// When the pilot is started anew.
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft_config::Post;
+use lockcroft_config::DaemonConfig;
 use lockcroft_proxy::{Limits as Shuns, ProxyPost, Way};
 use lockcroft_runtime_api::Address;
 use lockcroft_testbed::{Endpoint, EndpointTerms, Tap, What};
@@ -38,7 +38,7 @@
     pub settings: PathBuf,
     /// The pilot's own runtime API.
     pub socket: PathBuf,
-    pub post: Post,
+    pub post: DaemonConfig,
     pub limits: Limits,
     pub tap: Tap,
     pub folder: Folder,
@@ -64,7 +64,7 @@
         let (socket, path) = (folder.join("pilot.sock"), folder.join("pilot.xml"));
         let io = |e: std::io::Error| e.to_string();
         fs::write(&path, settings(day, &socket, "", "", "<roster/>")).map_err(io)?;
-        let post = Post::open(&path).map_err(|faults| faults.to_string())?;
+        let post = DaemonConfig::open(&path).map_err(|faults| faults.to_string())?;
         let wheel = day.relays.way.unwrap_or_default() == Way::Wheel;
         let even = wheel && day.relays.outstanding_most.is_none();
         let limits = Limits { even, ..Limits::read(&post.terms) };
@@ -133,7 +133,7 @@
         let file = "<roster-file path=\"roster.xml\" look-every=\"100ms\"/>";
         let parts = if day.relays.front == Front::Commands { String::new() } else { files.settings() };
         fs::write(&path, settings(day, &socket, &parts, &proxies, file)).map_err(io)?;
-        let post = Post::open(&path).map_err(|faults| faults.to_string())?;
+        let post = DaemonConfig::open(&path).map_err(|faults| faults.to_string())?;
         Ok(Stage {
             hosts,
             endpoints,
--- a/crates/scenario/src/ways.rs
+++ b/crates/scenario/src/ways.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use lockcroft_config::{Document, Fault, Faults};
+use lockcroft_config::{Document, ConfigError, ConfigErrors};
 use roxmltree::{Document as Tree, Node};
 
 use crate::day::{Day, Front};
@@ -31,7 +31,7 @@
 }
 
 /// The ways and the search of a day's file.
-pub(crate) fn read(document: &Document, root: Node) -> Result<(Vec<Variant>, Vec<Tries>), Faults> {
+pub(crate) fn read(document: &Document, root: Node) -> Result<(Vec<Variant>, Vec<Tries>), ConfigErrors> {
     let (mut ways, mut tries, mut faults) = (Vec::new(), Vec::new(), Vec::new());
     for node in root.children().filter(Node::is_element) {
         let words = |name: &str| node.attribute(name).unwrap_or_default().split_whitespace();
@@ -57,10 +57,10 @@
             tries.push(Tries { kind: node.attribute("kind").unwrap_or_default().into(), weights });
         }
     }
-    if faults.is_empty() { Ok((ways, tries)) } else { Err(Faults(faults)) }
+    if faults.is_empty() { Ok((ways, tries)) } else { Err(ConfigErrors(faults)) }
 }
 
-fn sound<T>(all: impl Iterator<Item = Result<T, Fault>>, faults: &mut Vec<Fault>) -> Vec<T> {
+fn sound<T>(all: impl Iterator<Item = Result<T, ConfigError>>, faults: &mut Vec<ConfigError>) -> Vec<T> {
     all.filter_map(|one| one.map_err(|fault| faults.push(fault)).ok()).collect()
 }
 
--- a/crates/scenario/src/wire.rs
+++ b/crates/scenario/src/wire.rs
@@ -9,7 +9,7 @@
 
 use bytes::BytesMut;
 use lockcroft_proxy::changes;
-use lockcroft_runtime_api::{Address, Answers, Stream, dial, split};
+use lockcroft_runtime_api::{Address, ResponseReader, Stream, dial, split};
 use lockcroft_testbed::{Tap, What};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -62,7 +62,7 @@
                     asked: VecDeque::new(),
                     set: Vec::new(),
                     prepared: None,
-                    answers: Answers::default(),
+                    answers: ResponseReader::default(),
                     cut: false,
                 };
                 // However it ends, it ends for both.
@@ -83,7 +83,7 @@
     set: Vec<(String, String)>,
     /// Orders of a set that is being prepared; they take effect with its commit.
     prepared: Option<Vec<(String, String)>>,
-    answers: Answers,
+    answers: ResponseReader,
     /// No answer reaches the pilot any more; the stream breaks once all were given.
     cut: bool,
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft::{Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, Controller};
-use lockcroft_host::{Names, Places, read_settings};
+use lockcroft_host::{NameInterner, NameIndex, read_settings};
 
 use crate::codec::Line;
 
@@ -17,8 +17,8 @@
     born: Duration,
     /// When the earliest timer still out comes due.
     timer: Option<Duration>,
-    servers: Names,
-    places: Places,
+    servers: NameInterner,
+    places: NameIndex,
     /// Set where the instance has failed, or this host has nothing to offer: a line with this tag says
     /// so once, then the instance stays idle.
     idle: Option<(&'static str, String)>,
@@ -291,10 +291,10 @@
         let idle = "the keys are in slices, for which lockcroft lays no tables yet: idle";
         let idle = slices.then(|| ("NOTE_DOWN", idle.to_string()));
         Ok(Instance {
-            places: Places::read(&terms),
+            places: NameIndex::read(&terms),
             born: clock,
             timer: None,
-            servers: Names::default(),
+            servers: NameInterner::default(),
             idle,
             pilot: Controller::new(terms, seed),
         })
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use lockcroft_config::{Document, Fault, Faults, span};
+use lockcroft_config::{Document, ConfigError, ConfigErrors, parse_duration};
 use lockcroft_solver::{Class, Problem, Server};
 use roxmltree::Node;
 
@@ -20,13 +20,13 @@
 impl Named {
     /// # Errors
     /// All that is wrong with the file.
-    pub fn open(file: &Path) -> Result<Self, Faults> {
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         Named::read(&Document::open(file, SCHEMA)?)
     }
 
     /// # Errors
     /// All that no schema can see: names that are not listed, or listed twice.
-    pub fn read(document: &Document) -> Result<Self, Faults> {
+    pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
         let mut reader = Reader { document, named: Named::default(), faults: Vec::new() };
@@ -34,14 +34,14 @@
         reader.zones(part(root, "zones"));
         reader.servers(part(root, "servers"));
         reader.classes(part(root, "classes"));
-        if reader.faults.is_empty() { Ok(reader.named) } else { Err(Faults(reader.faults)) }
+        if reader.faults.is_empty() { Ok(reader.named) } else { Err(ConfigErrors(reader.faults)) }
     }
 }
 
 struct Reader<'a> {
     document: &'a Document,
     named: Named,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 impl Reader<'_> {
@@ -88,7 +88,7 @@
                     *sum += number(part, "visits-per-s").unwrap_or(0.0);
                 }
             }
-            let seconds = |name: &str| span(text(node, name)).unwrap_or_default().as_secs_f64();
+            let seconds = |name: &str| parse_duration(text(node, name)).unwrap_or_default().as_secs_f64();
             self.named.problem.classes.push(Class {
                 work: seconds("work"),
                 contract_time: seconds("contract-time"),
