--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -4,8 +4,11 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lockcroft_table_format::{Content, Keys};
-use lockcroft_table_store::{Epoch, Found, Keep, Layout, Statuses, Version, Writer, find, read_keys};
+use lockcroft_table_format::{KeyRing, SnapshotContent};
+use lockcroft_table_store::{
+    Epoch, LoadedSnapshot, RetentionPolicy, SnapshotWriter, StatusReader, StoreLayout, Version, find,
+    read_keys,
+};
 use serde_json::{Value, json};
 
 #[derive(Subcommand)]
@@ -92,17 +95,17 @@
 }
 
 impl Place {
-    fn keys(&self) -> Result<Keys, String> {
+    fn keys(&self) -> Result<KeyRing, String> {
         read_keys(&self.keys)
     }
 
-    fn find(&self, Name(epoch, version): Name) -> Result<Found, String> {
-        let found = find(&Layout::new(&self.folder), epoch, version, &self.keys()?);
+    fn find(&self, Name(epoch, version): Name) -> Result<LoadedSnapshot, String> {
+        let found = find(&StoreLayout::new(&self.folder), epoch, version, &self.keys()?);
         found.map_err(|why| format!("{}: e{epoch}g{version}: {why}", self.folder.display()))
     }
 
     fn named(&self) -> Result<Vec<(Name, bool)>, String> {
-        let layout = Layout::new(&self.folder);
+        let layout = StoreLayout::new(&self.folder);
         let wrong = |e: std::io::Error| format!("{}: {e}", self.folder.display());
         let mut names = Vec::new();
         for epoch in layout.epochs().map_err(wrong)? {
@@ -141,7 +144,7 @@
 
     /// Proxies whose last word is that they have laid it.
     fn laid(&self, name: Name) -> Vec<String> {
-        let statuses = Statuses::default().look(&self.folder).unwrap_or_default();
+        let statuses = StatusReader::default().look(&self.folder).unwrap_or_default();
         let on = |status: &lockcroft_table_format::proto::Status| {
             status.laid.last().is_some_and(|laid| Name(laid.epoch, laid.version) == name)
         };
@@ -150,7 +153,7 @@
 
     fn verify(&self) -> Result<ExitCode, String> {
         let keys = self.keys()?;
-        let layout = Layout::new(&self.folder);
+        let layout = StoreLayout::new(&self.folder);
         let (mut rows, mut sound) = (Vec::new(), true);
         for (name, current) in self.named()? {
             let found = find(&layout, name.0, name.1, &keys);
@@ -187,8 +190,8 @@
         let found = self.find(to)?;
         let wrong = |wrong: String| format!("{}: {wrong}", self.folder.display());
         let mut writer =
-            Writer::take(&self.folder, "operator", self.keys()?).map_err(|e| wrong(e.to_string()))?;
-        let keep = Keep { generations: 2, earlier_epochs: true };
+            SnapshotWriter::take(&self.folder, "operator", self.keys()?).map_err(|e| wrong(e.to_string()))?;
+        let keep = RetentionPolicy { generations: 2, earlier_epochs: true };
         let written = writer.write(&found.content, keep).map_err(|e| wrong(e.to_string()))?;
         let name = Name(written.epoch, written.version);
         if self.json {
@@ -203,10 +206,10 @@
 }
 
 /// Each line of a generation, as text that stands for itself.
-fn rows(content: &Content) -> Vec<String> {
+fn rows(content: &SnapshotContent) -> Vec<String> {
     let mut rows = Vec::new();
     for (number, table) in &content.tables {
-        let line = |(server, line): (&String, &lockcroft_table_format::Line)| {
+        let line = |(server, line): (&String, &lockcroft_table_format::TableEntry)| {
             format!("t{number} {server} {} weight {}", line.address, line.weight)
         };
         rows.extend(table.lines.iter().map(line));
@@ -226,11 +229,11 @@
     rows
 }
 
-fn show(content: &Content) {
+fn show(content: &SnapshotContent) {
     rows(content).iter().for_each(|row| println!("{row}"));
 }
 
-fn show_json(name: Name, found: &Found, laid: &[String]) -> Value {
+fn show_json(name: Name, found: &LoadedSnapshot, laid: &[String]) -> Value {
     json!({
         "generation": name.to_string(),
         "pilot": found.pilot,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,7 +13,7 @@
 
 use clap::{Parser, Subcommand};
 use lockcroft_config::{ConfigErrors, DaemonConfig};
-use lockcroft_proxy::ProxyPost;
+use lockcroft_proxy::ProxyConfig;
 use lockcroft_runtime_api::{Address, request};
 use serde_json::json;
 
@@ -134,7 +134,7 @@
 }
 
 fn proxy(file: &std::path::Path) -> ExitCode {
-    let post = match ProxyPost::open(file) {
+    let post = match ProxyConfig::open(file) {
         Ok(post) => post,
         Err(faults) => {
             eprintln!("{faults}");
@@ -170,7 +170,9 @@
     let line = command.join(" ");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let asked = match (runtime, Duration::try_from_secs_f64(within)) {
-        (Ok(runtime), Ok(within)) => runtime.block_on(request(address, &line, within)).map_err(|e| e.to_string()),
+        (Ok(runtime), Ok(within)) => {
+            runtime.block_on(request(address, &line, within)).map_err(|e| e.to_string())
+        }
         (Err(error), _) => Err(error.to_string()),
         (_, Err(error)) => Err(format!("--within: {error}")),
     };
--- a/crates/cli/src/memory.rs
+++ b/crates/cli/src/memory.rs
@@ -4,7 +4,9 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lockcroft_state_store::{Folder, Key, Loaded, Store, Trouble, What, load, owner_of};
+use lockcroft_state_store::{
+    DirectoryStorage, EntryValue, Key, LoadedState, RecoveryError, Store, load, owner_of,
+};
 use serde_json::json;
 
 #[derive(Subcommand)]
@@ -42,25 +44,27 @@
     }
 }
 
-fn read(folder: &std::path::Path) -> Result<Loaded, String> {
-    let wrong = |trouble: Trouble| format!("{}: {trouble}", folder.display());
-    let disk = Folder::look(folder);
+fn read(folder: &std::path::Path) -> Result<LoadedState, String> {
+    let wrong = |trouble: RecoveryError| format!("{}: {trouble}", folder.display());
+    let disk = DirectoryStorage::look(folder);
     let owner = owner_of(&disk).map_err(|e| wrong(e.into()))?;
     let owner = owner.ok_or_else(|| format!("{}: no memory", folder.display()))?;
     load(&disk, &owner).map_err(wrong)
 }
 
-fn show(loaded: &Loaded, json: bool) -> ExitCode {
-    let row = |(key, (at_ms, what)): (&Key, &(u64, What))| match (key, what) {
-        (Key::Server(name), What::Server(note)) => json!({
+fn show(loaded: &LoadedState, json: bool) -> ExitCode {
+    let row = |(key, (at_ms, what)): (&Key, &(u64, EntryValue))| match (key, what) {
+        (Key::Server(name), EntryValue::Server(note)) => json!({
             "at_ms": at_ms, "server": name, "zone": note.zone, "kind": note.kind, "gone": note.gone,
             "draining": note.draining, "counter": note.counter, "relief": note.relief,
             "warm_ms": note.warm_ms, "doubted_until_ms": note.doubted_until_ms,
         }),
-        (Key::Level(class, table), What::Level(level)) => {
+        (Key::Level(class, table), EntryValue::Level(level)) => {
             json!({"at_ms": at_ms, "class": class, "table": table, "level": level})
         }
-        (Key::Size(server), What::Size(cores)) => json!({"at_ms": at_ms, "server": server, "cores": cores}),
+        (Key::Size(server), EntryValue::Size(cores)) => {
+            json!({"at_ms": at_ms, "server": server, "cores": cores})
+        }
         (key, what) => json!({"at_ms": at_ms, "key": format!("{key:?}"), "what": format!("{what:?}")}),
     };
     let rows: Vec<_> = loaded.state.iter().map(row).collect();
@@ -73,7 +77,7 @@
     ExitCode::SUCCESS
 }
 
-fn verify(loaded: &Loaded, json: bool) -> ExitCode {
+fn verify(loaded: &LoadedState, json: bool) -> ExitCode {
     if json {
         println!("{}", json!({"sound": loaded.remarks.is_empty(), "remarks": loaded.remarks}));
     } else {
@@ -89,10 +93,10 @@
 }
 
 fn compact(folder: &std::path::Path) -> Result<ExitCode, String> {
-    let wrong = |trouble: Trouble| format!("{}: {trouble}", folder.display());
-    let owner = owner_of(&Folder::look(folder)).map_err(|e| wrong(e.into()))?;
+    let wrong = |trouble: RecoveryError| format!("{}: {trouble}", folder.display());
+    let owner = owner_of(&DirectoryStorage::look(folder)).map_err(|e| wrong(e.into()))?;
     let owner = owner.ok_or_else(|| format!("{}: no memory", folder.display()))?;
-    let disk = Folder::hold(folder).map_err(|e| match e.kind() {
+    let disk = DirectoryStorage::hold(folder).map_err(|e| match e.kind() {
         std::io::ErrorKind::WouldBlock => format!("{}: a pilot holds it", folder.display()),
         _ => wrong(e.into()),
     })?;
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lockcroft_scenario::{Day, Report, play};
+use lockcroft_scenario::{Report, Scenario, play};
 use serde::Serialize;
 
 use crate::ways;
@@ -42,7 +42,7 @@
 
 impl Rehearsal {
     pub fn run(self) -> ExitCode {
-        let day = match Day::open(&self.day) {
+        let day = match Scenario::open(&self.day) {
             Ok(day) => day,
             Err(faults) => {
                 eprintln!("{faults}");
@@ -76,7 +76,7 @@
         }
     }
 
-    fn in_way(&self, day: Day) -> Result<Day, String> {
+    fn in_way(&self, day: Scenario) -> Result<Scenario, String> {
         let Some(name) = &self.way else { return Ok(day) };
         let all = ways::all(&day);
         match all.iter().find(|way| way.name == *name) {
@@ -94,7 +94,7 @@
     serde_json::to_writer(BufWriter::new(file), what).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn run(day: &Day, keep: Option<PathBuf>) -> Result<Report, String> {
+fn run(day: &Scenario, keep: Option<PathBuf>) -> Result<Report, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let passing = tempfile::tempdir().map_err(|e| e.to_string())?;
     let folder = keep.unwrap_or_else(|| passing.path().into());
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -3,13 +3,13 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use lockcroft_solver::Fault;
-use lockcroft_solver_format::{Named, json, picture, text};
+use lockcroft_solver::ProblemError;
+use lockcroft_solver_format::{NamedProblem, json, picture, text};
 
 use crate::faults_json;
 
 pub fn solve(file: &Path, as_json: bool, drawn: Option<&Path>) -> ExitCode {
-    let named = match Named::open(file) {
+    let named = match NamedProblem::open(file) {
         Ok(named) => named,
         Err(faults) => {
             if as_json {
@@ -44,11 +44,11 @@
     }
 }
 
-fn named_fault(named: &Named, fault: &Fault) -> String {
+fn named_fault(named: &NamedProblem, fault: &ProblemError) -> String {
     let entry = match fault {
-        Fault::Server(place, ..) => named.servers.get(*place),
-        Fault::Class(place, ..) | Fault::Place(place, ..) => named.classes.get(*place),
-        Fault::Crossing(_) => None,
+        ProblemError::Endpoint(place, ..) => named.servers.get(*place),
+        ProblemError::Class(place, ..) | ProblemError::Place(place, ..) => named.classes.get(*place),
+        ProblemError::Crossing(_) => None,
     };
     entry.map_or_else(|| fault.to_string(), |entry| format!("{entry} ({fault})"))
 }
--- a/crates/cli/src/ways.rs
+++ b/crates/cli/src/ways.rs
@@ -6,16 +6,16 @@
 use std::process::{Child, Command, ExitCode, Stdio};
 use std::time::Duration;
 
-use lockcroft_scenario::{Day, Summary, Variant, search};
+use lockcroft_scenario::{Scenario, Summary, Variant, search};
 use serde_json::json;
 
 /// The ways that a day's file names, and those of its search.
-pub fn all(day: &Day) -> Vec<Variant> {
+pub fn all(day: &Scenario) -> Vec<Variant> {
     day.ways.iter().cloned().chain(search(&day.tries)).collect()
 }
 
 /// Plays them, so many at once, and prints a row each, the best of a search first.
-pub fn compare(file: &Path, day: &Day, searching: bool, at_once: usize, json: bool) -> ExitCode {
+pub fn compare(file: &Path, day: &Scenario, searching: bool, at_once: usize, json: bool) -> ExitCode {
     let ways = if searching { search(&day.tries) } else { day.ways.clone() };
     if ways.is_empty() || searching && day.tries.is_empty() {
         let what = if searching { "search" } else { "way" };
--- a/crates/cli/tests/daemon/days.rs
+++ b/crates/cli/tests/daemon/days.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use lockcroft_scenario::{Day, Report, play};
-use lockcroft_testbed::What;
+use lockcroft_scenario::{Report, Scenario, play};
+use lockcroft_testbed::TrafficEvent;
 
 use crate::help::PROGRAM;
 
@@ -33,7 +33,7 @@
         {troubles}
         </day>"#
     );
-    let day = Day::parse(&text).expect("a sound day");
+    let day = Scenario::parse(&text).expect("a sound day");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let played = runtime.expect("a runtime").block_on(play(&day, Path::new(PROGRAM), folder.path(), |_| {}));
@@ -43,14 +43,14 @@
     (report, log)
 }
 
-fn some(report: &Report, wanted: impl Fn(&What) -> bool) -> bool {
+fn some(report: &Report, wanted: impl Fn(&TrafficEvent) -> bool) -> bool {
     report.records.iter().any(|record| wanted(&record.what))
 }
 
 /// All orders of a day: relay, command, answer.
 fn orders(report: &Report) -> impl DoubleEndedIterator<Item = (&String, &String, &String)> {
     report.records.iter().flat_map(|record| match &record.what {
-        What::Set { relay, orders } => orders.iter().map(|(c, a)| (relay, c, a)).collect(),
+        TrafficEvent::Set { relay, orders } => orders.iter().map(|(c, a)| (relay, c, a)).collect(),
         _ => Vec::new(),
     })
 }
@@ -63,7 +63,10 @@
         r#"<trouble at="7s" for="4s" kind="stall-relay" relay="r-a-1" after-commands="1"/>
            <trouble at="7.2s" kind="drain" servers="a-1 b-2"/>"#,
     );
-    assert!(some(&report, |what| matches!(what, What::Stalled { on: true, .. })), "the stall took place");
+    assert!(
+        some(&report, |what| matches!(what, TrafficEvent::Stalled { on: true, .. })),
+        "the stall took place"
+    );
     // The relay comes to the right tables once it goes on.
     let last = |relay: &str| {
         let of = |(at, command, answer): &(&String, &String, &String)| {
@@ -94,10 +97,9 @@
         r#"<trouble at="1s" kind="break-relay" relay="r-b-2" after-commands="3"/>
            <trouble at="8s" kind="restart-relay" relay="r-a-2"/>"#,
     );
-    let broke = report
-        .records
-        .iter()
-        .position(|record| matches!(&record.what, What::Stream { relay, open: false } if relay == "r-b-2"));
+    let broke = report.records.iter().position(
+        |record| matches!(&record.what, TrafficEvent::Stream { relay, open: false } if relay == "r-b-2"),
+    );
     assert!(broke.is_some(), "the stream broke");
     let mut added = std::collections::BTreeMap::new();
     for (relay, command, answer) in orders(&report) {
@@ -121,8 +123,8 @@
            <trouble at="8s" for="6s" kind="lose" zone="b" notice="1500ms"/>
            <trouble at="11s" for="4s" kind="lie" servers="a-1"/>"#,
     );
-    assert!(some(&report, |what| matches!(what, What::Started { .. })), "they came back");
-    assert!(!some(&report, |what| matches!(what, What::Fell { .. })));
+    assert!(some(&report, |what| matches!(what, TrafficEvent::Started { .. })), "they came back");
+    assert!(!some(&report, |what| matches!(what, TrafficEvent::Fell { .. })));
     assert!(report.score.whole > 0.7, "{report}");
 }
 
@@ -136,8 +138,10 @@
     );
     let sent = |from: u64, to: u64| {
         let here = report.records.iter().filter(|record| (from..to).contains(&record.at.as_secs()));
-        here.filter(|record| matches!(&record.what, What::Arrived { endpoint, .. } if endpoint == "a-2"))
-            .count()
+        here.filter(
+            |record| matches!(&record.what, TrafficEvent::Arrived { endpoint, .. } if endpoint == "a-2"),
+        )
+        .count()
     };
     assert!(sent(5, 7) > 5, "it had its share");
     assert!(sent(11, 15) < sent(7, 11).max(10), "and lost it: {} then {}", sent(7, 11), sent(11, 15));
@@ -156,7 +160,7 @@
            <trouble at="16s" kind="drain" servers="b-3"/>"#,
     );
     let laid = |wanted: &str| {
-        let count = |record: &&lockcroft_testbed::Record| matches!(&record.what, What::Laid { relay, .. } if relay == wanted);
+        let count = |record: &&lockcroft_testbed::TrafficRecord| matches!(&record.what, TrafficEvent::Laid { relay, .. } if relay == wanted);
         report.records.iter().filter(count).count()
     };
     assert!(laid("r-a-2") >= 4 && laid("r-b-2") >= 4, "{} and {}\n{log}", laid("r-a-2"), laid("r-b-2"));
--- a/crates/cli/tests/daemon/help.rs
+++ b/crates/cli/tests/daemon/help.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use lockcroft_scenario::PilotProcess;
+use lockcroft_scenario::ControllerProcess;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_lockcroft");
 
@@ -54,9 +54,10 @@
     }
 
     /// A pilot that answers by now.
-    pub fn pilot(&self) -> PilotProcess {
+    pub fn pilot(&self) -> ControllerProcess {
         let log = self.path("pilot.log");
-        let pilot = PilotProcess::start(Path::new(PROGRAM), &self.path("pilot.xml"), &log).expect("started");
+        let pilot =
+            ControllerProcess::start(Path::new(PROGRAM), &self.path("pilot.xml"), &log).expect("started");
         self.until("show info", |said| said.contains("Servers: 2"));
         pilot
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -62,7 +62,13 @@
     pub fn open(file: &Path, schema: &'static str) -> Result<Self, ConfigErrors> {
         let text = std::fs::read_to_string(file).map_err(|e| {
             let wrong = format!("cannot be read: {e}");
-            ConfigErrors(vec![ConfigError { file: file.into(), line: 0, element: String::new(), wrong, allowed: None }])
+            ConfigErrors(vec![ConfigError {
+                file: file.into(),
+                line: 0,
+                element: String::new(),
+                wrong,
+                allowed: None,
+            }])
         })?;
         Document::new(file, text, schema)
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,9 +8,9 @@
 mod schema;
 mod values;
 
-pub use document::{Document, ConfigError, ConfigErrors};
-pub use post::{ListenerConfig, TableFilesConfig, LogConfig, DaemonConfig, ProxyConfig, EndpointListSource};
-pub use roster::{EndpointEntry, EndpointList};
+pub use document::{ConfigError, ConfigErrors, Document};
+pub use post::{DaemonConfig, EndpointListSource, ListenerConfig, LogConfig, ProxyConfig, TableFilesConfig};
+pub use roster::{EndpointEntry, EndpointListConfig};
 pub use values::parse_duration;
 
 /// The schema of the settings and of rosters, as published with the program.
--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -9,8 +9,8 @@
 use lockcroft_runtime_api::{Address, Level};
 use roxmltree::Node;
 
-use crate::document::{Document, ConfigError, ConfigErrors};
-use crate::roster::EndpointList;
+use crate::document::{ConfigError, ConfigErrors, Document};
+use crate::roster::EndpointListConfig;
 use crate::values::parse_duration;
 
 /// A pilot's post: the terms its decisions read, and where its sockets stand.
@@ -72,7 +72,7 @@
 pub enum EndpointListSource {
     /// A file, looked at anew this often.
     File(PathBuf, Duration),
-    Here(EndpointList),
+    Here(EndpointListConfig),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -168,7 +168,8 @@
         let places = NameIndex::read(&self.terms);
         self.once(part("proxies"));
         let proxies: Vec<_> = proxies.into_iter().filter_map(|node| self.proxy(node, &places)).collect();
-        let time = |name: &str| pilot.and_then(|node| node.attribute(name)).and_then(|t| parse_duration(t).ok());
+        let time =
+            |name: &str| pilot.and_then(|node| node.attribute(name)).and_then(|t| parse_duration(t).ok());
         let redial = [time("redial-least").unwrap_or(REDIAL[0]), time("redial-most").unwrap_or(REDIAL[1])];
         DaemonConfig {
             file: self.document.file().into(),
@@ -205,7 +206,9 @@
             let kind = self.document.attribute_type(node, attribute.name()).unwrap_or_default();
             match kind.as_str() {
                 "time" => match parse_duration(value) {
-                    Ok(time) => self.put(&format!("{name}_us"), SettingValue::Number(time.as_micros() as f64)),
+                    Ok(time) => {
+                        self.put(&format!("{name}_us"), SettingValue::Number(time.as_micros() as f64))
+                    }
                     Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
                 },
                 "amount" | "positive" | "share" | "count" => {
@@ -315,13 +318,13 @@
         let most = weight_most(&self.terms);
         if let Some(node) = file {
             let path = self.base().join(text(node, "path"));
-            if let Err(faults) = EndpointList::open(&path, places, most) {
+            if let Err(faults) = EndpointListConfig::open(&path, places, most) {
                 self.faults.extend(faults.0);
             }
             let every = node.attribute("look-every").and_then(|time| parse_duration(time).ok());
             return EndpointListSource::File(path, every.unwrap_or(LOOK_EVERY));
         }
-        let read = here.map(|node| EndpointList::read(self.document, node, places, most));
+        let read = here.map(|node| EndpointListConfig::read(self.document, node, places, most));
         let read = read.transpose().unwrap_or_else(|faults| {
             self.faults.extend(faults.0);
             None
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-use lockcroft::{MachineTypeId, EndpointStatus, ZoneId};
+use lockcroft::{EndpointStatus, MachineTypeId, ZoneId};
 use lockcroft_host::NameIndex;
 use roxmltree::Node;
 
-use crate::document::{Document, ConfigError, ConfigErrors};
+use crate::document::{ConfigError, ConfigErrors, Document};
 
 /// One server of the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,13 +27,13 @@
 
 /// A whole list, at its version.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointList {
+pub struct EndpointListConfig {
     /// 0 is the first version: nothing was ever taken off it.
     pub version: u64,
     pub entries: Vec<EndpointEntry>,
 }
 
-impl EndpointList {
+impl EndpointListConfig {
     /// Reads a roster that stands in a file of its own.
     ///
     /// # Errors
@@ -43,9 +43,13 @@
         let tree = document.tree();
         let root = tree.root_element();
         if !root.has_tag_name("roster") {
-            return Err(ConfigErrors(vec![document.fault(root, "is no roster", Some("the root element roster"))]));
+            return Err(ConfigErrors(vec![document.fault(
+                root,
+                "is no roster",
+                Some("the root element roster"),
+            )]));
         }
-        EndpointList::read(&document, root, places, weight_most)
+        EndpointListConfig::read(&document, root, places, weight_most)
     }
 
     pub(crate) fn read(
@@ -70,11 +74,20 @@
             }
         }
         let version = root.attribute("version").and_then(|version| version.parse().ok()).unwrap_or(0);
-        if faults.is_empty() { Ok(EndpointList { version, entries }) } else { Err(ConfigErrors(faults)) }
+        if faults.is_empty() {
+            Ok(EndpointListConfig { version, entries })
+        } else {
+            Err(ConfigErrors(faults))
+        }
     }
 }
 
-fn entry(document: &Document, node: Node, places: &NameIndex, weight_most: f64) -> Result<EndpointEntry, ConfigError> {
+fn entry(
+    document: &Document,
+    node: Node,
+    places: &NameIndex,
+    weight_most: f64,
+) -> Result<EndpointEntry, ConfigError> {
     let text = |name: &str| node.attribute(name).unwrap_or_default();
     let zones = places.zones.join(", ");
     let kinds = places.kinds.join(", ");
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -4,7 +4,7 @@
 
 use expect_test::{Expect, expect};
 use lockcroft::SettingValue;
-use lockcroft_config::{Document, DaemonConfig, SCHEMA};
+use lockcroft_config::{DaemonConfig, Document, SCHEMA};
 
 const SOUND: &str = r#"<lockcroft>
   <pilot name="p1" seed="9"/>
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -6,27 +6,27 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft_config::TableFilesConfig;
-use lockcroft_fleet::{Publication, Report, Unwritten};
+use lockcroft_fleet::{AppliedReport, Publication, PublishError};
 use lockcroft_table_format::proto::Status;
-use lockcroft_table_store::{Statuses, WriteError, Writer, Written, read_keys};
+use lockcroft_table_store::{SnapshotWriter, StatusReader, WriteError, WrittenSnapshot, read_keys};
 use tracing::info;
 
-use crate::{News, Told, complain};
+use crate::{Event, Told, complain};
 
 /// The inbox of the thread that writes; it ends with this.
-pub struct Press(Sender<Arc<Publication>>);
+pub struct SnapshotPublisher(Sender<Arc<Publication>>);
 
-impl Press {
+impl SnapshotPublisher {
     /// # Errors
     /// The thread can't be had, or the keys can't be read.
     pub fn start(at: &TableFilesConfig, pilot: &str, told: Told) -> Result<Self, String> {
         let (sender, inbox) = channel();
         // Wrong keys are told at the start; later the last good ones stay.
         read_keys(&at.keys)?;
-        let hand = Hand { at: at.clone(), pilot: pilot.into(), writer: None };
+        let hand = ProxyConnections { at: at.clone(), pilot: pilot.into(), writer: None };
         let work = move || hand.work(&inbox, &told);
         let thread = std::thread::Builder::new().name("files".into()).spawn(work);
-        thread.map(|_| Press(sender)).map_err(|e| e.to_string())
+        thread.map(|_| SnapshotPublisher(sender)).map_err(|e| e.to_string())
     }
 
     pub fn write(&self, publication: Arc<Publication>) {
@@ -35,24 +35,24 @@
     }
 }
 
-struct Hand {
+struct ProxyConnections {
     at: TableFilesConfig,
     pilot: String,
-    writer: Option<Writer>,
+    writer: Option<SnapshotWriter>,
 }
 
-impl Hand {
+impl ProxyConnections {
     fn work(mut self, inbox: &Receiver<Arc<Publication>>, told: &Told) {
         while let Ok(publication) = inbox.recv() {
             let done = self.write(&publication);
-            if told.blocking_send(News::Written { done }).is_err() {
+            if told.blocking_send(Event::SnapshotWritten { done }).is_err() {
                 return;
             }
         }
     }
 
     /// The epoch is taken with the first generation, so that a pilot that has nothing to say fences nobody off.
-    fn write(&mut self, publication: &Publication) -> Result<Written, Unwritten> {
+    fn write(&mut self, publication: &Publication) -> Result<WrittenSnapshot, PublishError> {
         let keys = read_keys(&self.at.keys);
         let writer = match (&mut self.writer, keys) {
             (Some(writer), Ok(keys)) => {
@@ -64,27 +64,27 @@
                 writer
             }
             (none, Ok(keys)) => {
-                let taken = Writer::take(&self.at.folder, &self.pilot, keys);
+                let taken = SnapshotWriter::take(&self.at.folder, &self.pilot, keys);
                 let writer = taken.map_err(|e| failed(&self.at, &e.to_string()))?;
                 info!(target: "lockcroft::pilot", epoch = writer.epoch(), "epoch of files taken");
                 none.insert(writer)
             }
-            (None, Err(wrong)) => return Err(Unwritten::Failed(wrong)),
+            (None, Err(wrong)) => return Err(PublishError::Failed(wrong)),
         };
         writer.write(&publication.content, publication.keep).map_err(|wrong| match wrong {
-            WriteError::Fenced(epoch) => Unwritten::Fenced(epoch),
+            WriteError::Fenced(epoch) => PublishError::Fenced(epoch),
             WriteError::Io(error) => failed(&self.at, &error.to_string()),
         })
     }
 }
 
-fn failed(at: &TableFilesConfig, why: &str) -> Unwritten {
-    Unwritten::Failed(format!("{}: {why}", at.folder.display()))
+fn failed(at: &TableFilesConfig, why: &str) -> PublishError {
+    PublishError::Failed(format!("{}: {why}", at.folder.display()))
 }
 
 /// Looks at what proxies write back, and tells what changed.
 pub async fn watch(folder: PathBuf, every: Duration, start: SystemTime, told: Told) {
-    let mut statuses = Statuses::default();
+    let mut statuses = StatusReader::default();
     loop {
         tokio::time::sleep(every).await;
         let own = folder.clone();
@@ -99,16 +99,16 @@
             continue;
         }
         let reports = changed.into_iter().map(|status| report(status, start)).collect();
-        if told.send(News::Laid { reports }).await.is_err() {
+        if told.send(Event::Laid { reports }).await.is_err() {
             return;
         }
     }
 }
 
-fn report(status: Status, start: SystemTime) -> Report {
+fn report(status: Status, start: SystemTime) -> AppliedReport {
     let start = start.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let since = |at_ms: u64| Duration::from_millis(at_ms).saturating_sub(start);
-    Report {
+    AppliedReport {
         proxy: status.proxy,
         laid: status.laid.last().map(|laid| (laid.epoch, laid.version, since(laid.at_ms))),
         refused: status.refused.into_option().map(|refused| (refused.epoch, refused.version, refused.why)),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
 //! The daemon: one pilot on loopback sockets. Sockets and clocks stand here and nothing else; what
-//! happens becomes calls of [`lockcroft_fleet::Helm`], and its effects are carried out.
+//! happens becomes calls of [`lockcroft_fleet::FleetController`], and its effects are carried out.
 
 mod files;
 mod logs;
@@ -14,39 +14,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use lockcroft::{HealthCheckOutcome, ProxyId, EndpointId};
-use lockcroft_config::{DaemonConfig, EndpointList, EndpointListSource};
-use lockcroft_fleet::{Effect, Helm, Kept, Report, Task, Unwritten};
+use lockcroft::{EndpointId, HealthCheckOutcome, ProxyId};
+use lockcroft_config::{DaemonConfig, EndpointListConfig, EndpointListSource};
+use lockcroft_fleet::{AppliedReport, Effect, FleetController, PublishError, SolverTask, StateRecovery};
 use lockcroft_runtime_api::{Address, Listener};
 use lockcroft_solver::Answer;
-use lockcroft_table_store::Written;
+use lockcroft_table_store::WrittenSnapshot;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{LocalSet, spawn_local};
 use tracing::{info, warn};
 
-pub use crate::logs::{Logs, start as start_logs};
+pub use crate::logs::{Logging, start as start_logs};
 pub use crate::probes::probe;
 
-use crate::files::Press;
-use crate::memory::Keeper;
-use crate::station::Station;
-use crate::streams::Hand;
+use crate::files::SnapshotPublisher;
+use crate::memory::StateWriter;
+use crate::station::OperatorCommands;
+use crate::streams::ProxyConnections;
 
 /// Something that happened on a socket or to a file.
-enum News {
-    Listed(EndpointList),
+enum Event {
+    Listed(EndpointListConfig),
     Probed { server: EndpointId, finding: HealthCheckOutcome, took: Duration },
     Connected { proxy: ProxyId, stream: u64 },
     Broken { proxy: ProxyId, stream: u64, why: String },
     Planned { answer: Option<Answer> },
-    Written { done: Result<Written, Unwritten> },
-    Laid { reports: Vec<Report> },
-    Kept(Kept),
+    SnapshotWritten { done: Result<WrittenSnapshot, PublishError> },
+    Laid { reports: Vec<AppliedReport> },
+    StateSaved(StateRecovery),
     Answered { proxy: ProxyId, stream: u64, texts: Vec<String> },
 }
 
-type Told = mpsc::Sender<News>;
+type Told = mpsc::Sender<Event>;
 
 /// So much news may wait; who has more is read no further until there is room.
 const NEWS_MOST: usize = 4096;
@@ -64,34 +64,36 @@
     LocalSet::new().block_on(&runtime, run(post, logs))
 }
 
-async fn run(post: &DaemonConfig, logs: logs::Logs) -> Result<(), String> {
+async fn run(post: &DaemonConfig, logs: logs::Logging) -> Result<(), String> {
     let start = Instant::now();
     let epoch =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let poke = Rc::new(Notify::new());
     let reread = Rc::new(Notify::new());
-    let station = Rc::new(RefCell::new(Station::new(Helm::new(post, epoch), logs, reread.clone())));
+    let station =
+        Rc::new(RefCell::new(OperatorCommands::new(FleetController::new(post, epoch), logs, reread.clone())));
     open_doors(post, &station, &poke).await?;
     let (told, mut news) = mpsc::channel(NEWS_MOST);
-    let hands: Vec<Hand> = post
+    let hands: Vec<ProxyConnections> = post
         .proxies
         .iter()
         .enumerate()
-        .map(|(proxy, at)| Hand::new(proxy, at.address.clone(), told.clone()))
+        .map(|(proxy, at)| ProxyConnections::new(proxy, at.address.clone(), told.clone()))
         .collect();
     let kept = post.memory.as_ref().and_then(|folder| memory::open(post, folder, told.clone()));
     let keeper = kept.map(|(keeper, recalled)| {
         station.borrow_mut().helm.remember(recalled);
         keeper
     });
-    let press = post.files.as_ref().map(|at| Press::start(at, &post.name, told.clone())).transpose()?;
+    let press =
+        post.files.as_ref().map(|at| SnapshotPublisher::start(at, &post.name, told.clone())).transpose()?;
     if let Some(at) = &post.files {
         let wall = SystemTime::now().checked_sub(start.elapsed()).unwrap_or(SystemTime::UNIX_EPOCH);
         spawn_local(files::watch(at.folder.clone(), at.look_every, wall, told.clone()));
     }
     match &post.roster {
         EndpointListSource::Here(roster) => {
-            let _ = told.send(News::Listed(roster.clone())).await;
+            let _ = told.send(Event::Listed(roster.clone())).await;
         }
         EndpointListSource::File(path, every) => {
             let (places, most) = (post.places.clone(), post.weight_most());
@@ -130,7 +132,11 @@
     Ok(())
 }
 
-async fn open_doors(post: &DaemonConfig, station: &Rc<RefCell<Station>>, poke: &Rc<Notify>) -> Result<(), String> {
+async fn open_doors(
+    post: &DaemonConfig,
+    station: &Rc<RefCell<OperatorCommands>>,
+    poke: &Rc<Notify>,
+) -> Result<(), String> {
     for door in &post.doors {
         let listener = Listener::bind(&door.address).await;
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", door.address))?;
@@ -141,29 +147,35 @@
     Ok(())
 }
 
-fn take_in(helm: &mut Helm, now: Duration, news: News) {
+fn take_in(helm: &mut FleetController, now: Duration, news: Event) {
     match news {
-        News::Listed(roster) => helm.listed(now, SystemTime::now(), roster),
-        News::Probed { server, finding, took } => helm.probed(now, server, finding, took),
-        News::Planned { answer } => helm.planned(now, answer),
-        News::Written { done } => helm.written(now, done),
-        News::Kept(kept) => helm.kept(kept),
-        News::Laid { reports } => reports.into_iter().for_each(|report| helm.laid(now, report)),
-        News::Connected { proxy, stream } => helm.connected(now, proxy, stream),
-        News::Broken { proxy, stream, why } => helm.broken(now, proxy, stream, &why),
-        News::Answered { proxy, stream, texts } => {
+        Event::Listed(roster) => helm.listed(now, SystemTime::now(), roster),
+        Event::Probed { server, finding, took } => helm.probed(now, server, finding, took),
+        Event::Planned { answer } => helm.planned(now, answer),
+        Event::SnapshotWritten { done } => helm.written(now, done),
+        Event::StateSaved(kept) => helm.kept(kept),
+        Event::Laid { reports } => reports.into_iter().for_each(|report| helm.laid(now, report)),
+        Event::Connected { proxy, stream } => helm.connected(now, proxy, stream),
+        Event::Broken { proxy, stream, why } => helm.broken(now, proxy, stream, &why),
+        Event::Answered { proxy, stream, texts } => {
             texts.iter().for_each(|text| helm.answered(now, proxy, stream, text));
         }
     }
 }
 
-fn carry_out(effect: Effect, hands: &[Hand], press: Option<&Press>, keeper: Option<&Keeper>, told: &Told) {
+fn carry_out(
+    effect: Effect,
+    hands: &[ProxyConnections],
+    press: Option<&SnapshotPublisher>,
+    keeper: Option<&StateWriter>,
+    told: &Told,
+) {
     match effect {
         Effect::Probe { server, address } => {
             let told = told.clone();
             spawn_local(async move {
                 let (finding, took) = probes::probe(address).await;
-                let _ = told.send(News::Probed { server, finding, took }).await;
+                let _ = told.send(Event::Probed { server, finding, took }).await;
             });
         }
         Effect::Solve(task) => {
@@ -184,11 +196,11 @@
 }
 
 /// Off the thread that decides; the last answer stands meanwhile.
-async fn solve(task: Arc<Task>) -> News {
+async fn solve(task: Arc<SolverTask>) -> Event {
     let solved = tokio::task::spawn_blocking(move || lockcroft_solver::solve(&task.problem)).await;
     let solved = solved.map_err(|e| e.to_string()).and_then(|solved| solved.map_err(|e| e.to_string()));
     let answer = solved.inspect_err(|fault| complain(&format!("no plan: {fault}"))).ok();
-    News::Planned { answer }
+    Event::Planned { answer }
 }
 
 /// Warns of something that concerns people rather than decisions.
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -6,14 +6,14 @@
 use tracing_subscriber::{EnvFilter, Registry, fmt, reload};
 
 /// The levels that are in force, and a way to change them.
-pub struct Logs {
+pub struct Logging {
     handle: reload::Handle<EnvFilter, Registry>,
     pub levels: String,
 }
 
 /// # Errors
 /// The levels are malformed, or logs were started before.
-pub fn start(terms: &LogConfig) -> Result<Logs, String> {
+pub fn start(terms: &LogConfig) -> Result<Logging, String> {
     let levels = terms.levels.clone().unwrap_or_else(|| "info".into());
     let (filter, handle) = reload::Layer::new(read(&levels)?);
     let lines = fmt::layer().with_writer(std::io::stderr);
@@ -23,10 +23,10 @@
         false => registry.with(lines.with_ansi(false)).try_init(),
     };
     done.map_err(|e| format!("logs: {e}"))?;
-    Ok(Logs { handle, levels })
+    Ok(Logging { handle, levels })
 }
 
-impl Logs {
+impl Logging {
     /// # Errors
     /// Says what is wrong with the levels; those before stay in force.
     pub fn set(&mut self, levels: &str) -> Result<(), String> {
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -6,23 +6,26 @@
 
 use lockcroft::Settings;
 use lockcroft_config::DaemonConfig;
-use lockcroft_fleet::Kept;
-use lockcroft_state_store::{Entry, Folder, Loaded, Owner, Recalled, Rules, Store, Trouble, age};
+use lockcroft_fleet::StateRecovery;
+use lockcroft_state_store::{
+    AgeingRules, DirectoryStorage, Entry, LoadedState, RecoveredState, RecoveryError, Store, StoreIdentity,
+    age,
+};
 use tracing::{info, warn};
 
-use crate::{News, Told, complain};
+use crate::{Event, Told, complain};
 
 /// What was learned is on disk after so long.
 const FLUSH_EVERY: Duration = Duration::from_millis(250);
 
 /// The inbox of the thread that writes.
-pub struct Keeper(Sender<Vec<Entry>>);
+pub struct StateWriter(Sender<Vec<Entry>>);
 
 /// Reads what there is, and begins to write. Without a memory that is sound and its own the pilot starts with none, and
 /// leaves the folder alone.
-pub fn open(post: &DaemonConfig, folder: &Path, told: Told) -> Option<(Keeper, Recalled)> {
+pub fn open(post: &DaemonConfig, folder: &Path, told: Told) -> Option<(StateWriter, RecoveredState)> {
     let begun = Instant::now();
-    let opened = Folder::hold(folder).map_err(Trouble::from);
+    let opened = DirectoryStorage::hold(folder).map_err(RecoveryError::from);
     let opened = opened.and_then(|disk| Store::open(disk, owner(post)));
     let (store, loaded) = match opened {
         Ok(opened) => opened,
@@ -34,7 +37,7 @@
             return None;
         }
     };
-    let Loaded { state, remarks, from, bytes, .. } = loaded;
+    let LoadedState { state, remarks, from, bytes, .. } = loaded;
     remarks.iter().for_each(|remark| warn!(target: "lockcroft::memory", "{remark}"));
     let wall =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -44,25 +47,25 @@
     let (sender, inbox) = channel();
     let work = move || keep(store, &inbox, &told);
     std::thread::Builder::new().name("memory".into()).spawn(work).ok()?;
-    Some((Keeper(sender), recalled))
+    Some((StateWriter(sender), recalled))
 }
 
 /// Whose memory it is.
-pub fn owner(post: &DaemonConfig) -> Owner {
+pub fn owner(post: &DaemonConfig) -> StoreIdentity {
     let names = [&post.places.zones, &post.places.kinds, &post.places.classes];
     // A blank between the lists: none of the names has one.
     let names = names.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
-    Owner::of(&post.name, names)
+    StoreIdentity::of(&post.name, names)
 }
 
-fn rules(terms: &Settings) -> Rules {
-    Rules {
+fn rules(terms: &Settings) -> AgeingRules {
+    AgeingRules {
         report_period: terms.span("fleet.report_period_us").max(Duration::from_millis(100)),
         warm_within: terms.span("rules.warm_within_us"),
     }
 }
 
-impl Keeper {
+impl StateWriter {
     pub fn write(&self, entries: Vec<Entry>) {
         // The thread ends only with the pilot.
         let _ = self.0.send(entries);
@@ -70,7 +73,7 @@
 }
 
 /// Entries go into the journal as they come, and are flushed a few times a second.
-fn keep(mut store: Store<Folder>, inbox: &Receiver<Vec<Entry>>, told: &Told) {
+fn keep(mut store: Store<DirectoryStorage>, inbox: &Receiver<Vec<Entry>>, told: &Told) {
     let (mut due, mut trouble): (Option<Instant>, Option<String>) = (None, None);
     loop {
         let wait = due.map_or(Duration::MAX, |due| due.saturating_duration_since(Instant::now()));
@@ -97,14 +100,14 @@
         }
         if flushing {
             due = wrong.is_some().then(|| Instant::now() + FLUSH_EVERY);
-            let kept = Kept {
+            let kept = StateRecovery {
                 entries: store.state().len(),
                 bytes: store.bytes(),
                 number: store.number(),
                 flush: begun.elapsed(),
                 trouble: wrong.clone(),
             };
-            if told.blocking_send(News::Kept(kept)).is_err() {
+            if told.blocking_send(Event::StateSaved(kept)).is_err() {
                 return;
             }
         }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_config::EndpointList;
+use lockcroft_config::EndpointListConfig;
 use lockcroft_host::NameIndex;
 use tokio::sync::Notify;
 
-use crate::{News, Told, complain};
+use crate::{Event, Told, complain};
 
 /// A file that is wrong is complained of once, and the list before it stands.
 pub async fn watch(
@@ -27,9 +27,9 @@
         let looks = std::fs::metadata(&path).ok().as_ref().map(mark);
         if asked || looks != last {
             last = looks;
-            match EndpointList::open(&path, &places, weight_most) {
+            match EndpointListConfig::open(&path, &places, weight_most) {
                 Ok(roster) => {
-                    if told.send(News::Listed(roster)).await.is_err() {
+                    if told.send(Event::Listed(roster)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/daemon/src/station.rs
+++ b/crates/daemon/src/station.rs
@@ -2,23 +2,23 @@
 
 use std::rc::Rc;
 
-use lockcroft_fleet::Helm;
-use lockcroft_runtime_api::{CommandResult, Command, CommandHandler, CommandEntry, Level};
-use lockcroft_solver_format::Named;
+use lockcroft_fleet::FleetController;
+use lockcroft_runtime_api::{Command, CommandEntry, CommandHandler, CommandResult, Level};
+use lockcroft_solver_format::NamedProblem;
 use tokio::sync::Notify;
 
-use crate::logs::Logs;
+use crate::logs::Logging;
 
 /// The helm, and what operators may turn beside it.
-pub struct Station {
-    pub helm: Helm,
-    logs: Logs,
+pub struct OperatorCommands {
+    pub helm: FleetController,
+    logs: Logging,
     reread: Rc<Notify>,
 }
 
-impl Station {
-    pub fn new(helm: Helm, logs: Logs, reread: Rc<Notify>) -> Self {
-        Station { helm, logs, reread }
+impl OperatorCommands {
+    pub fn new(helm: FleetController, logs: Logging, reread: Rc<Notify>) -> Self {
+        OperatorCommands { helm, logs, reread }
     }
 
     fn set_server(&mut self, command: &Command) -> Result<String, String> {
@@ -70,14 +70,14 @@
     CommandEntry { words, level: Level::Admin, help }
 }
 
-fn problem(helm: &Helm) -> Result<String, String> {
+fn problem(helm: &FleetController) -> Result<String, String> {
     let (problem, servers) = helm.plan().ok_or("No plan yet.")?;
     let places = helm.places();
     let (zones, classes) = (places.zones.clone(), places.classes.clone());
-    Ok(lockcroft_solver_format::write(&Named { problem: problem.clone(), zones, servers, classes }))
+    Ok(lockcroft_solver_format::write(&NamedProblem { problem: problem.clone(), zones, servers, classes }))
 }
 
-impl CommandHandler for Station {
+impl CommandHandler for OperatorCommands {
     fn entries(&self) -> &'static [CommandEntry] {
         &ENTRIES
     }
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -5,13 +5,13 @@
 
 use bytes::BytesMut;
 use lockcroft::ProxyId;
-use lockcroft_runtime_api::{MAX_RESPONSE_BYTES, Address, ResponseReader, Stream, dial};
+use lockcroft_runtime_api::{Address, MAX_RESPONSE_BYTES, ResponseReader, Stream, dial};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::{News, Told};
+use crate::{Event, Told};
 
 /// A connection takes no longer than this.
 const DIAL_MOST: Duration = Duration::from_secs(2);
@@ -24,13 +24,13 @@
 
 /// One proxy's task, by its inbox. What waits in it is bounded by the order book, which has one
 /// message and one question on the way at a time.
-pub struct Hand(mpsc::UnboundedSender<Task>);
+pub struct ProxyConnections(mpsc::UnboundedSender<Task>);
 
-impl Hand {
+impl ProxyConnections {
     pub fn new(proxy: ProxyId, address: Address, told: Told) -> Self {
         let (sender, inbox) = mpsc::unbounded_channel();
         spawn_local(tend(proxy, address, told, inbox));
-        Hand(sender)
+        ProxyConnections(sender)
     }
 
     // A task ends only with the pilot, so nobody misses what can't be sent any more.
@@ -56,14 +56,14 @@
         let why = match made {
             Err(error) => format!("cannot be dialled: {error}"),
             Ok(socket) => {
-                let _ = told.send(News::Connected { proxy, stream }).await;
+                let _ = told.send(Event::Connected { proxy, stream }).await;
                 match talk(proxy, stream, socket, &told, &mut inbox).await {
                     None => continue,
                     Some(why) => why,
                 }
             }
         };
-        let _ = told.send(News::Broken { proxy, stream, why }).await;
+        let _ = told.send(Event::Broken { proxy, stream, why }).await;
     }
 }
 
@@ -95,7 +95,7 @@
                 Ok(_) => {
                     let texts: Vec<String> = std::iter::from_fn(|| answers.next_answer()).collect();
                     if !texts.is_empty() {
-                        told.send(News::Answered { proxy, stream, texts }).await.ok()?;
+                        told.send(Event::Answered { proxy, stream, texts }).await.ok()?;
                     }
                     if answers.held() > MAX_RESPONSE_BYTES {
                         return Some("an answer without an end".into());
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
-use lockcroft_config::{Document, EndpointEntry, DaemonConfig, EndpointList, SCHEMA};
-use lockcroft_fleet::{Effect, Helm};
-use lockcroft_state_store::Recalled;
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
+use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
+use lockcroft_fleet::{Effect, FleetController};
+use lockcroft_state_store::RecoveredState;
 
 const SERVERS: usize = 640;
 const PROXIES: usize = 848;
@@ -31,7 +31,7 @@
     )
 }
 
-fn roster(version: u64, lost: Option<usize>) -> EndpointList {
+fn roster(version: u64, lost: Option<usize>) -> EndpointListConfig {
     let entry = |i: usize| EndpointEntry {
         name: format!("server-{i}"),
         zone: i % 4,
@@ -41,15 +41,17 @@
         weight: 1.0,
         started: None,
     };
-    EndpointList { version, entries: (0..SERVERS).map(entry).collect() }
+    EndpointListConfig { version, entries: (0..SERVERS).map(entry).collect() }
 }
 
 /// Carries effects out in no time at all: probes pass, orders are answered as done.
-fn settle(helm: &mut Helm, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
+fn settle(helm: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
     let (mut commands, mut bytes) = (0, 0);
     for effect in effects {
         match effect {
-            Effect::Probe { server, .. } => helm.probed(now, server, HealthCheckOutcome::Passed(None), Duration::ZERO),
+            Effect::Probe { server, .. } => {
+                helm.probed(now, server, HealthCheckOutcome::Passed(None), Duration::ZERO)
+            }
             Effect::Dial { proxy, stream, .. } => helm.connected(now, proxy, stream),
             Effect::Write { proxy, stream, text } => {
                 bytes += text.len();
@@ -77,9 +79,9 @@
 fn keeping(memory: bool) {
     let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
     let post = DaemonConfig::read(&document).expect("sound");
-    let mut helm = Helm::new(&post, 0);
+    let mut helm = FleetController::new(&post, 0);
     if memory {
-        helm.remember(Recalled::default());
+        helm.remember(RecoveredState::default());
     }
     helm.listed(Duration::ZERO, SystemTime::now(), roster(0, None));
     let (mut now, mut lost, mut times) = (Duration::ZERO, false, Vec::new());
@@ -117,10 +119,10 @@
     for round in 1..=5 {
         let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
         let post = DaemonConfig::read(&document).expect("sound");
-        let mut helm = Helm::new(&post, 0);
+        let mut helm = FleetController::new(&post, 0);
         helm.listed(Duration::ZERO, SystemTime::now(), roster(0, None));
         let mut now = Duration::ZERO;
-        let mut wave = |name: &str, helm: &mut Helm, until: Duration| {
+        let mut wave = |name: &str, helm: &mut FleetController, until: Duration| {
             let (mut most, mut sums) = (Duration::ZERO, (0, 0));
             while now < until {
                 let begun = Instant::now();
--- a/crates/fleet/src/berth.rs
+++ b/crates/fleet/src/berth.rs
@@ -7,7 +7,7 @@
 use lockcroft_runtime_api::tables::{StateRow, read_states};
 use nanorand::{Rng, WyRand};
 
-use crate::book::Book;
+use crate::book::ProxyLedger;
 use crate::reports::Counters;
 
 /// Waits between dials are spread by this share, so that proxies which were lost together are not
@@ -25,7 +25,7 @@
 
 /// What an answer on the stream will be to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum PendingRequest {
     Prompt,
     /// Whether the proxy lets this pilot order, or a later one has taken over.
     Epoch,
@@ -37,18 +37,18 @@
     Stat,
 }
 
-pub struct Berth {
+pub struct ProxySession {
     pub at: ProxyConfig,
     pub stage: Stage,
     /// Streams are numbered: what is heard of an earlier one is not heard.
     pub stream: u64,
     pub since: Duration,
-    pub book: Book,
+    pub book: ProxyLedger,
     /// What it held when its last stream ended.
-    pub kept: Option<Book>,
+    pub kept: Option<ProxyLedger>,
     pub counters: Counters,
     /// Questions on their way, each with the time when it was sent.
-    pub asked: VecDeque<(Asked, Duration)>,
+    pub asked: VecDeque<(PendingRequest, Duration)>,
     pub states: Vec<StateRow>,
     pub last_answer: Option<Duration>,
     pub breaks: u64,
@@ -56,14 +56,14 @@
     wait: Duration,
 }
 
-impl Berth {
+impl ProxySession {
     pub fn new(at: ProxyConfig) -> Self {
-        Berth {
+        ProxySession {
             at,
             stage: Stage::Away,
             stream: 0,
             since: Duration::ZERO,
-            book: Book::default(),
+            book: ProxyLedger::default(),
             kept: None,
             counters: Counters::default(),
             asked: VecDeque::new(),
@@ -98,7 +98,7 @@
         self.why = why.into();
     }
 
-    pub fn ask(&mut self, what: Asked, now: Duration) {
+    pub fn ask(&mut self, what: PendingRequest, now: Duration) {
         self.asked.push_back((what, now));
     }
 
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -12,8 +12,8 @@
 use lockcroft_host::PublishedTables;
 use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
 
-use crate::list::List;
-use crate::scale::Scale;
+use crate::list::EndpointList;
+use crate::scale::WeightScale;
 
 /// Commands of one message are written as lines of up to so many bytes: half of what a proxy takes.
 /// A message of several lines is prepared and committed, so that it takes effect as a whole.
@@ -108,7 +108,7 @@
 
 /// What the last answer of a message tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Landed {
+pub struct AcknowledgedUpdate {
     pub since: Duration,
     pub wave: u64,
     pub lines: usize,
@@ -124,14 +124,14 @@
 }
 
 /// Names and weights as an order needs them.
-pub struct Desk<'a> {
+pub struct UpdateContext<'a> {
     pub published: &'a PublishedTables,
-    pub list: &'a List,
+    pub list: &'a EndpointList,
     pub classes: &'a [String],
-    pub scale: Scale,
+    pub scale: WeightScale,
 }
 
-impl Desk<'_> {
+impl UpdateContext<'_> {
     /// The command that brings a change about.
     fn write(&self, change: &Change, others: &[String], text: &mut String) -> fmt::Result {
         let at = |text: &mut String, pool: Pool, server: EndpointId| {
@@ -183,7 +183,7 @@
 }
 
 #[derive(Default)]
-pub struct Book {
+pub struct ProxyLedger {
     held: BTreeMap<(Pool, EndpointId), Held>,
     /// Backends met at the proxy that are no tables, by their place.
     others: Vec<String>,
@@ -197,10 +197,10 @@
     flight: Option<Flight>,
 }
 
-impl Book {
+impl ProxyLedger {
     /// A book for a stream that was just made, from what the proxy says that it holds.
-    pub fn read(states: &[StateRow], map: &str, list: &mut List, classes: &[String]) -> Self {
-        let mut book = Book::default();
+    pub fn read(states: &[StateRow], map: &str, list: &mut EndpointList, classes: &[String]) -> Self {
+        let mut book = ProxyLedger::default();
         for row in states {
             let server = list.met(&row.server);
             let pool = book.pool(&row.backend);
@@ -221,13 +221,13 @@
     }
 
     /// What was held when a stream ended, for the next one; orders and bindings are of one stream.
-    pub fn kept(self) -> Book {
-        let Book { held, others, maps, levels, .. } = self;
-        Book { held, others, maps, levels, ..Book::default() }
+    pub fn kept(self) -> ProxyLedger {
+        let ProxyLedger { held, others, maps, levels, .. } = self;
+        ProxyLedger { held, others, maps, levels, ..ProxyLedger::default() }
     }
 
     /// The digest that the proxy tells if it holds just this.
-    pub fn digest(&self, list: &List, classes: &[String]) -> i64 {
+    pub fn digest(&self, list: &EndpointList, classes: &[String]) -> i64 {
         let mut lines: Vec<(String, &str, SocketAddr, &Held)> = Vec::with_capacity(self.held.len());
         for ((pool, server), held) in &self.held {
             let address = held.address.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
@@ -312,7 +312,10 @@
     ) {
         let wanted = published.tables.get(&table).into_iter().flat_map(|sheet| sheet.lines.keys().copied());
         let pool = Pool::Table(table);
-        let held = self.held.range((pool, EndpointId::MIN)..=(pool, EndpointId::MAX)).map(|((_, server), _)| *server);
+        let held = self
+            .held
+            .range((pool, EndpointId::MIN)..=(pool, EndpointId::MAX))
+            .map(|((_, server), _)| *server);
         let servers: BTreeSet<EndpointId> = wanted.chain(held).collect();
         servers.into_iter().for_each(|server| self.mark(Key::Line(table, server), since, wave));
         for class in classes {
@@ -337,7 +340,7 @@
 
     /// The next message, unless one is on its way. Within it what adds comes before what takes, so
     /// that a proxy that stops half way has too much rather than nothing.
-    pub fn message(&mut self, desk: &Desk) -> Option<Message> {
+    pub fn message(&mut self, desk: &UpdateContext) -> Option<Message> {
         if let Some(flight) = self.flight.as_mut().filter(|flight| flight.commit_due) {
             flight.commit_due = false;
             return Some(Message { text: flight.text.clone(), commands: 1, lines: 0, wave: flight.wave });
@@ -367,7 +370,7 @@
     }
 
     /// The changes that one line takes, from what is held to what should be, and their turn.
-    fn changes(&self, key: Key, desk: &Desk, put: &mut dyn FnMut(usize, Change)) {
+    fn changes(&self, key: Key, desk: &UpdateContext, put: &mut dyn FnMut(usize, Change)) {
         match key {
             Key::Line(table, server) => self.line_changes(table, server, desk, put),
             Key::Level(class) => self.level_changes(class, desk, put),
@@ -390,7 +393,7 @@
         &self,
         table: TableId,
         server: EndpointId,
-        desk: &Desk,
+        desk: &UpdateContext,
         put: &mut dyn FnMut(usize, Change),
     ) {
         let pool = Pool::Table(table);
@@ -424,7 +427,7 @@
         }
     }
 
-    fn level_changes(&self, class: ClassId, desk: &Desk, put: &mut dyn FnMut(usize, Change)) {
+    fn level_changes(&self, class: ClassId, desk: &UpdateContext, put: &mut dyn FnMut(usize, Change)) {
         let table = self.bound.get(&class).and_then(|table| desk.published.tables.get(table));
         let Some((share, again)) = table.and_then(|sheet| sheet.levels.get(&class)).copied() else { return };
         let held = self.levels.get(&class).copied().unwrap_or_default();
@@ -441,7 +444,7 @@
     ///
     /// # Errors
     /// The proxy did not do it: what it holds has to be asked anew.
-    pub fn answered(&mut self, answer: &str) -> Result<Option<Landed>, String> {
+    pub fn answered(&mut self, answer: &str) -> Result<Option<AcknowledgedUpdate>, String> {
         let flight = self.flight.as_mut().ok_or("an answer to nothing")?;
         let (place, step) = flight.steps.pop_front().ok_or("an answer too many")?;
         let answer = answer.trim();
@@ -466,7 +469,7 @@
         if !done {
             return Err(format!("{:?} was answered with {answer:?}", &flight.text[place]));
         }
-        let landed = Landed { since: flight.since, wave: flight.wave, lines: flight.lines };
+        let landed = AcknowledgedUpdate { since: flight.since, wave: flight.wave, lines: flight.lines };
         let last = flight.steps.is_empty() && flight.version.is_none();
         if let Some(version) = flight.version.as_ref().filter(|_| flight.steps.is_empty()) {
             flight.text = format!("commit map @{version} tables\n");
@@ -513,7 +516,7 @@
 /// The text of a message, and where in it each command stands.
 fn lay(
     changes: impl Iterator<Item = Change>,
-    desk: &Desk,
+    desk: &UpdateContext,
     others: &[String],
 ) -> (String, VecDeque<(Range<usize>, Step)>) {
     let (mut text, mut steps, mut begun) = (String::new(), VecDeque::new(), 0);
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -8,13 +8,13 @@
 
 /// A ring of lines; each has a mark, so that a reader can go on where it stopped.
 #[derive(Default)]
-pub struct Events {
+pub struct EventLog {
     ring: VecDeque<String>,
     /// The mark of the line that comes next.
     next: u64,
 }
 
-impl Events {
+impl EventLog {
     /// Adds a line that was caused by the inputs of this wave.
     pub fn add(&mut self, now: Duration, wave: u64, text: &str) {
         if self.ring.len() == MOST {
--- a/crates/fleet/src/files.rs
+++ b/crates/fleet/src/files.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use lockcroft::{ClassId, ProxyId, EndpointId, TableId};
-use lockcroft_table_format::{Bound, Content, Group, Line, Table};
-use lockcroft_table_store::{Epoch, Keep, Version, Written};
+use lockcroft::{ClassId, EndpointId, ProxyId, TableId};
+use lockcroft_table_format::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
+use lockcroft_table_store::{Epoch, RetentionPolicy, Version, WrittenSnapshot};
 
-use crate::book::Desk;
+use crate::book::UpdateContext;
 
 /// After a generation that could not be written the next try waits for so long, and twice as long each time.
 const WAIT_LEAST: Duration = Duration::from_millis(200);
@@ -22,22 +22,22 @@
 /// A generation to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publication {
-    pub content: Content,
-    pub keep: Keep,
+    pub content: SnapshotContent,
+    pub keep: RetentionPolicy,
 }
 
 /// A line that differs from what was written last, as far as is known before the content is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Mark {
-    Line(TableId, EndpointId),
+    Entry(TableId, EndpointId),
     Level(TableId, ClassId),
-    Bound(ProxyId),
+    Assignment(ProxyId),
     Withdrawal(EndpointId),
 }
 
 /// What a proxy told of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct AppliedReport {
     pub proxy: String,
     /// The last generation that it has laid, and when.
     pub laid: Option<(Epoch, Version, Duration)>,
@@ -49,7 +49,7 @@
 struct Follower {
     name: String,
     bound: BTreeMap<ClassId, TableId>,
-    report: Report,
+    report: AppliedReport,
 }
 
 /// A generation that is being written.
@@ -75,8 +75,8 @@
     marks: BTreeSet<Mark>,
     /// When the oldest of them was decided.
     since: Duration,
-    written: Option<Content>,
-    pub last: Option<Written>,
+    written: Option<SnapshotContent>,
+    pub last: Option<WrittenSnapshot>,
     out: Option<Out>,
     wait: Duration,
     not_before: Duration,
@@ -137,7 +137,7 @@
 
     pub fn weigh(&mut self, now: Duration, table: TableId, server: EndpointId) {
         if self.on(table) {
-            self.mark(now, Mark::Line(table, server));
+            self.mark(now, Mark::Entry(table, server));
         }
     }
 
@@ -162,7 +162,7 @@
             changed |= follower.bound.insert(*class, table) != Some(table);
         }
         if changed {
-            self.mark(now, Mark::Bound(proxy));
+            self.mark(now, Mark::Assignment(proxy));
         }
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// The next generation, if anything differs and none is being written.
-    pub fn publication(&mut self, now: Duration, desk: &Desk) -> Option<Arc<Publication>> {
+    pub fn publication(&mut self, now: Duration, desk: &UpdateContext) -> Option<Arc<Publication>> {
         if now < self.next_due() {
             return None;
         }
@@ -188,7 +188,7 @@
         }
         // Whoever is on no table of this epoch has to find those of the one before.
         let earlier_epochs = self.followers.values().any(|follower| follower.bound.is_empty());
-        let keep = Keep { generations: self.generations, earlier_epochs };
+        let keep = RetentionPolicy { generations: self.generations, earlier_epochs };
         let publication = Arc::new(Publication { content, keep });
         self.out = Some(Out { publication: publication.clone(), marks, since: self.since });
         Some(publication)
@@ -198,7 +198,11 @@
     ///
     /// # Errors
     /// What people should know: the generation did not go out, and the last one stands.
-    pub fn written(&mut self, now: Duration, done: Result<Written, Unwritten>) -> Result<Written, String> {
+    pub fn written(
+        &mut self,
+        now: Duration,
+        done: Result<WrittenSnapshot, PublishError>,
+    ) -> Result<WrittenSnapshot, String> {
         let Some(out) = self.out.take() else { return Err("a generation that nobody asked for".into()) };
         match done {
             Ok(written) => {
@@ -220,13 +224,13 @@
                 self.wait = (self.wait * 2).clamp(WAIT_LEAST, WAIT_MOST);
                 self.not_before = now + self.wait;
                 let why = match unwritten {
-                    Unwritten::Fenced(epoch) => {
+                    PublishError::Fenced(epoch) => {
                         self.fenced = Some(epoch);
                         format!(
                             "superseded: a pilot of epoch {epoch} has taken over the folder; nothing is written any more"
                         )
                     }
-                    Unwritten::Failed(why) => {
+                    PublishError::Failed(why) => {
                         format!("no generation was written, the last one stands: {why}")
                     }
                 };
@@ -237,10 +241,10 @@
     }
 
     /// What a proxy told. Gives what is to be said to people: a generation that it newly refuses.
-    pub fn told(&mut self, report: Report) -> Option<String> {
+    pub fn told(&mut self, report: AppliedReport) -> Option<String> {
         let follower = self.followers.get_mut(self.places.get(&report.proxy)?)?;
         let epoch = self.last.map(|last| last.epoch);
-        let of = |report: &Report| report.laid.filter(|(laid, ..)| Some(*laid) == epoch);
+        let of = |report: &AppliedReport| report.laid.filter(|(laid, ..)| Some(*laid) == epoch);
         if let Some((_, version, at)) = of(&report) {
             let before = of(&follower.report).map_or(0, |(_, version, _)| version);
             // One that was started anew may say less than before.
@@ -254,13 +258,13 @@
     }
 
     /// What a proxy told last, and its tables.
-    pub fn report(&self, proxy: ProxyId) -> Option<(&Report, BTreeSet<TableId>)> {
+    pub fn report(&self, proxy: ProxyId) -> Option<(&AppliedReport, BTreeSet<TableId>)> {
         let follower = self.followers.get(&proxy)?;
         Some((&follower.report, follower.bound.values().copied().collect()))
     }
 
-    fn content(&self, desk: &Desk) -> Content {
-        let mut content = Content::default();
+    fn content(&self, desk: &UpdateContext) -> SnapshotContent {
+        let mut content = SnapshotContent::default();
         let mut groups: BTreeMap<Vec<(ClassId, TableId)>, BTreeSet<String>> = BTreeMap::new();
         for follower in self.followers.values().filter(|follower| !follower.bound.is_empty()) {
             let bound = follower.bound.iter().map(|(class, table)| (*class, *table)).collect();
@@ -273,7 +277,7 @@
             let bound = bound
                 .into_iter()
                 .map(|(class, table)| (desk.classes[class].clone(), level(class, table, desk)));
-            content.groups.insert(number, Group { proxies, bound: bound.collect() });
+            content.groups.insert(number, ProxyGroup { proxies, bound: bound.collect() });
         }
         content.withdrawn =
             desk.published.withdrawn.iter().map(|server| desk.list.name(*server).into()).collect();
@@ -283,23 +287,23 @@
 
 /// Why a generation did not go out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unwritten {
+pub enum PublishError {
     Fenced(Epoch),
     Failed(String),
 }
 
-fn lines(table: TableId, desk: &Desk) -> Table {
+fn lines(table: TableId, desk: &UpdateContext) -> Table {
     let sheet = desk.published.tables.get(&table);
     let line = |(server, weight): (&EndpointId, &f64)| {
         // Off the list, it has no address any more, and is no line.
         let address = desk.list.address(*server)?;
-        Some((desk.list.name(*server).to_string(), Line { address, weight: desk.scale.units(*weight) }))
+        Some((desk.list.name(*server).to_string(), TableEntry { address, weight: desk.scale.units(*weight) }))
     };
     Table { lines: sheet.into_iter().flat_map(|sheet| &sheet.lines).filter_map(line).collect() }
 }
 
-fn level(class: ClassId, table: TableId, desk: &Desk) -> Bound {
+fn level(class: ClassId, table: TableId, desk: &UpdateContext) -> ProxyAssignment {
     let levels = desk.published.tables.get(&table).and_then(|sheet| sheet.levels.get(&class));
     let (share, again) = levels.copied().unwrap_or((1.0, false));
-    Bound { table: table as u32, level: (share * 1000.0).round() as u32, again }
+    ProxyAssignment { table: table as u32, level: (share * 1000.0).round() as u32, again }
 }
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -7,25 +7,25 @@
 use std::time::{Duration, SystemTime};
 
 use hdrhistogram::Histogram;
-use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, TableId};
-use lockcroft_config::{DaemonConfig, EndpointList};
+use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, TableId};
+use lockcroft_config::{DaemonConfig, EndpointListConfig};
 use lockcroft_host::{NameIndex, PublishedTables};
 use lockcroft_runtime_api::tables::read_stat;
 use lockcroft_solver::Answer;
-use lockcroft_state_store::{Entry, Recalled};
+use lockcroft_state_store::{Entry, RecoveredState};
 use nanorand::WyRand;
 use tracing::{debug, info, warn};
 
-use crate::berth::{Asked, Berth, Stage};
-use crate::book::{Book, Desk};
-use crate::events::Events;
+use crate::berth::{PendingRequest, ProxySession, Stage};
+use crate::book::{ProxyLedger, UpdateContext};
+use crate::events::EventLog;
 use crate::files::{FileFront, Publication};
-use crate::kept::Kept;
-use crate::list::{List, Word};
-use crate::notes::Notes;
-use crate::planner::{Plan, Planner, Task};
-use crate::reports::{Counters, Told};
-use crate::scale::Scale;
+use crate::kept::StateRecovery;
+use crate::list::{EndpointList, OperatorOverride};
+use crate::notes::StateRecorder;
+use crate::planner::{Plan, Planner, SolverTask};
+use crate::reports::{CounterDelta, Counters};
+use crate::scale::WeightScale;
 
 /// So many messages are written before the host takes them to its sockets.
 const MESSAGES_AT_ONCE: usize = 32;
@@ -36,12 +36,12 @@
 /// What the host is to carry out on its sockets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Call the server and tell [`Helm::probed`].
+    /// Call the server and tell [`FleetController::probed`].
     Probe {
         server: EndpointId,
         address: SocketAddr,
     },
-    /// Make a stream to the proxy after this wait, and tell [`Helm::connected`] or [`Helm::broken`].
+    /// Make a stream to the proxy after this wait, and tell [`FleetController::connected`] or [`FleetController::broken`].
     Dial {
         proxy: ProxyId,
         stream: u64,
@@ -52,12 +52,12 @@
         stream: u64,
         text: String,
     },
-    /// Write this as a generation, and tell [`Helm::written`].
+    /// Write this as a generation, and tell [`FleetController::written`].
     Publish(Arc<Publication>),
     /// Keep this across restarts, off the thread that decides.
     Remember(Vec<Entry>),
-    /// Solve this, off the thread that decides, and tell [`Helm::planned`].
-    Solve(Arc<Task>),
+    /// Solve this, off the thread that decides, and tell [`FleetController::planned`].
+    Solve(Arc<SolverTask>),
     /// The stream is given up; nothing more is heard of it.
     Close {
         proxy: ProxyId,
@@ -73,7 +73,7 @@
 
 /// Sums of what was met at a server since the start.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Met {
+pub(crate) struct EndpointCounters {
     pub tries: u64,
     pub failed: u64,
     pub sum_ms: f64,
@@ -89,17 +89,17 @@
     pub lines_waiting_most: usize,
 }
 
-pub struct Helm {
+pub struct FleetController {
     pub(crate) pilot: Controller,
     pub(crate) places: NameIndex,
-    pub(crate) list: List,
+    pub(crate) list: EndpointList,
     pub(crate) published: PublishedTables,
-    pub(crate) berths: Vec<Berth>,
-    pub(crate) events: Events,
-    pub(crate) scale: Scale,
+    pub(crate) berths: Vec<ProxySession>,
+    pub(crate) events: EventLog,
+    pub(crate) scale: WeightScale,
     pub(crate) name: String,
     pub(crate) now: Duration,
-    pub(crate) met: BTreeMap<EndpointId, Met>,
+    pub(crate) met: BTreeMap<EndpointId, EndpointCounters>,
     pub(crate) visits: Vec<u64>,
     pub(crate) sums: Sums,
     /// Microseconds from a decision to the last answer to its message.
@@ -108,10 +108,10 @@
     pub(crate) wave: u64,
     pub(crate) planner: Option<Planner>,
     pub(crate) files: FileFront,
-    pub(crate) notes: Option<Notes>,
-    pub(crate) kept: Kept,
+    pub(crate) notes: Option<StateRecorder>,
+    pub(crate) kept: StateRecovery,
     /// What was known before the start, until the first list says which servers there are.
-    pub(crate) recalled: Option<Recalled>,
+    pub(crate) recalled: Option<RecoveredState>,
     touched: BTreeSet<ProxyId>,
     /// Joined proxies by the tables that they were put on.
     on: BTreeMap<TableId, BTreeSet<ProxyId>>,
@@ -125,30 +125,30 @@
     pub(crate) epoch: u64,
 }
 
-impl Helm {
+impl FleetController {
     /// Takes up a post: all its proxies are dialled. The epoch fences off pilots that came before, and
     /// earlier streams of this one: milliseconds of the wall's clock at the start will do.
     ///
     /// # Panics
     /// Never: the histogram's bounds are constants.
     pub fn new(post: &DaemonConfig, epoch: u64) -> Self {
-        let berths: Vec<Berth> = post.proxies.iter().cloned().map(Berth::new).collect();
+        let berths: Vec<ProxySession> = post.proxies.iter().cloned().map(ProxySession::new).collect();
         let readers = post.proxies.iter().enumerate().filter(|(_, at)| at.reads_files);
         let readers = readers.map(|(proxy, at)| (proxy, at.name.clone()));
         let dial = |proxy| Effect::Dial { proxy, stream: 0, after: Duration::ZERO };
-        Helm {
+        FleetController {
             pilot: Controller::new(post.terms.clone(), post.seed),
             places: post.places.clone(),
-            list: List::default(),
+            list: EndpointList::default(),
             published: PublishedTables::default(),
             effects: (0..berths.len()).map(dial).collect(),
             notes: None,
-            kept: Kept::default(),
+            kept: StateRecovery::default(),
             recalled: None,
             files: FileFront::new(post.files.as_ref().map_or(0, |files| files.generations), readers),
             berths,
-            events: Events::default(),
-            scale: Scale { most: post.weight_most() },
+            events: EventLog::default(),
+            scale: WeightScale { most: post.weight_most() },
             name: post.name.clone(),
             now: Duration::ZERO,
             met: BTreeMap::new(),
@@ -170,7 +170,7 @@
     }
 
     /// The list of servers, read anew.
-    pub fn listed(&mut self, now: Duration, wall: SystemTime, roster: EndpointList) {
+    pub fn listed(&mut self, now: Duration, wall: SystemTime, roster: EndpointListConfig) {
         self.now = now;
         info!(target: "lockcroft::input", wave = self.wave, version = roster.version,
             servers = roster.entries.len(), "listed");
@@ -189,7 +189,7 @@
     }
 
     /// An operator's word on a server of the list.
-    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut Word)) {
+    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut OperatorOverride)) {
         self.list.say(server, change);
         let (name, word) = (self.list.name(server).to_string(), self.list.word(server));
         info!(target: "lockcroft::input", wave = self.wave, server = name, ?word, "operator");
@@ -246,11 +246,11 @@
         // One that was known is asked first whether anything changed while it was away.
         // What one that reads files holds changes without its stream, and is always asked anew.
         berth.kept.take_if(|_| berth.at.reads_files);
-        let (asks, text): (&[Asked], &str) = match berth.kept {
-            Some(_) => (&[Asked::Digest], ASK_DIGEST),
-            None => (&[Asked::States, Asked::Map], ASK_ALL),
+        let (asks, text): (&[PendingRequest], &str) = match berth.kept {
+            Some(_) => (&[PendingRequest::Digest], ASK_DIGEST),
+            None => (&[PendingRequest::States, PendingRequest::Map], ASK_ALL),
         };
-        for what in [Asked::Prompt, Asked::Epoch].iter().chain(asks) {
+        for what in [PendingRequest::Prompt, PendingRequest::Epoch].iter().chain(asks) {
             berth.ask(*what, now);
         }
         self.due.insert((now + self.answer_within, Timer::Patience(proxy, stream)));
@@ -300,28 +300,28 @@
         berth.last_answer = Some(now);
         let (what, _) = berth.asked.pop_front().ok_or("an answer to nothing")?;
         match what {
-            Asked::Prompt => {}
-            Asked::Epoch if answer.starts_with("Superseded") => return Err(answer.trim().into()),
-            Asked::Epoch => {}
-            Asked::Digest => {
+            PendingRequest::Prompt => {}
+            PendingRequest::Epoch if answer.starts_with("Superseded") => return Err(answer.trim().into()),
+            PendingRequest::Epoch => {}
+            PendingRequest::Digest => {
                 let told = answer.split(['<', '>']).nth(1).and_then(|value| value.parse().ok());
                 let kept = berth.kept.take();
                 let same = kept.filter(|kept| told == Some(kept.digest(&self.list, &self.places.classes)));
                 match same {
                     Some(kept) => self.join(now, proxy, kept),
                     None => {
-                        berth.ask(Asked::States, now);
-                        self.ask(now, proxy, Asked::Map, ASK_ALL.into(), 1);
+                        berth.ask(PendingRequest::States, now);
+                        self.ask(now, proxy, PendingRequest::Map, ASK_ALL.into(), 1);
                     }
                 }
             }
-            Asked::States => berth.take_states(answer)?,
-            Asked::Map => {
+            PendingRequest::States => berth.take_states(answer)?,
+            PendingRequest::Map => {
                 let states = std::mem::take(&mut berth.states);
-                let book = Book::read(&states, answer, &mut self.list, &self.places.classes);
+                let book = ProxyLedger::read(&states, answer, &mut self.list, &self.places.classes);
                 self.join(now, proxy, book);
             }
-            Asked::Order => {
+            PendingRequest::Order => {
                 let landed = berth.book.answered(answer)?;
                 if berth.book.commit_due() {
                     self.touched.insert(proxy);
@@ -334,7 +334,7 @@
                     self.touched.insert(proxy);
                 }
             }
-            Asked::Stat => {
+            PendingRequest::Stat => {
                 let rows = read_stat(answer)?;
                 let told = berth.counters.take(&rows);
                 let stream = berth.stream;
@@ -345,7 +345,7 @@
         Ok(())
     }
 
-    fn join(&mut self, now: Duration, proxy: ProxyId, book: Book) {
+    fn join(&mut self, now: Duration, proxy: ProxyId, book: ProxyLedger) {
         let berth = &mut self.berths[proxy];
         (berth.book, berth.kept) = (book, None);
         berth.counters = Counters::default();
@@ -366,9 +366,9 @@
         self.pilot.joined(proxy, zone, rate, fresh);
     }
 
-    fn told(&mut self, now: Duration, proxy: ProxyId, told: Told) {
+    fn told(&mut self, now: Duration, proxy: ProxyId, told: CounterDelta) {
         match told {
-            Told::Server { name, tries, failed, took } => {
+            CounterDelta::Server { name, tries, failed, took } => {
                 let server = self.list.met(&name);
                 let met = self.met.entry(server).or_default();
                 met.tries += u64::from(tries);
@@ -381,7 +381,7 @@
                 }
                 self.pilot.reported(now, server, tries, failed, took);
             }
-            Told::Class { name, visits } => {
+            CounterDelta::Class { name, visits } => {
                 if let Ok(class) = self.places.class(&name) {
                     self.visits[class] += u64::from(visits);
                     if let Some(planner) = &mut self.planner {
@@ -393,14 +393,14 @@
         }
     }
 
-    /// When [`Helm::decide`] has to be called at the latest.
+    /// When [`FleetController::decide`] has to be called at the latest.
     pub fn next_due(&self) -> Duration {
         if !self.touched.is_empty() {
             return self.now;
         }
         let own = self.due.first().map_or(Duration::MAX, |(time, _)| *time);
         let plan = self.planner.as_ref().map_or(Duration::MAX, Planner::next_due);
-        let notes = self.notes.as_ref().map_or(Duration::MAX, Notes::next_due);
+        let notes = self.notes.as_ref().map_or(Duration::MAX, StateRecorder::next_due);
         self.pilot.next_due().min(own).min(plan).min(self.files.next_due()).min(notes)
     }
 
@@ -430,7 +430,7 @@
             self.carry_out(now, decision);
         }
         self.sums.lines_waiting_most = self.sums.lines_waiting_most.max(self.lines_waiting());
-        let desk = Desk {
+        let desk = UpdateContext {
             published: &self.published,
             list: &self.list,
             classes: &self.places.classes,
@@ -462,14 +462,14 @@
                     }
                 }
                 Timer::Look(proxy, stream) if self.berths[proxy].stream == stream => {
-                    self.ask(now, proxy, Asked::Stat, "show stat\n".into(), 1);
+                    self.ask(now, proxy, PendingRequest::Stat, "show stat\n".into(), 1);
                 }
                 Timer::Patience(..) | Timer::Look(..) => {}
             }
         }
     }
 
-    fn ask(&mut self, now: Duration, proxy: ProxyId, what: Asked, text: String, answers: usize) {
+    fn ask(&mut self, now: Duration, proxy: ProxyId, what: PendingRequest, text: String, answers: usize) {
         let berth = &mut self.berths[proxy];
         (0..answers).for_each(|_| berth.ask(what, now));
         let stream = berth.stream;
@@ -494,7 +494,7 @@
             }
             Action::Bind { table, classes, proxy } => {
                 self.say_decided(now, &format!("t{table}: bind proxy {}", self.berths[proxy].at.name));
-                let Berth { stage, book, .. } = &mut self.berths[proxy];
+                let ProxySession { stage, book, .. } = &mut self.berths[proxy];
                 if *stage == Stage::Joined {
                     self.on.entry(table).or_default().insert(proxy);
                     if self.files.has(proxy) {
@@ -532,7 +532,7 @@
         self.events.add(now, self.wave, text);
     }
 
-    fn each(&mut self, mut act: impl FnMut(&mut Book)) {
+    fn each(&mut self, mut act: impl FnMut(&mut ProxyLedger)) {
         for (proxy, berth) in self.berths.iter_mut().enumerate() {
             if berth.stage == Stage::Joined && !berth.at.reads_files {
                 act(&mut berth.book);
@@ -542,7 +542,7 @@
     }
 
     /// Proxies on a table: of a large fleet few, which is why they are looked up and not sought.
-    fn each_on(&mut self, table: TableId, mut act: impl FnMut(&mut Book)) {
+    fn each_on(&mut self, table: TableId, mut act: impl FnMut(&mut ProxyLedger)) {
         for proxy in self.on.get(&table).into_iter().flatten().filter(|proxy| !self.files.has(**proxy)) {
             act(&mut self.berths[*proxy].book);
             self.touched.insert(*proxy);
@@ -555,8 +555,8 @@
     fn send(&mut self, now: Duration) {
         for _ in 0..MESSAGES_AT_ONCE {
             let Some(proxy) = self.touched.pop_first() else { return };
-            let Berth { stage, book, .. } = &mut self.berths[proxy];
-            let desk = Desk {
+            let ProxySession { stage, book, .. } = &mut self.berths[proxy];
+            let desk = UpdateContext {
                 published: &self.published,
                 list: &self.list,
                 classes: &self.places.classes,
@@ -568,7 +568,7 @@
             self.sums.lines += message.lines as u64;
             debug!(target: "lockcroft::order", wave = message.wave, proxy = self.berths[proxy].at.name,
                 lines = message.lines, commands = message.commands, "sent");
-            self.ask(now, proxy, Asked::Order, message.text, message.commands);
+            self.ask(now, proxy, PendingRequest::Order, message.text, message.commands);
         }
     }
 
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use lockcroft::{EndpointStatus, EndpointRecord, TableId};
-use lockcroft_state_store::Recalled;
-use lockcroft_table_store::Written;
+use lockcroft::{EndpointRecord, EndpointStatus, TableId};
+use lockcroft_state_store::RecoveredState;
+use lockcroft_table_store::WrittenSnapshot;
 use tracing::{debug, info, warn};
 
-use crate::files::{Report, Unwritten};
-use crate::helm::{Effect, Helm};
-use crate::notes::Notes;
+use crate::files::{AppliedReport, PublishError};
+use crate::helm::{Effect, FleetController};
+use crate::notes::StateRecorder;
 
 /// How the folder of what is kept across restarts fares.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct StateRecovery {
     pub entries: usize,
     pub bytes: usize,
     /// Of the snapshot in use.
@@ -24,12 +24,12 @@
     pub trouble: Option<String>,
 }
 
-impl Helm {
+impl FleetController {
     /// How the writing of the generation that is out went.
-    pub fn written(&mut self, now: Duration, done: Result<Written, Unwritten>) {
+    pub fn written(&mut self, now: Duration, done: Result<WrittenSnapshot, PublishError>) {
         self.now = now;
         match self.files.written(now, done) {
-            Ok(Written { epoch, version, files, linked, bytes }) => {
+            Ok(WrittenSnapshot { epoch, version, files, linked, bytes }) => {
                 debug!(target: "lockcroft::order", wave = self.wave, epoch, version, files, linked, bytes, "written");
                 let text =
                     format!("files: e{epoch} g{version}, {files} written, {linked} linked, {bytes} bytes");
@@ -43,7 +43,7 @@
     }
 
     /// What a proxy that reads files told.
-    pub fn laid(&mut self, now: Duration, report: Report) {
+    pub fn laid(&mut self, now: Duration, report: AppliedReport) {
         self.now = now;
         if let Some(text) = self.files.told(report) {
             warn!(target: "lockcroft::input", wave = self.wave, text, "refused");
@@ -52,18 +52,18 @@
     }
 
     /// Takes over from before the start what is still good of it, and from now on gives out what is to be kept.
-    pub fn remember(&mut self, recalled: Recalled) {
-        self.notes = Some(Notes::new(self.epoch));
+    pub fn remember(&mut self, recalled: RecoveredState) {
+        self.notes = Some(StateRecorder::new(self.epoch));
         self.recalled = Some(recalled);
     }
 
     /// How what was to be kept fares.
-    pub fn kept(&mut self, kept: Kept) {
+    pub fn kept(&mut self, kept: StateRecovery) {
         self.kept = kept;
     }
 
     /// Behind the first list: servers that went while nobody looked are named, and nothing is made less careful.
-    pub(crate) fn recall(&mut self, now: Duration, recalled: Recalled) {
+    pub(crate) fn recall(&mut self, now: Duration, recalled: RecoveredState) {
         let (servers, levels) = (recalled.servers.len(), recalled.levels.len());
         for server in recalled.servers {
             let (Ok(zone), Ok(kind)) = (self.places.zone(&server.zone), self.places.kind(&server.kind))
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-use lockcroft::{EndpointStatus, EndpointRecord, EndpointId};
-use lockcroft_config::{EndpointEntry, EndpointList};
+use lockcroft::{EndpointId, EndpointRecord, EndpointStatus};
+use lockcroft_config::{EndpointEntry, EndpointListConfig};
 use lockcroft_host::NameInterner;
 
 /// An operator's word on one server; it holds until the opposite word, whatever the file says later.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct OperatorOverride {
     pub drains: bool,
     /// In place of the listed weight.
     pub weight: Option<f64>,
@@ -25,19 +25,19 @@
 
 /// Servers by index; an index stays with its name, also when the server is off the list.
 #[derive(Default)]
-pub struct List {
+pub struct EndpointList {
     names: NameInterner,
     lines: BTreeMap<EndpointId, Line>,
-    words: BTreeMap<EndpointId, Word>,
+    words: BTreeMap<EndpointId, OperatorOverride>,
     /// Weights that were worked out, in place of the file's.
     planned: BTreeMap<EndpointId, f64>,
     pub version: u64,
 }
 
-impl List {
+impl EndpointList {
     /// Takes a whole list. A start that was known keeps its age on the pilot's clock, so that two
     /// readings of one file never look like two starts.
-    pub fn take(&mut self, now: Duration, wall: SystemTime, roster: EndpointList) {
+    pub fn take(&mut self, now: Duration, wall: SystemTime, roster: EndpointListConfig) {
         let mut old = std::mem::take(&mut self.lines);
         self.version = roster.version;
         for entry in roster.entries {
@@ -69,10 +69,10 @@
     }
 
     /// Changes an operator's word.
-    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut Word)) {
+    pub fn say(&mut self, server: EndpointId, change: impl FnOnce(&mut OperatorOverride)) {
         let word = self.words.entry(server).or_default();
         change(word);
-        if *word == Word::default() {
+        if *word == OperatorOverride::default() {
             self.words.remove(&server);
         }
     }
@@ -82,7 +82,7 @@
         self.planned.insert(server, weight);
     }
 
-    pub fn word(&self, server: EndpointId) -> Word {
+    pub fn word(&self, server: EndpointId) -> OperatorOverride {
         self.words.get(&server).copied().unwrap_or_default()
     }
 
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -5,11 +5,11 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-use lockcroft::{ClassAdmission, EndpointState, EndpointStatus, EndpointId};
+use lockcroft::{ClassAdmission, EndpointId, EndpointState, EndpointStatus};
 use lockcroft_host::NameIndex;
-use lockcroft_state_store::{Entry, Key, ServerNote, What};
+use lockcroft_state_store::{EndpointNote, Entry, EntryValue, Key};
 
-use crate::list::List;
+use crate::list::EndpointList;
 
 /// Servers that are looked at in one slice, and the time between slices.
 const SLICE: usize = 32;
@@ -17,8 +17,8 @@
 /// Relief and levels are told by steps of this, as tables have them.
 const STEPS: f64 = 20.0;
 
-pub(crate) struct Notes {
-    told: BTreeMap<Key, What>,
+pub(crate) struct StateRecorder {
+    told: BTreeMap<Key, EntryValue>,
     /// Where the next slice begins; levels come with the first.
     after: Option<EndpointId>,
     due: Duration,
@@ -27,9 +27,9 @@
     pub kept: usize,
 }
 
-impl Notes {
+impl StateRecorder {
     pub fn new(start_ms: u64) -> Self {
-        Notes { told: BTreeMap::new(), after: None, due: Duration::ZERO, start_ms, kept: 0 }
+        StateRecorder { told: BTreeMap::new(), after: None, due: Duration::ZERO, start_ms, kept: 0 }
     }
 
     pub fn next_due(&self) -> Duration {
@@ -46,7 +46,7 @@
         now: Duration,
         servers: &BTreeMap<EndpointId, EndpointState>,
         gates: &[ClassAdmission],
-        list: &List,
+        list: &EndpointList,
         places: &NameIndex,
     ) -> Vec<Entry> {
         if now < self.due {
@@ -57,14 +57,14 @@
         if self.after.is_none() {
             for gate in gates {
                 let key = Key::Level(gate.name.clone(), gate.table as u32);
-                self.tell(now, key, What::Level(step(gate.level)), &mut entries);
+                self.tell(now, key, EntryValue::Level(step(gate.level)), &mut entries);
             }
         }
         let from = self.after.map_or(Unbounded, Excluded);
         let mut last = None;
         for (server, known) in servers.range((from, Unbounded)).take(SLICE) {
             let note = self.note(now, known, places);
-            self.tell(now, Key::Server(list.name(*server).into()), What::Server(note), &mut entries);
+            self.tell(now, Key::Server(list.name(*server).into()), EntryValue::Server(note), &mut entries);
             last = Some(*server);
         }
         self.after = last.filter(|last| servers.range((Excluded(*last), Unbounded)).next().is_some());
@@ -73,26 +73,26 @@
     }
 
     /// What the solver learned, where it moved by a step.
-    pub fn sizes(&mut self, now: Duration, sizes: Vec<(EndpointId, f64)>, list: &List) -> Vec<Entry> {
+    pub fn sizes(&mut self, now: Duration, sizes: Vec<(EndpointId, f64)>, list: &EndpointList) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (server, cores) in sizes {
             let cores = (cores * STEPS).round().max(1.0) / STEPS;
-            self.tell(now, Key::Size(list.name(server).into()), What::Size(cores), &mut entries);
+            self.tell(now, Key::Size(list.name(server).into()), EntryValue::Size(cores), &mut entries);
         }
         entries
     }
 
-    fn tell(&mut self, now: Duration, key: Key, what: What, entries: &mut Vec<Entry>) {
+    fn tell(&mut self, now: Duration, key: Key, what: EntryValue, entries: &mut Vec<Entry>) {
         if self.told.get(&key) != Some(&what) {
             self.told.insert(key.clone(), what.clone());
             entries.push(Entry { at_ms: self.wall(now), key, what });
         }
     }
 
-    fn note(&self, now: Duration, known: &EndpointState, places: &NameIndex) -> ServerNote {
+    fn note(&self, now: Duration, known: &EndpointState, places: &NameIndex) -> EndpointNote {
         let later = |time: Duration| if time > now { self.wall(time) } else { 0 };
         let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
-        ServerNote {
+        EndpointNote {
             zone: name(&places.zones, known.listing.zone),
             kind: name(&places.kinds, known.listing.kind),
             gone: known.listing.state == EndpointStatus::Gone,
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -6,8 +6,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockcroft::{ClassId, ClassAdmission, MachineTypeId, EndpointState, EndpointId, RoutingTable, TableId, Settings, ZoneId};
-use lockcroft_solver::{Answer, Keeper, Lane, Learner, Look, Price, Prior, Problem, Shares, Tables};
+use lockcroft::{
+    ClassAdmission, ClassId, EndpointId, EndpointState, MachineTypeId, RoutingTable, Settings, TableId,
+    ZoneId,
+};
+use lockcroft_solver::{
+    Answer, CapacityEstimator, CapacityPrior, ChangePrice, LoadSample, PlanStabilizer, Problem, Shares,
+    TableScope, Tables,
+};
 
 /// Evidence of a capacity loses half of its force in so many plans.
 const FADES_PLANS: f64 = 12.0;
@@ -22,7 +28,7 @@
 
 /// A problem to be solved, and the servers that its places stand for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Task {
+pub struct SolverTask {
     pub problem: Problem,
     pub servers: Vec<EndpointId>,
 }
@@ -45,9 +51,9 @@
 }
 
 /// The classes of each table and the zone of its proxies: tables of zones lie in rows of one each.
-fn lanes(zones: usize, tables: &[RoutingTable], gates: &[ClassAdmission]) -> Vec<Lane> {
+fn lanes(zones: usize, tables: &[RoutingTable], gates: &[ClassAdmission]) -> Vec<TableScope> {
     let classes = |number| gates.iter().filter(move |gate| gate.table == number).map(|gate| gate.class);
-    let lane = |(number, table): (usize, &RoutingTable)| Lane {
+    let lane = |(number, table): (usize, &RoutingTable)| TableScope {
         zone: table.part % zones.max(1),
         classes: classes(number).collect(),
     };
@@ -66,7 +72,7 @@
     queue: f64,
     /// Classes as the terms state them, without demand; and kinds that they are bound to.
     classes: Vec<(lockcroft_solver::Class, Option<Vec<MachineTypeId>>)>,
-    learner: Learner,
+    learner: CapacityEstimator,
     /// Cores that servers had before the start.
     recalled: BTreeMap<EndpointId, f64>,
     /// Whether sizes were learnt since they were asked for.
@@ -76,16 +82,16 @@
     /// Visits a second by class and zone, and visits counted since the last plan.
     demand: Vec<Vec<f64>>,
     counted: Vec<Vec<f64>>,
-    keeper: Keeper,
+    keeper: PlanStabilizer,
     /// Whether tables are laid for each zone.
     by_zone: bool,
     tables: Tables,
     since: Duration,
     due: Duration,
     /// The task that is being solved.
-    out: Option<Arc<Task>>,
+    out: Option<Arc<SolverTask>>,
     /// The last answer, its task, and the lines that it changed, for those who ask.
-    pub last: Option<(Arc<Task>, Answer, usize)>,
+    pub last: Option<(Arc<SolverTask>, Answer, usize)>,
 }
 
 impl Planner {
@@ -127,14 +133,14 @@
             pace: terms.limit("fleet.channel_lines_per_s"),
             queue: terms.limit("fleet.queue_most_lines"),
             classes,
-            learner: Learner::new(every.mul_f64(FADES_PLANS)),
+            learner: CapacityEstimator::new(every.mul_f64(FADES_PLANS)),
             recalled: BTreeMap::new(),
             learnt: false,
             loads: BTreeMap::new(),
             seen: BTreeMap::new(),
             demand: none.clone(),
             counted: none,
-            keeper: Keeper::default(),
+            keeper: PlanStabilizer::default(),
             by_zone,
             tables: Tables::default(),
             since: Duration::ZERO,
@@ -150,7 +156,11 @@
     }
 
     /// Cores by server as learnt, if anything was since this was asked last.
-    pub fn sizes(&mut self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Vec<(EndpointId, f64)> {
+    pub fn sizes(
+        &mut self,
+        now: Duration,
+        servers: &BTreeMap<EndpointId, EndpointState>,
+    ) -> Vec<(EndpointId, f64)> {
         if !std::mem::take(&mut self.learnt) {
             return Vec::new();
         }
@@ -185,7 +195,11 @@
     }
 
     /// A task, if one is due and none is out.
-    pub fn task(&mut self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Option<Arc<Task>> {
+    pub fn task(
+        &mut self,
+        now: Duration,
+        servers: &BTreeMap<EndpointId, EndpointState>,
+    ) -> Option<Arc<SolverTask>> {
         if now < self.next_due() {
             return None;
         }
@@ -237,7 +251,7 @@
             let late = took > contract || seen.failed * 2.0 > seen.tries;
             let load = self.loads.get(&server).copied();
             let slowdown = took / work;
-            let look = Look { done: fulfilled * work / span, late, slowdown, load };
+            let look = LoadSample { done: fulfilled * work / span, late, slowdown, load };
             let prior = self.prior(&alike, known);
             self.learner.look(now, server, prior, look);
         }
@@ -247,7 +261,11 @@
     }
 
     /// What servers of each kind turned out to have, where enough of them showed it.
-    fn alike(&self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> BTreeMap<MachineTypeId, f64> {
+    fn alike(
+        &self,
+        now: Duration,
+        servers: &BTreeMap<EndpointId, EndpointState>,
+    ) -> BTreeMap<MachineTypeId, f64> {
         let mut kinds: BTreeMap<MachineTypeId, Vec<EndpointId>> = BTreeMap::new();
         for (server, known) in servers {
             kinds.entry(known.listing.kind).or_default().push(*server);
@@ -258,18 +276,18 @@
         kinds.into_iter().filter_map(cores).collect()
     }
 
-    fn prior(&self, alike: &BTreeMap<MachineTypeId, f64>, known: &EndpointState) -> Prior {
+    fn prior(&self, alike: &BTreeMap<MachineTypeId, f64>, known: &EndpointState) -> CapacityPrior {
         let kind = &known.listing.kind;
         let shown = || self.recalled.get(&known.listing.server).or_else(|| alike.get(kind));
         match (self.kinds.get(kind), shown()) {
-            (Some(stated), _) => Prior::stated(*stated),
-            (None, Some(shown)) => Prior::alike(*shown),
-            (None, None) => Prior::guessed(self.cores),
+            (Some(stated), _) => CapacityPrior::stated(*stated),
+            (None, Some(shown)) => CapacityPrior::alike(*shown),
+            (None, None) => CapacityPrior::guessed(self.cores),
         }
     }
 
-    fn problem(&self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> Task {
-        let mut task = Task { problem: Problem::default(), servers: Vec::new() };
+    fn problem(&self, now: Duration, servers: &BTreeMap<EndpointId, EndpointState>) -> SolverTask {
+        let mut task = SolverTask { problem: Problem::default(), servers: Vec::new() };
         let (mut kinds, alike) = (Vec::new(), self.alike(now, servers));
         for (server, known) in servers {
             if known.barred() || !known.up() || known.doubted_until > now {
@@ -280,7 +298,12 @@
             task.servers.push(*server);
             kinds.push(known.listing.kind);
             let zone = known.listing.zone;
-            task.problem.servers.push(lockcroft_solver::Server { zone, capacity, warmth, withdrawn: false });
+            task.problem.servers.push(lockcroft_solver::Endpoint {
+                zone,
+                capacity,
+                warmth,
+                withdrawn: false,
+            });
         }
         let places = |only: &Option<Vec<MachineTypeId>>| {
             let only = only.as_ref()?;
@@ -318,7 +341,7 @@
         let proxies = proxies.max(1) as f64;
         let asked = |class: &lockcroft_solver::Class| class.demand.iter().sum::<f64>() * class.earnings;
         let earnings: f64 = task.problem.classes.iter().map(asked).sum();
-        let price = Price {
+        let price = ChangePrice {
             // While a line goes out to all proxies, everything else waits for so long.
             line: earnings * proxies / self.pace,
             lines_most: (self.queue * QUEUE_SHARE / proxies).clamp(1.0, 1e6) as usize,
--- a/crates/fleet/src/reports.rs
+++ b/crates/fleet/src/reports.rs
@@ -7,7 +7,7 @@
 
 /// What one look tells beyond the look before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CounterDelta {
     /// Tries at a server that ended, how many badly, and the mean time of the others.
     Server { name: String, tries: u32, failed: u32, took: Duration },
     /// Visits of a class that came, refused ones among them.
@@ -32,7 +32,7 @@
 impl Counters {
     /// Takes the rows of a look. A counter that fell was started anew, with the proxy or with the
     /// server's line in it: all that it shows is new.
-    pub fn take(&mut self, rows: &[StatRow]) -> Vec<Told> {
+    pub fn take(&mut self, rows: &[StatRow]) -> Vec<CounterDelta> {
         let mut told = Vec::new();
         let mut next = BTreeMap::new();
         for row in rows.iter().filter(|row| row.server != "BACKEND") {
@@ -57,10 +57,10 @@
     }
 }
 
-fn tell(row: &StatRow, gained: Seen) -> Told {
+fn tell(row: &StatRow, gained: Seen) -> CounterDelta {
     let count = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
     if row.server == "FRONTEND" {
-        return Told::Class { name: row.name.clone(), visits: count(gained.total) };
+        return CounterDelta::Class { name: row.name.clone(), visits: count(gained.total) };
     }
     let failed = gained.failed.min(gained.total);
     // Where the sum is not given, the guide's sliding mean is the nearest there is.
@@ -68,7 +68,7 @@
         Some(_) => gained.sum_ms as f64 / (gained.total - failed).max(1) as f64,
         None => row.mean_ms as f64,
     };
-    Told::Server {
+    CounterDelta::Server {
         name: row.server.clone(),
         tries: count(gained.total),
         failed: count(failed),
--- a/crates/fleet/src/scale.rs
+++ b/crates/fleet/src/scale.rs
@@ -3,11 +3,11 @@
 /// Weights as the runtime API has them: whole numbers up to 256, which stands for the greatest
 /// weight that the terms let a list state.
 #[derive(Clone, Copy, Debug)]
-pub struct Scale {
+pub struct WeightScale {
     pub most: f64,
 }
 
-impl Scale {
+impl WeightScale {
     const UNITS: f64 = 256.0;
 
     /// At least 1 for any weight above 0: rounding takes nobody out of a table.
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use lockcroft::{EndpointState, EndpointStatus, EndpointId, TableId};
+use lockcroft::{EndpointId, EndpointState, EndpointStatus, TableId};
 use lockcroft_host::NameIndex;
 use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
@@ -10,12 +10,12 @@
 use lockcroft_solver::{Objective, Problem};
 
 use crate::berth::Stage;
-use crate::files::{FileFront, Report};
-use crate::helm::Helm;
-use crate::kept::Kept;
+use crate::files::{AppliedReport, FileFront};
+use crate::helm::FleetController;
+use crate::kept::StateRecovery;
 
 // Writing to a String cannot fail, so what `writeln` gives back is passed over below.
-impl Helm {
+impl FleetController {
     /// `Name: value` lines, as the guide's `show info`.
     pub fn show_info(&self) -> String {
         let joined = self.berths.iter().filter(|berth| berth.stage == Stage::Joined).count();
@@ -77,7 +77,7 @@
     /// What is kept across restarts, and how the folder fares.
     pub fn show_memory(&self) -> String {
         let Some(notes) = &self.notes else { return "No memory is set.\n".into() };
-        let Kept { entries, bytes, number, flush, trouble } = &self.kept;
+        let StateRecovery { entries, bytes, number, flush, trouble } = &self.kept;
         let lines = [
             ("Entries", entries.to_string()),
             ("Bytes", bytes.to_string()),
@@ -332,7 +332,7 @@
 }
 
 /// What a proxy has laid, and what it refuses.
-fn front_of(report: &Report) -> (String, String) {
+fn front_of(report: &AppliedReport) -> (String, String) {
     let laid =
         report.laid.map_or("files:-".into(), |(epoch, version, _)| format!("files:e{epoch}g{version}"));
     let refused = report.refused.as_ref();
--- a/crates/fleet/tests/orders/files.rs
+++ b/crates/fleet/tests/orders/files.rs
@@ -2,7 +2,7 @@
 
 use expect_test::expect;
 use lockcroft::EndpointStatus;
-use lockcroft_fleet::Report;
+use lockcroft_fleet::AppliedReport;
 
 use crate::stage::{Disk, Stage, ms};
 
@@ -118,8 +118,8 @@
     stage.run_to(6000);
     assert!(stage.helm.show_proxies().contains(" files:e1g"), "{}", stage.helm.show_proxies());
     let refused = Some((1, 9, "table-0: not as the manifest has it".to_string()));
-    stage.helm.laid(ms(6000), Report { proxy: "r0".into(), laid: Some((1, 1, ms(5100))), refused });
+    stage.helm.laid(ms(6000), AppliedReport { proxy: "r0".into(), laid: Some((1, 1, ms(5100))), refused });
     let shown = stage.helm.show_proxies();
     assert!(shown.contains("refuses e1 g9: table-0: not as the manifest has it"), "{shown}");
-    stage.helm.laid(ms(6000), Report { proxy: "nobody".into(), ..Report::default() });
+    stage.helm.laid(ms(6000), AppliedReport { proxy: "nobody".into(), ..AppliedReport::default() });
 }
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/orders/memory.rs
@@ -1,7 +1,7 @@
 //! A pilot that comes back: what was given out to be kept, aged, is what the next one begins with.
 
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
-use lockcroft_state_store::{Key, Recalled, Rules, State, What, age};
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
+use lockcroft_state_store::{AgeingRules, EntryValue, Key, RecoveredState, State, age};
 
 use crate::stage::{Stage, ms};
 
@@ -10,12 +10,12 @@
     stage.kept.iter().map(|entry| (entry.key.clone(), (entry.at_ms, entry.what.clone()))).collect()
 }
 
-fn recalled(state: &State, at_ms: u64) -> Recalled {
-    age(state, at_ms, &Rules { report_period: ms(1000), warm_within: ms(10_000) })
+fn recalled(state: &State, at_ms: u64) -> RecoveredState {
+    age(state, at_ms, &AgeingRules { report_period: ms(1000), warm_within: ms(10_000) })
 }
 
 /// A pilot that remembers, and then sees the list.
-fn again(mut stage: Stage, recalled: Recalled) -> Stage {
+fn again(mut stage: Stage, recalled: RecoveredState) -> Stage {
     stage.helm.remember(recalled);
     stage.list();
     stage
@@ -23,7 +23,7 @@
 
 #[test]
 fn what_is_kept_is_told_once() {
-    let mut stage = again(Stage::unlisted(3, 1), Recalled::default());
+    let mut stage = again(Stage::unlisted(3, 1), RecoveredState::default());
     stage.run_to(8000);
     let told = stage.kept.len();
     assert!(stage.kept.iter().any(|entry| entry.key == Key::Server("e1".into())));
@@ -32,7 +32,7 @@
     stage.state(1, EndpointStatus::Draining);
     stage.run_to(21_000);
     let last = stage.kept.last().expect("told");
-    assert!(matches!(&last.what, What::Server(note) if note.draining), "{last:?}");
+    assert!(matches!(&last.what, EntryValue::Server(note) if note.draining), "{last:?}");
     assert_eq!(stage.kept.len(), told + 1);
 }
 
@@ -40,11 +40,11 @@
 /// from the first instant; without memory nobody could name it.
 #[test]
 fn a_server_that_went_meanwhile_is_named_at_once() {
-    let mut before = again(Stage::unlisted(3, 1), Recalled::default());
+    let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
     before.run_to(7000).state(1, EndpointStatus::Gone);
     before.run_to(8000);
     let state = kept(&before);
-    let after = |recalled: Recalled| {
+    let after = |recalled: RecoveredState| {
         let mut stage = Stage::unlisted(3, 1);
         stage.roster.version = 1;
         stage.roster.entries.remove(1);
@@ -52,7 +52,7 @@
         stage.run_to(300);
         stage.orders()
     };
-    assert_eq!(after(Recalled::default()), "");
+    assert_eq!(after(RecoveredState::default()), "");
     assert_eq!(after(recalled(&state, 9000)), "0.0 r0: set server standing/e1 state maint\n");
     // A day later nobody holds it any more.
     assert_eq!(after(recalled(&state, 9000 + 25 * 3_600_000)), "");
@@ -61,17 +61,17 @@
 /// Late servers kept their relief, so that a restart in an overload does not bring their full weight back.
 #[test]
 fn relief_is_laid_as_remembered() {
-    let mut before = again(Stage::unlisted(4, 1), Recalled::default());
+    let mut before = again(Stage::unlisted(4, 1), RecoveredState::default());
     before.run_to(6000);
     before.visits(100, &[ms(900), ms(100), ms(100), ms(100)], 1);
     before.run_to(20_000);
     let state = kept(&before);
-    let weight = |recalled: Recalled| {
+    let weight = |recalled: RecoveredState| {
         let mut stage = again(Stage::unlisted(4, 1), recalled);
         stage.run_to(6000);
         stage.picks(0)[0].1
     };
-    assert_eq!(weight(Recalled::default()), 256);
+    assert_eq!(weight(RecoveredState::default()), 256);
     let remembered = weight(recalled(&state, 21_000));
     assert!(remembered < 200, "{remembered}");
     let later = weight(recalled(&state, 41_000));
@@ -82,7 +82,7 @@
 /// A warm-up that the list says nothing of is gone on with.
 #[test]
 fn a_warm_up_goes_on_and_ends_as_it_would_have() {
-    let mut before = again(Stage::unlisted(2, 1), Recalled::default());
+    let mut before = again(Stage::unlisted(2, 1), RecoveredState::default());
     before.run_to(6000);
     let wall = std::time::SystemTime::now();
     before.roster.entries[1].started = Some(wall);
@@ -103,7 +103,7 @@
 /// A memory from the future (the clock was set back) is not believed, but for names that cost nothing.
 #[test]
 fn a_clock_that_was_set_back_makes_nothing_worse() {
-    let mut before = again(Stage::unlisted(3, 1), Recalled::default());
+    let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
     before.findings.insert(0, HealthCheckOutcome::Refused);
     before.run_to(9000).state(1, EndpointStatus::Gone);
     before.run_to(10_000);
--- a/crates/fleet/tests/orders/plans.rs
+++ b/crates/fleet/tests/orders/plans.rs
@@ -1,7 +1,7 @@
 //! Plans on the ordinary path: what is learnt becomes listed weights and ceilings.
 
 use lockcroft::HealthCheckOutcome;
-use lockcroft_fleet::Helm;
+use lockcroft_fleet::FleetController;
 
 use crate::stage::{Stage, ms};
 
@@ -51,7 +51,7 @@
     stage.visits(100, &[ms(60), ms(60)], 1);
     stage.run_to(10_000);
     assert_eq!(stage.helm.show_plan(), "No solver is set.\n");
-    assert!(Helm::plan(&stage.helm).is_none());
+    assert!(FleetController::plan(&stage.helm).is_none());
 }
 
 /// Tables by zone: each zone's proxies keep to their own servers while these can do what comes, and only the zone
@@ -78,7 +78,7 @@
     let mut stage = Stage::bound(2, 1, SOLVER);
     stage.visits(20, &[ms(110); 2], 1);
     stage.run_to(15_000);
-    let (problem, _) = Helm::plan(&stage.helm).expect("a plan was made");
+    let (problem, _) = FleetController::plan(&stage.helm).expect("a plan was made");
     assert_eq!(problem.classes[0].servers, Some(vec![]), "none of its kind is there");
     assert!(stage.helm.show_plan().contains("let_in 1"), "{}", stage.helm.show_plan());
 }
--- a/crates/fleet/tests/orders/stage.rs
+++ b/crates/fleet/tests/orders/stage.rs
@@ -6,14 +6,16 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use lockcroft::{HealthCheckOutcome, EndpointStatus, EndpointId};
-use lockcroft_config::{Document, EndpointEntry, DaemonConfig, EndpointList, SCHEMA};
-use lockcroft_fleet::{Effect, Helm, Publication, Report, Unwritten};
-use lockcroft_proxy::{Choice, Ending, FromFiles, Held, Limits, Orders, STANDING, Way};
-use lockcroft_runtime_api::{ResponseReader, CommandReader, Level};
+use lockcroft::{EndpointId, EndpointStatus, HealthCheckOutcome};
+use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
+use lockcroft_fleet::{AppliedReport, Effect, FleetController, Publication, PublishError};
+use lockcroft_proxy::{
+    AttemptOutcome, Choice, CommandQueue, FileCommands, Limits, LoadBalancingPolicy, RoutingState, STANDING,
+};
+use lockcroft_runtime_api::{CommandReader, Level, ResponseReader};
 use lockcroft_state_store::Entry as Kept;
-use lockcroft_table_format::Bound;
-use lockcroft_table_store::{Mine, Written};
+use lockcroft_table_format::ProxyAssignment;
+use lockcroft_table_store::{AppliedSnapshot, WrittenSnapshot};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -32,16 +34,16 @@
 
 /// A proxy behind a stream that may hold answers back, or break.
 pub struct Peer {
-    pub held: Held,
+    pub held: RoutingState,
     feed: CommandReader,
-    orders: Orders,
+    orders: CommandQueue,
     pub stream: Option<u64>,
     /// Orders are taken up and carried out, but no answer goes back.
     pub silent: bool,
     /// Streams can't be made.
     pub away: bool,
     answers: VecDeque<String>,
-    from: FromFiles,
+    from: FileCommands,
     reads_files: bool,
     /// It reads files, and lays none of them for now; the last that it laid.
     pub lags: bool,
@@ -71,10 +73,10 @@
 }
 
 pub struct Stage {
-    pub helm: Helm,
+    pub helm: FleetController,
     pub now: Duration,
     pub peers: Vec<Peer>,
-    pub roster: EndpointList,
+    pub roster: EndpointListConfig,
     /// How probes end, where not well.
     pub findings: BTreeMap<EndpointId, HealthCheckOutcome>,
     pub trace: String,
@@ -162,29 +164,34 @@
         let entries: Vec<EndpointEntry> = (0..servers).map(place).collect();
         let standing: Vec<_> = entries.iter().map(|entry| (entry.name.clone(), entry.address)).collect();
         let peer = |i: usize| Peer {
-            held: Held::new(
+            held: RoutingState::new(
                 &format!("r{i}"),
                 &["look-up".to_string()],
                 &standing,
-                Limits { way: Way::Wheel, outstanding_most: 0, shuns_after: 0, shuns_for: ms(0) },
+                Limits {
+                    way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
+                    outstanding_most: 0,
+                    shuns_after: 0,
+                    shuns_for: ms(0),
+                },
                 i as u64,
             ),
             feed: CommandReader::default(),
-            orders: Orders::new(Level::Admin),
+            orders: CommandQueue::new(Level::Admin),
             stream: None,
             silent: false,
             away: false,
             answers: VecDeque::new(),
-            from: FromFiles::default(),
+            from: FileCommands::default(),
             reads_files: reads_files(i),
             lags: false,
             laid: 0,
         };
         Stage {
-            helm: Helm::new(&post, 0),
+            helm: FleetController::new(&post, 0),
             now: ms(0),
             peers: (0..proxies).map(peer).collect(),
-            roster: EndpointList { version: 0, entries },
+            roster: EndpointListConfig { version: 0, entries },
             findings: BTreeMap::new(),
             trace: String::new(),
             kept: Vec::new(),
@@ -219,9 +226,13 @@
                 if !peer.held.lets_in("look-up", 0.5) {
                     continue;
                 }
-                if let Choice::Line(chosen) = peer.held.choose(self.now, "look-up", None) {
+                if let Choice::Endpoint(chosen) = peer.held.choose(self.now, "look-up", None) {
                     let place = chosen.server[1..].parse::<usize>().expect("a number");
-                    let ending = if visit % *one_in == 0 { Ending::Answered(200) } else { Ending::Late };
+                    let ending = if visit % *one_in == 0 {
+                        AttemptOutcome::Answered(200)
+                    } else {
+                        AttemptOutcome::Late
+                    };
                     peer.held.ended(self.now, &chosen, ending, took[place]);
                 }
             }
@@ -297,7 +308,7 @@
             Effect::Dial { proxy, stream, .. } => {
                 let peer = &mut self.peers[proxy];
                 (peer.stream, peer.feed, peer.orders) =
-                    (Some(stream), CommandReader::default(), Orders::new(Level::Admin));
+                    (Some(stream), CommandReader::default(), CommandQueue::new(Level::Admin));
                 self.helm.connected(self.now, proxy, stream);
             }
             // What was meant for a stream that is gone by now goes nowhere.
@@ -334,9 +345,9 @@
         let Some(publication) = self.writing.take() else { return false };
         let version = self.current.as_ref().map_or(0, |(version, _)| *version) + 1;
         let done = match self.disk {
-            Disk::Full => Err(Unwritten::Failed("no room".into())),
-            Disk::Fenced => Err(Unwritten::Fenced(2)),
-            _ => Ok(Written { epoch: 1, version, ..Written::default() }),
+            Disk::Full => Err(PublishError::Failed("no room".into())),
+            Disk::Fenced => Err(PublishError::Fenced(2)),
+            _ => Ok(WrittenSnapshot { epoch: 1, version, ..WrittenSnapshot::default() }),
         };
         if done.is_ok() {
             self.current = Some((version, publication));
@@ -354,9 +365,10 @@
             let name = format!("r{proxy}");
             let group = content.group_of(&name).map(|number| content.groups[&number].clone());
             let bound = group.unwrap_or_default().bound;
-            let table = |bound: &Bound| (bound.table, content.tables[&bound.table].clone());
+            let table = |bound: &ProxyAssignment| (bound.table, content.tables[&bound.table].clone());
             let tables = bound.values().map(table).collect();
-            let mine = Mine { epoch: 1, version, bound, tables, withdrawn: content.withdrawn.clone() };
+            let mine =
+                AppliedSnapshot { epoch: 1, version, bound, tables, withdrawn: content.withdrawn.clone() };
             for command in peer.from.orders(&peer.held, &mine) {
                 peer.held.carry_out(&command).expect("an order that can be done");
                 writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.text())
@@ -364,7 +376,7 @@
             }
             (peer.laid, some) = (version, true);
             let laid = Some((1, version, self.now));
-            self.helm.laid(self.now, Report { proxy: name, laid, refused: None });
+            self.helm.laid(self.now, AppliedReport { proxy: name, laid, refused: None });
         }
         some
     }
--- a/crates/fleet/tests/orders/troubles.rs
+++ b/crates/fleet/tests/orders/troubles.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime};
 
 use expect_test::expect;
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
-use lockcroft_proxy::Orders;
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
+use lockcroft_proxy::CommandQueue;
 use lockcroft_runtime_api::Level;
 
 use crate::stage::{Stage, ms};
@@ -124,7 +124,7 @@
     stage.cut(0);
     let mut out = String::new();
     let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
-    Orders::new(Level::Admin).line(&by_hand, &mut stage.peers[0].held, &mut out);
+    CommandQueue::new(Level::Admin).line(&by_hand, &mut stage.peers[0].held, &mut out);
     stage.run_to(9000);
     expect![[r#"
         7.3 r0: set server t0/e1 weight 256
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -4,7 +4,7 @@
 mod published;
 mod settings;
 
-pub use published::{PublishedTables, PublishedTable};
+pub use published::{PublishedTable, PublishedTables};
 pub use settings::{read_settings, settings};
 
 use std::collections::BTreeMap;
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{ClassId, ProxyId, EndpointId, Settings, ZoneId};
+use lockcroft::{ClassId, EndpointId, ProxyId, Settings, ZoneId};
 use lockcroft_host::NameIndex;
 use serde::Serialize;
 use serde_json::Value;
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::{Action, HealthCheckOutcome, Controller, ProxyId, EndpointId, ZoneId};
+use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, ZoneId};
 use lockcroft_host::{NameIndex, PublishedTables};
 use serde_json::Value;
 use tracing::{debug, info, warn};
 
 use crate::admission::{Acceptance, Admission, COLLECTORS};
-use crate::codec::{self, Bounds, Fault, MessageContext, Message, Part};
+use crate::codec::{self, Bounds, Fault, Message, MessageContext, Part};
 use crate::config::Config;
 use crate::roster::Roster;
 use crate::stream::{ConnectionId, Context, ProxyStream};
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lockcroft::{EndpointStatus, EndpointRecord, EndpointId};
-use lockcroft_host::{NameInterner, NameIndex};
+use lockcroft::{EndpointId, EndpointRecord, EndpointStatus};
+use lockcroft_host::{NameIndex, NameInterner};
 use serde_json::Value;
 
 /// One telling of discovery: the whole list, or what changed.
@@ -74,7 +74,13 @@
     ///
     /// # Errors
     /// It can't be used as a whole; the list stays as it was.
-    pub fn take(&mut self, now: Duration, wall: u64, value: &Value, places: &NameIndex) -> Result<Told, String> {
+    pub fn take(
+        &mut self,
+        now: Duration,
+        wall: u64,
+        value: &Value,
+        places: &NameIndex,
+    ) -> Result<Told, String> {
         let version = value["index"].as_u64().ok_or("index: not a whole number")?;
         let whole = value["snapshot"].as_bool().ok_or("snapshot: neither true nor false")?;
         let entries = value["endpoints"].as_array().ok_or("endpoints: not a list")?;
@@ -117,7 +123,13 @@
         Ok(Told { whole, version, listings, faults })
     }
 
-    fn entry(&mut self, now: Duration, wall: u64, entry: &Value, places: &NameIndex) -> Result<EndpointRecord, String> {
+    fn entry(
+        &mut self,
+        now: Duration,
+        wall: u64,
+        entry: &Value,
+        places: &NameIndex,
+    ) -> Result<EndpointRecord, String> {
         let word = |name: &str| entry[name].as_str().ok_or_else(|| format!("{name} of {entry}: not a text"));
         let name = word("name")?;
         let state = match word("status")? {
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_host::{PublishedTables, PublishedTable};
+use lockcroft_host::{PublishedTable, PublishedTables};
 
 use crate::codec::Part;
 use crate::roster::Roster;
--- a/crates/platform/tests/controller/channel.rs
+++ b/crates/platform/tests/controller/channel.rs
@@ -106,7 +106,13 @@
                     }
                 }
                 Effect::Probe { server, address } => {
-                    controller.probed(now, server, address, HealthCheckOutcome::Passed(Some(0.4)), Duration::ZERO);
+                    controller.probed(
+                        now,
+                        server,
+                        address,
+                        HealthCheckOutcome::Passed(Some(0.4)),
+                        Duration::ZERO,
+                    );
                 }
                 Effect::End { .. } | Effect::Drop { .. } | Effect::LastCall { .. } => {
                     panic!("nobody is to go")
--- a/crates/platform/tests/controller/stage.rs
+++ b/crates/platform/tests/controller/stage.rs
@@ -131,7 +131,11 @@
                 Effect::Probe { server, address } => {
                     let refused = self.refuses == Some(server);
                     let address = if self.former { ([127, 0, 0, 8], 8).into() } else { address };
-                    let finding = if refused { HealthCheckOutcome::Refused } else { HealthCheckOutcome::Passed(Some(0.5)) };
+                    let finding = if refused {
+                        HealthCheckOutcome::Refused
+                    } else {
+                        HealthCheckOutcome::Passed(Some(0.5))
+                    };
                     self.controller.probed(self.now, server, address, finding, Duration::ZERO);
                 }
             }
--- a/crates/proxy/benches/choose.rs
+++ b/crates/proxy/benches/choose.rs
@@ -4,7 +4,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use lockcroft_proxy::{Backend, Chooser, Line, Way};
+use lockcroft_proxy::{Backend, Chooser, LoadBalancingPolicy, TableEntry};
 use nanorand::{Rng, WyRand};
 
 /// Smooth weighted round robin as a scan over all lines: the plain way to the wheel.
@@ -79,8 +79,8 @@
     let before = held();
     let tables: Vec<Backend> = (0..40)
         .map(|_| {
-            let line = |i: usize| Line::new(&format!("server-{i}"), address, 256, false);
-            Backend::new(Way::Wheel, (0..lines).map(line).collect())
+            let line = |i: usize| TableEntry::new(&format!("server-{i}"), address, 256, false);
+            Backend::new(LoadBalancingPolicy::SmoothWeightedRoundRobin, (0..lines).map(line).collect())
         })
         .collect();
     println!("{name}: {:.1} MB", held() - before);
@@ -133,9 +133,11 @@
                 cell.borrow_mut().weights[place] = i64::from(weight);
             },
         );
-        for (name, way) in
-            [("wheel, heap", Way::Wheel), ("lottery, tree", Way::Lottery), ("pair, tree", Way::Pair)]
-        {
+        for (name, way) in [
+            ("wheel, heap", LoadBalancingPolicy::SmoothWeightedRoundRobin),
+            ("lottery, tree", LoadBalancingPolicy::WeightedRandom),
+            ("pair, tree", LoadBalancingPolicy::LeastOutstandingOfTwo),
+        ] {
             let chooser = std::cell::RefCell::new(Chooser::new(way, &weights));
             let mut chance = WyRand::new_seed(1);
             let mut choose = || {
--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lockcroft_proxy::{Proxy, ProxyPost};
+use lockcroft_proxy::{Proxy, ProxyConfig};
 use lockcroft_runtime_api::{Address, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -143,7 +143,7 @@
     apart("proxy", move |started| async move {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
-        let mut post = ProxyPost::new("p", any, vec![Address::Unix(socket)], classes);
+        let mut post = ProxyConfig::new("p", any, vec![Address::Unix(socket)], classes);
         post.standing = vec![("e1".into(), endpoint)];
         let proxy = Proxy::start(post).await.expect("started");
         started.send(proxy.visits).expect("awaited");
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -3,7 +3,7 @@
 
 /// Tokens come with first tries and go with second ones; so many may be saved up.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Second tries for each first one.
     share: f64,
     saved: f64,
@@ -13,11 +13,11 @@
 /// What may be saved, in first tries: a quiet time must not pay for a storm.
 const SAVED: f64 = 100.0;
 
-impl Budget {
+impl RetryBudget {
     /// A share of 0 allows none, one of infinity any number.
     pub fn new(share: f64) -> Self {
         let most = if share > 0.0 { (share * SAVED).max(1.0) } else { 0.0 };
-        Budget { share, saved: most, most }
+        RetryBudget { share, saved: most, most }
     }
 
     pub fn first_try(&mut self) {
@@ -38,7 +38,7 @@
 
     #[test]
     fn a_storm_gets_its_share_and_what_was_saved() {
-        let mut budget = Budget::new(0.1);
+        let mut budget = RetryBudget::new(0.1);
         let second = (0..10_000)
             .filter(|_| {
                 budget.first_try();
@@ -46,10 +46,10 @@
             })
             .count();
         assert!((1000..=1011).contains(&second), "{second}");
-        let mut none = Budget::new(0.0);
+        let mut none = RetryBudget::new(0.0);
         none.first_try();
         assert!(!none.second_try());
-        let mut any = Budget::new(f64::INFINITY);
+        let mut any = RetryBudget::new(f64::INFINITY);
         assert!((0..1000).all(|_| any.second_try()));
     }
 }
--- a/crates/proxy/src/choose/draw.rs
+++ b/crates/proxy/src/choose/draw.rs
@@ -4,14 +4,14 @@
 
 /// Weights by place, and their partial sums.
 #[derive(Clone, Debug, Default)]
-pub struct Draw {
+pub struct WeightedRandom {
     weights: Vec<u32>,
     /// Node `i` (from 1) holds the sum of the `i & -i` weights up to place `i - 1`.
     sums: Vec<u64>,
     total: u64,
 }
 
-impl Draw {
+impl WeightedRandom {
     pub fn new(weights: &[u32]) -> Self {
         let mut sums = vec![0; weights.len() + 1];
         for (place, weight) in weights.iter().enumerate() {
@@ -23,7 +23,7 @@
             }
         }
         let total = weights.iter().map(|weight| u64::from(*weight)).sum();
-        Draw { weights: weights.to_vec(), sums, total }
+        WeightedRandom { weights: weights.to_vec(), sums, total }
     }
 
     pub fn len(&self) -> usize {
@@ -85,7 +85,7 @@
             weights in proptest::collection::vec(0_u32..50, 1..40),
             changes in proptest::collection::vec((0_usize..40, 0_u32..50), 0..20),
         ) {
-            let (mut draw, mut plain) = (Draw::new(&weights), weights);
+            let (mut draw, mut plain) = (WeightedRandom::new(&weights), weights);
             for (place, weight) in changes {
                 let place = place % plain.len();
                 draw.set(place, weight);
--- a/crates/proxy/src/choose/mod.rs
+++ b/crates/proxy/src/choose/mod.rs
@@ -8,29 +8,29 @@
 
 use nanorand::{Rng, WyRand};
 
-pub use draw::Draw;
-pub use wheel::Wheel;
+pub use draw::WeightedRandom;
+pub use wheel::SmoothWeightedRoundRobin;
 
 /// How a proxy chooses, by the words of the terms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum LoadBalancingPolicy {
     /// Evenly by weight, smoothly and without bursts.
     #[default]
-    Wheel,
+    SmoothWeightedRoundRobin,
     /// By chance, by weight.
-    Lottery,
+    WeightedRandom,
     /// Of two drawn by weight, the one with fewer visits outstanding.
-    Pair,
+    LeastOutstandingOfTwo,
 }
 
-impl FromStr for Way {
+impl FromStr for LoadBalancingPolicy {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         match text {
-            "wheel" => Ok(Way::Wheel),
-            "lottery" => Ok(Way::Lottery),
-            "pair" => Ok(Way::Pair),
+            "wheel" => Ok(LoadBalancingPolicy::SmoothWeightedRoundRobin),
+            "lottery" => Ok(LoadBalancingPolicy::WeightedRandom),
+            "pair" => Ok(LoadBalancingPolicy::LeastOutstandingOfTwo),
             _ => Err(format!("{text:?} is none of wheel, lottery, pair")),
         }
     }
@@ -42,24 +42,26 @@
 /// The lines of one table, by place, in the form that its way needs.
 #[derive(Clone, Debug)]
 pub enum Chooser {
-    Wheel(Wheel),
-    Lottery(Draw),
-    Pair(Draw),
+    SmoothWeightedRoundRobin(SmoothWeightedRoundRobin),
+    Lottery(WeightedRandom),
+    Pair(WeightedRandom),
 }
 
 impl Chooser {
-    pub fn new(way: Way, weights: &[u32]) -> Self {
+    pub fn new(way: LoadBalancingPolicy, weights: &[u32]) -> Self {
         match way {
-            Way::Wheel => Chooser::Wheel(Wheel::new(weights)),
-            Way::Lottery => Chooser::Lottery(Draw::new(weights)),
-            Way::Pair => Chooser::Pair(Draw::new(weights)),
+            LoadBalancingPolicy::SmoothWeightedRoundRobin => {
+                Chooser::SmoothWeightedRoundRobin(SmoothWeightedRoundRobin::new(weights))
+            }
+            LoadBalancingPolicy::WeightedRandom => Chooser::Lottery(WeightedRandom::new(weights)),
+            LoadBalancingPolicy::LeastOutstandingOfTwo => Chooser::Pair(WeightedRandom::new(weights)),
         }
     }
 
     /// One line has another weight now.
     pub fn set(&mut self, place: usize, weight: u32) {
         match self {
-            Chooser::Wheel(wheel) => wheel.set(place, weight),
+            Chooser::SmoothWeightedRoundRobin(wheel) => wheel.set(place, weight),
             Chooser::Lottery(draw) | Chooser::Pair(draw) => draw.set(place, weight),
         }
     }
@@ -73,7 +75,7 @@
         outstanding: impl Fn(usize) -> usize,
     ) -> Option<usize> {
         match self {
-            Chooser::Wheel(wheel) => wheel.next(open),
+            Chooser::SmoothWeightedRoundRobin(wheel) => wheel.next(open),
             Chooser::Lottery(draw) => one(draw, chance, &open),
             Chooser::Pair(draw) => {
                 let first = one(draw, chance, &open)?;
@@ -86,7 +88,7 @@
 }
 
 /// A line by weight among the open ones.
-fn one(draw: &Draw, chance: &mut WyRand, open: &impl Fn(usize) -> bool) -> Option<usize> {
+fn one(draw: &WeightedRandom, chance: &mut WyRand, open: &impl Fn(usize) -> bool) -> Option<usize> {
     let at = |chance: &mut WyRand, total: u64| chance.generate_range(0..total.max(1));
     if draw.total() == 0 {
         return None;
--- a/crates/proxy/src/choose/wheel.rs
+++ b/crates/proxy/src/choose/wheel.rs
@@ -10,7 +10,7 @@
 
 /// Lines by the time at which they are due.
 #[derive(Clone, Debug, Default)]
-pub struct Wheel {
+pub struct SmoothWeightedRoundRobin {
     weights: Vec<u32>,
     /// The turn in which each line stands in the heap; what stands there from an earlier one is void.
     turns: Vec<u32>,
@@ -18,10 +18,13 @@
     now: u64,
 }
 
-impl Wheel {
+impl SmoothWeightedRoundRobin {
     pub fn new(weights: &[u32]) -> Self {
-        let mut wheel =
-            Wheel { weights: vec![0; weights.len()], turns: vec![0; weights.len()], ..Wheel::default() };
+        let mut wheel = SmoothWeightedRoundRobin {
+            weights: vec![0; weights.len()],
+            turns: vec![0; weights.len()],
+            ..SmoothWeightedRoundRobin::default()
+        };
         for (place, weight) in weights.iter().enumerate() {
             wheel.set(place, *weight);
         }
@@ -88,7 +91,7 @@
         #[test]
         fn shares_are_kept_all_along(weights in proptest::collection::vec(0_u32..40, 1..12)) {
             let total: u64 = weights.iter().map(|weight| u64::from(*weight)).sum();
-            let (mut wheel, mut came) = (Wheel::new(&weights), vec![0_u64; weights.len()]);
+            let (mut wheel, mut came) = (SmoothWeightedRoundRobin::new(&weights), vec![0_u64; weights.len()]);
             for visit in 1..=total * 3 {
                 came[wheel.next(|_| true).expect("some weight is left")] += 1;
                 for (place, weight) in weights.iter().enumerate() {
@@ -101,13 +104,13 @@
                 let wanted = u64::from(*weight) * 3;
                 prop_assert!(came[place].abs_diff(wanted) <= 1, "{:?} of {:?}", came, weights);
             }
-            prop_assert_eq!(Wheel::new(&vec![0; weights.len()]).next(|_| true), None);
+            prop_assert_eq!(SmoothWeightedRoundRobin::new(&vec![0; weights.len()]).next(|_| true), None);
         }
 
         /// Shut lines never come, and a line that was shut long is not made up for.
         #[test]
         fn a_line_that_opens_again_brings_no_burst(weights in proptest::collection::vec(1_u32..40, 2..12)) {
-            let mut wheel = Wheel::new(&weights);
+            let mut wheel = SmoothWeightedRoundRobin::new(&weights);
             for _ in 0..500 {
                 prop_assert!(wheel.next(|place| place != 0) != Some(0));
             }
@@ -119,7 +122,7 @@
 
     #[test]
     fn changes_of_single_lines_do_not_pile_up() {
-        let mut wheel = Wheel::new(&[5; 100]);
+        let mut wheel = SmoothWeightedRoundRobin::new(&[5; 100]);
         for change in 0..100_000 {
             wheel.set(change % 100, 1 + (change / 100 % 7) as u32);
         }
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -7,12 +7,12 @@
 use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
 };
-use lockcroft_runtime_api::{CommandResult, Command, CommandHandler, CommandEntry, Level};
+use lockcroft_runtime_api::{Command, CommandEntry, CommandHandler, CommandResult, Level};
 
-use crate::held::{Backend, Held, Line, STANDING};
+use crate::held::{Backend, RoutingState, STANDING, TableEntry};
 
 /// Backends `t0` up to this number stand in every proxy's settings, as the guide can't add one.
-pub const BACKENDS_MOST: usize = 1024;
+pub const MAX_BACKENDS: usize = 1024;
 
 const ENTRIES: [CommandEntry; 21] = [
     at(Level::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
@@ -44,7 +44,7 @@
 
 type Said = Result<String, String>;
 
-impl CommandHandler for Held {
+impl CommandHandler for RoutingState {
     fn entries(&self) -> &'static [CommandEntry] {
         &ENTRIES
     }
@@ -54,7 +54,7 @@
     }
 }
 
-impl Held {
+impl RoutingState {
     /// Carries out one command.
     ///
     /// # Errors
@@ -105,13 +105,13 @@
         }
     }
 
-    fn line(&self, place: &str) -> Result<&Line, String> {
+    fn line(&self, place: &str) -> Result<&TableEntry, String> {
         let (backend, server) = place.split_once('/').ok_or("Require 'backend/server'.")?;
         let backend = self.backends.get(backend).ok_or("No such backend.")?;
         backend.line(server).ok_or_else(|| "No such server.".into())
     }
 
-    fn change(&mut self, place: &str, change: impl FnOnce(&mut Line)) -> Said {
+    fn change(&mut self, place: &str, change: impl FnOnce(&mut TableEntry)) -> Said {
         self.line(place)?;
         let (backend, server) = place.split_once('/').unwrap_or_default();
         self.backends.get_mut(backend).map(|backend| Rc::make_mut(backend).change(server, change));
@@ -127,7 +127,7 @@
             [other, ..] => return Err(format!("Keyword '{other}' is not known for a server added here.")),
         };
         let number = backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
-        if backend != STANDING && number.is_none_or(|number| number >= BACKENDS_MOST) {
+        if backend != STANDING && number.is_none_or(|number| number >= MAX_BACKENDS) {
             return Err("No such backend.".into());
         }
         let way = self.limits.way;
@@ -136,7 +136,7 @@
         if backend.line(server).is_some() {
             return Err("Already exists a server with the same name in backend.".into());
         }
-        Rc::make_mut(backend).add(Line::new(server, address, weight, true));
+        Rc::make_mut(backend).add(TableEntry::new(server, address, weight, true));
         Ok("New server registered.\n".into())
     }
 
--- a/crates/proxy/src/files.rs
+++ b/crates/proxy/src/files.rs
@@ -5,28 +5,28 @@
 
 use lockcroft_runtime_api::Command;
 use lockcroft_runtime_api::tables::class_variable;
-use lockcroft_table_format::{Bound, Table};
-use lockcroft_table_store::Mine;
+use lockcroft_table_format::{ProxyAssignment, Table};
+use lockcroft_table_store::AppliedSnapshot;
 
-use crate::held::{Backend, Held};
+use crate::held::{Backend, RoutingState};
 
 /// Goes from one generation to the next.
 #[derive(Clone, Debug, Default)]
-pub struct FromFiles {
+pub struct FileCommands {
     /// Withdrawn by the pilot whose tables are held: while a later one has put the proxy on none, that still holds.
     base: BTreeSet<String>,
 }
 
-impl FromFiles {
+impl FileCommands {
     /// Orders from what is held to what a generation says; none where nothing differs.
-    pub fn orders(&mut self, held: &Held, mine: &Mine) -> Vec<Command> {
+    pub fn orders(&mut self, held: &RoutingState, mine: &AppliedSnapshot) -> Vec<Command> {
         let withdrawn: BTreeSet<String> = if mine.bound.is_empty() {
             self.base.union(&mine.withdrawn).cloned().collect()
         } else {
             self.base.clone_from(&mine.withdrawn);
             mine.withdrawn.clone()
         };
-        let mut orders = Orders { commands: Vec::new(), withdrawn: &withdrawn };
+        let mut orders = CommandQueue { commands: Vec::new(), withdrawn: &withdrawn };
         for (number, table) in &mine.tables {
             let name = format!("t{number}");
             orders.table(&name, held.backends.get(&name).map(|backend| &**backend), table);
@@ -44,12 +44,12 @@
     }
 }
 
-struct Orders<'a> {
+struct CommandQueue<'a> {
     commands: Vec<Command>,
     withdrawn: &'a BTreeSet<String>,
 }
 
-impl Orders<'_> {
+impl CommandQueue<'_> {
     fn put(&mut self, words: &[&str]) {
         let words = words.iter().map(|word| (*word).to_string()).collect();
         self.commands.push(Command { words, payload: None });
@@ -100,7 +100,7 @@
         self.put(&["del", "server", place]);
     }
 
-    fn class(&mut self, held: &Held, class: &str, bound: &Bound) {
+    fn class(&mut self, held: &RoutingState, class: &str, bound: &ProxyAssignment) {
         for (what, value) in [("level", i64::from(bound.level)), ("again", i64::from(bound.again))] {
             let name = class_variable(what, class);
             if held.vars.get(&name) != Some(&value) {
--- a/crates/proxy/src/held.rs
+++ b/crates/proxy/src/held.rs
@@ -1,4 +1,4 @@
-//! Tables, levels and shunning at one proxy.
+//! TableSet, levels and shunning at one proxy.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use lockcroft_runtime_api::tables::{Digest, class_variable};
 use nanorand::WyRand;
 
-use crate::choose::{Chooser, Way};
-use crate::tries::Ending;
+use crate::choose::{Chooser, LoadBalancingPolicy};
+use crate::tries::AttemptOutcome;
 
 /// The backend that holds a proxy's standing table.
 pub const STANDING: &str = "standing";
@@ -19,7 +19,7 @@
 
 /// A line of a backend.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct TableEntry {
     pub name: Rc<str>,
     pub address: SocketAddr,
     pub weight: u32,
@@ -39,9 +39,9 @@
     pub mean_ms: f64,
 }
 
-impl Line {
+impl TableEntry {
     pub fn new(name: &str, address: SocketAddr, weight: u32, maint: bool) -> Self {
-        Line {
+        TableEntry {
             name: name.into(),
             address,
             weight,
@@ -65,8 +65,8 @@
     }
 
     /// Takes over what orders say of a line.
-    fn ordered_as(&mut self, laid: &Line) {
-        let Line { address, weight, first_weight, maint, drain, .. } = *laid;
+    fn ordered_as(&mut self, laid: &TableEntry) {
+        let TableEntry { address, weight, first_weight, maint, drain, .. } = *laid;
         (self.address, self.weight, self.first_weight) = (address, weight, first_weight);
         (self.maint, self.drain) = (maint, drain);
     }
@@ -80,35 +80,35 @@
 /// The lines of a table, and what chooses among them.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    lines: Vec<Line>,
+    lines: Vec<TableEntry>,
     /// Where each line stands.
     places: Rc<BTreeMap<Rc<str>, usize>>,
     chooser: Chooser,
     /// Lines came or went since the chooser was laid: it is laid anew before the next choice, once for
     /// a whole set of orders.
     stale: bool,
-    way: Way,
+    way: LoadBalancingPolicy,
     /// Of the set of orders that changed it last.
     pub version: u64,
 }
 
 impl Backend {
-    pub fn new(way: Way, lines: Vec<Line>) -> Self {
-        let weights: Vec<u32> = lines.iter().map(Line::share).collect();
+    pub fn new(way: LoadBalancingPolicy, lines: Vec<TableEntry>) -> Self {
+        let weights: Vec<u32> = lines.iter().map(TableEntry::share).collect();
         let places = places(&lines).into();
         Backend { chooser: Chooser::new(way, &weights), stale: false, lines, places, way, version: 0 }
     }
 
-    pub fn lines(&self) -> &[Line] {
+    pub fn lines(&self) -> &[TableEntry] {
         &self.lines
     }
 
-    pub fn line(&self, name: &str) -> Option<&Line> {
+    pub fn line(&self, name: &str) -> Option<&TableEntry> {
         self.places.get(name).map(|place| &self.lines[*place])
     }
 
     /// Changes a line and with it its turn; `false` if there is none of this name.
-    pub fn change(&mut self, name: &str, change: impl FnOnce(&mut Line)) -> bool {
+    pub fn change(&mut self, name: &str, change: impl FnOnce(&mut TableEntry)) -> bool {
         let Some(place) = self.places.get(name).copied() else { return false };
         change(&mut self.lines[place]);
         if !self.stale {
@@ -117,7 +117,7 @@
         true
     }
 
-    pub fn add(&mut self, line: Line) {
+    pub fn add(&mut self, line: TableEntry) {
         Rc::make_mut(&mut self.places).insert(line.name.clone(), self.lines.len());
         self.lines.push(line);
         self.stale = true;
@@ -157,28 +157,29 @@
     /// Lays the chooser anew if lines came or went.
     fn lay(&mut self) {
         if std::mem::take(&mut self.stale) {
-            let weights: Vec<u32> = self.lines.iter().map(Line::share).collect();
+            let weights: Vec<u32> = self.lines.iter().map(TableEntry::share).collect();
             self.chooser = Chooser::new(self.way, &weights);
         }
     }
 
     /// Whether it gives the same choices as another.
     fn same(&self, other: &Backend) -> bool {
-        let alike =
-            |(a, b): (&Line, &Line)| a.name == b.name && a.address == b.address && a.share() == b.share();
+        let alike = |(a, b): (&TableEntry, &TableEntry)| {
+            a.name == b.name && a.address == b.address && a.share() == b.share()
+        };
         self.lines.len() == other.lines.len() && self.lines.iter().zip(&other.lines).all(alike)
     }
 }
 
 /// Where each line stands.
-fn places(lines: &[Line]) -> BTreeMap<Rc<str>, usize> {
+fn places(lines: &[TableEntry]) -> BTreeMap<Rc<str>, usize> {
     lines.iter().enumerate().map(|(place, line)| (line.name.clone(), place)).collect()
 }
 
 /// What a proxy does of itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    pub way: Way,
+    pub way: LoadBalancingPolicy,
     /// Tries that may be under way at one endpoint; 0: any number.
     pub outstanding_most: usize,
     /// It keeps away from a server after so many failures of its own in a row; 0: never.
@@ -188,7 +189,7 @@
 
 /// A line that was chosen for a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct ChosenEndpoint {
     pub backend: String,
     pub server: String,
     pub address: SocketAddr,
@@ -197,21 +198,21 @@
 /// What came of choosing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    Line(Chosen),
+    Endpoint(ChosenEndpoint),
     /// Lines there are, but each has all that it may have under way.
     Full,
     Bare,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Front {
+pub struct Frontend {
     pub visits: u64,
     pub denied: u64,
 }
 
 /// All that a proxy holds.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct RoutingState {
     pub name: String,
     pub limits: Limits,
     pub backends: BTreeMap<String, Rc<Backend>>,
@@ -221,7 +222,7 @@
     pub prepared: BTreeMap<u64, BTreeMap<String, String>>,
     pub versions: u64,
     pub vars: BTreeMap<String, i64>,
-    pub fronts: BTreeMap<String, Front>,
+    pub fronts: BTreeMap<String, Frontend>,
     chance: WyRand,
     /// Of the sets of orders that took effect.
     pub version: u64,
@@ -232,13 +233,13 @@
 
 /// What orders change, as it was at a time.
 #[derive(Clone, Debug)]
-pub struct Tables {
+pub struct TableSet {
     backends: BTreeMap<String, Rc<Backend>>,
     map: BTreeMap<String, String>,
     vars: BTreeMap<String, i64>,
 }
 
-impl Held {
+impl RoutingState {
     /// A proxy as it starts: each class on the standing table.
     pub fn new(
         name: &str,
@@ -247,9 +248,9 @@
         limits: Limits,
         seed: u64,
     ) -> Self {
-        let lines = standing.iter().map(|(name, address)| Line::new(name, *address, 256, false));
+        let lines = standing.iter().map(|(name, address)| TableEntry::new(name, *address, 256, false));
         let backend = Backend::new(limits.way, lines.collect());
-        Held {
+        RoutingState {
             name: name.into(),
             limits,
             backends: BTreeMap::from([(STANDING.to_string(), Rc::new(backend))]),
@@ -257,7 +258,7 @@
             prepared: BTreeMap::new(),
             versions: 0,
             vars: BTreeMap::new(),
-            fronts: classes.iter().map(|class| (class.clone(), Front::default())).collect(),
+            fronts: classes.iter().map(|class| (class.clone(), Frontend::default())).collect(),
             chance: WyRand::new_seed(seed),
             version: 0,
             committed: 0,
@@ -265,17 +266,17 @@
         }
     }
 
-    pub fn tables(&self) -> Tables {
-        Tables { backends: self.backends.clone(), map: self.map.clone(), vars: self.vars.clone() }
+    pub fn tables(&self) -> TableSet {
+        TableSet { backends: self.backends.clone(), map: self.map.clone(), vars: self.vars.clone() }
     }
 
     /// All as it was; for orders that were carried out in the same moment, so that no visit is lost.
-    pub fn restore(&mut self, tables: Tables) {
+    pub fn restore(&mut self, tables: TableSet) {
         (self.backends, self.map, self.vars) = (tables.backends, tables.map, tables.vars);
     }
 
     /// A set of orders took effect; tables that it changed carry its version.
-    pub fn took_effect(&mut self, before: &Tables) {
+    pub fn took_effect(&mut self, before: &TableSet) {
         self.version += 1;
         for (name, backend) in &mut self.backends {
             let was = before.backends.get(name);
@@ -287,7 +288,7 @@
 
     /// Adopts what was laid on a copy of this, taken when it held `before`. Backends that no order
     /// touched stay as they are by now.
-    pub fn adopt(&mut self, laid: Held, before: &Tables) {
+    pub fn adopt(&mut self, laid: RoutingState, before: &TableSet) {
         let mut backends = BTreeMap::new();
         for (name, laid) in laid.backends {
             let untouched = before.backends.get(&name).is_some_and(|was| Rc::ptr_eq(was, &laid));
@@ -353,7 +354,7 @@
     }
 
     /// The line for the next try: open, not shunned, with room, and not the one that was tried
-    /// already. The try counts as under way until it [ends](Held::ended).
+    /// already. The try counts as under way until it [ends](RoutingState::ended).
     pub fn choose(&mut self, now: Duration, class: &str, not: Option<&str>) -> Choice {
         let most = if self.limits.outstanding_most > 0 { self.limits.outstanding_most } else { usize::MAX };
         let found = self.map.get(class).and_then(|name| Some((name, self.backends.get_mut(name)?)));
@@ -361,14 +362,14 @@
         let backend = Rc::make_mut(backend);
         backend.lay();
         let Backend { lines, chooser, .. } = backend;
-        let free = |line: &Line| line.open() && line.shunned_until <= now && Some(&*line.name) != not;
+        let free = |line: &TableEntry| line.open() && line.shunned_until <= now && Some(&*line.name) != not;
         let open = |place: usize| free(&lines[place]) && lines[place].outstanding < most;
         match chooser.next(&mut self.chance, open, |place| lines[place].outstanding) {
             Some(place) => {
                 let line = &mut lines[place];
                 line.outstanding += 1;
                 let (server, address) = (line.name.to_string(), line.address);
-                Choice::Line(Chosen { backend: name.clone(), server, address })
+                Choice::Endpoint(ChosenEndpoint { backend: name.clone(), server, address })
             }
             None if lines.iter().any(free) => Choice::Full,
             None => Choice::Bare,
@@ -376,7 +377,7 @@
     }
 
     /// How a try ended; after so many failures in a row the server is shunned.
-    pub fn ended(&mut self, now: Duration, chosen: &Chosen, ending: Ending, took: Duration) {
+    pub fn ended(&mut self, now: Duration, chosen: &ChosenEndpoint, ending: AttemptOutcome, took: Duration) {
         let Limits { shuns_after, shuns_for, .. } = self.limits;
         // A line that went while the visit was under way counts nothing any more.
         let Some(backend) = self.backends.get_mut(&chosen.backend).map(Rc::make_mut) else { return };
@@ -385,11 +386,11 @@
         line.outstanding = line.outstanding.saturating_sub(1);
         line.tries += 1;
         match ending {
-            Ending::Refused => line.connect_failed += 1,
-            Ending::Broken | Ending::Late => line.answer_failed += 1,
-            Ending::TurnedAway => line.answered_5xx += 1,
-            Ending::Answered(status) if status >= 500 => line.answered_5xx += 1,
-            Ending::Answered(_) => {
+            AttemptOutcome::Refused => line.connect_failed += 1,
+            AttemptOutcome::Broken | AttemptOutcome::Late => line.answer_failed += 1,
+            AttemptOutcome::TurnedAway => line.answered_5xx += 1,
+            AttemptOutcome::Answered(status) if status >= 500 => line.answered_5xx += 1,
+            AttemptOutcome::Answered(_) => {
                 let ms = took.as_secs_f64() * 1e3;
                 line.sum_ms += ms;
                 line.mean_ms += (ms - line.mean_ms) / (line.tries as f64).min(MEAN_OVER);
@@ -404,6 +405,6 @@
     /// Whether a class has a line that is open, shunned or not: what its orders left it.
     pub fn has_line(&self, class: &str) -> bool {
         let backend = self.map.get(class).and_then(|name| self.backends.get(name));
-        backend.is_some_and(|backend| backend.lines.iter().any(Line::open))
+        backend.is_some_and(|backend| backend.lines.iter().any(TableEntry::open))
     }
 }
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -3,14 +3,14 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_runtime_api::{SessionState, Command, CommandReader, Level, Listener, Stream};
+use lockcroft_runtime_api::{Command, CommandReader, Level, Listener, SessionState, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
-use super::running::Core;
-use crate::orders::{Orders, changes};
+use super::running::Worker;
+use crate::orders::{CommandQueue, changes};
 
-pub async fn listen(listener: Listener, core: Rc<Core>) {
+pub async fn listen(listener: Listener, core: Rc<Worker>) {
     while let Ok(stream) = listener.accept().await {
         let core = core.clone();
         // A broken connection concerns its pilot alone; what came of its line in part is dropped with it.
@@ -23,8 +23,8 @@
     }
 }
 
-async fn converse(mut stream: Box<dyn Stream>, core: &Core) -> io::Result<()> {
-    let (mut feed, mut orders) = (CommandReader::default(), Orders::new(Level::Admin));
+async fn converse(mut stream: Box<dyn Stream>, core: &Worker) -> io::Result<()> {
+    let (mut feed, mut orders) = (CommandReader::default(), CommandQueue::new(Level::Admin));
     loop {
         while let Some(commands) =
             feed.next_line().map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?
@@ -51,7 +51,12 @@
 }
 
 /// Visits have their turn between the pieces of a set; other sets wait until this one is through.
-pub async fn carry_out(commands: Vec<Command>, orders: &mut Orders, core: &Core, out: &mut String) -> SessionState {
+pub async fn carry_out(
+    commands: Vec<Command>,
+    orders: &mut CommandQueue,
+    core: &Worker,
+    out: &mut String,
+) -> SessionState {
     let count = commands.len();
     let _alone = if commands.iter().any(changes) { Some(core.laying.lock().await) } else { None };
     let mut laying = orders.begin(commands, &core.held());
--- a/crates/proxy/src/io/files.rs
+++ b/crates/proxy/src/io/files.rs
@@ -8,32 +8,35 @@
 
 use lockcroft_runtime_api::Level;
 use lockcroft_table_format::proto;
-use lockcroft_table_store::{Layout, Looked, Mine, Reader, Refusal, Statuses, read_keys, write_status};
+use lockcroft_table_store::{
+    AppliedSnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, StoreLayout, read_keys,
+    write_status,
+};
 use tracing::{info, warn};
 
 use super::control::carry_out;
-use super::running::Core;
+use super::running::Worker;
 use super::watch::Watch;
 use super::work::{Turn, off_thread};
-use crate::files::FromFiles;
-use crate::orders::Orders;
-use crate::post::FilesTerms;
+use crate::files::FileCommands;
+use crate::orders::CommandQueue;
+use crate::post::TableFilesConfig;
 
 /// So many sets stand in the status.
 const LAID_MOST: usize = 32;
 
 /// What goes off the thread with each look.
 struct Followed {
-    reader: Reader,
-    terms: FilesTerms,
+    reader: SnapshotReader,
+    terms: TableFilesConfig,
 }
 
 /// Until the proxy ends.
-pub async fn follow(core: Rc<Core>, terms: FilesTerms, reader: Reader) {
+pub async fn follow(core: Rc<Worker>, terms: TableFilesConfig, reader: SnapshotReader) {
     let folder = terms.folder.clone();
     let mut watch = Watch::of(&folder);
     let mut status = proto::Status::of(&core.post.name);
-    let (mut from, mut orders) = (FromFiles::default(), Orders::new(Level::Admin));
+    let (mut from, mut orders) = (FileCommands::default(), CommandQueue::new(Level::Admin));
     let mut followed = Followed { reader, terms };
     let mut complained = String::new();
     loop {
@@ -69,14 +72,14 @@
 ///
 /// # Errors
 /// The keys can't be read.
-pub fn reader(name: &str, terms: &FilesTerms) -> io::Result<Reader> {
+pub fn reader(name: &str, terms: &TableFilesConfig) -> io::Result<SnapshotReader> {
     let keys = read_keys(&terms.keys).map_err(io::Error::other)?;
-    let laid = Statuses::of(&terms.folder, name).and_then(|status| status.laid.last().cloned());
-    Ok(Reader::new(&terms.folder, name, keys, laid.map(|laid| (laid.epoch, laid.version))))
+    let laid = StatusReader::of(&terms.folder, name).and_then(|status| status.laid.last().cloned());
+    Ok(SnapshotReader::new(&terms.folder, name, keys, laid.map(|laid| (laid.epoch, laid.version))))
 }
 
 impl Followed {
-    fn look(&mut self) -> io::Result<Looked> {
+    fn look(&mut self) -> io::Result<ScanResult> {
         let looked = self.reader.look()?;
         // Keys may have been turned over: what they do not vouch for is looked at once more with those of now.
         if looked.refused.iter().any(|refused| refused.why.contains("no seal"))
@@ -91,14 +94,14 @@
 
 /// Whether there is news for the status.
 async fn take(
-    core: &Core,
-    looked: Looked,
-    from: &mut FromFiles,
-    orders: &mut Orders,
+    core: &Worker,
+    looked: ScanResult,
+    from: &mut FileCommands,
+    orders: &mut CommandQueue,
     status: &mut proto::Status,
 ) -> bool {
     let mut told = false;
-    for Refusal { epoch, version, why } in looked.refused {
+    for RejectedSnapshot { epoch, version, why } in looked.refused {
         let before = status.refused.as_ref();
         if before.is_none_or(|before| (before.epoch, before.version, &before.why) != (epoch, version, &why)) {
             warn!(target: "lockcroft::files", epoch, version, "refused: {why}");
@@ -122,7 +125,12 @@
 }
 
 /// The proxy's set that came of it; 0 if nothing changed.
-async fn lay(core: &Core, mine: &Mine, from: &mut FromFiles, orders: &mut Orders) -> u64 {
+async fn lay(
+    core: &Worker,
+    mine: &AppliedSnapshot,
+    from: &mut FileCommands,
+    orders: &mut CommandQueue,
+) -> u64 {
     let commands = from.orders(&core.held(), mine);
     if commands.is_empty() {
         return 0;
@@ -141,7 +149,7 @@
 
 /// The folders in which something new may appear: that of all epochs, and the latest epoch's own.
 pub fn watched(folder: &Path) -> Vec<PathBuf> {
-    let layout = Layout::new(folder);
+    let layout = StoreLayout::new(folder);
     let latest = layout.epochs().unwrap_or_default().first().map(|epoch| layout.epoch(*epoch));
     std::iter::once(folder.to_path_buf()).chain(latest).collect()
 }
--- a/crates/proxy/src/io/forward.rs
+++ b/crates/proxy/src/io/forward.rs
@@ -11,9 +11,9 @@
 use tokio::time::timeout;
 
 use super::pool::{Body, Sent, dial, send};
-use super::running::Core;
-use crate::held::{Choice, Chosen};
-use crate::tries::{Ending, may_try_again};
+use super::running::Worker;
+use crate::held::{Choice, ChosenEndpoint};
+use crate::tries::{AttemptOutcome, may_try_again};
 
 /// The client's patience in milliseconds, carried along so that an endpoint may drop what nobody
 /// waits for; the visit's own id; the client, so that a refused one is refused again; the table in
@@ -69,7 +69,7 @@
 
 /// # Errors
 /// None; the type is the library's.
-pub async fn forward(visit: Request<Incoming>, core: Rc<Core>) -> Result<Answer, hyper::Error> {
+pub async fn forward(visit: Request<Incoming>, core: Rc<Worker>) -> Result<Answer, hyper::Error> {
     let (head, body) = visit.into_parts();
     let class = head.uri.path().split('/').nth(1).unwrap_or_default().to_string();
     let told = text(&head.headers, PATIENCE).and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
@@ -91,7 +91,7 @@
     Ok(answer)
 }
 
-async fn decide(visit: &Visit, body: Incoming, core: &Core) -> (Answer, u32) {
+async fn decide(visit: &Visit, body: Incoming, core: &Worker) -> (Answer, u32) {
     if !core.held().lets_in(&visit.class, draw(visit)) {
         return (refuse(core), 0);
     }
@@ -99,7 +99,7 @@
         return (plain(StatusCode::REQUEST_TIMEOUT), 0);
     };
     core.budget.borrow_mut().first_try();
-    let (mut tries, mut tried): (u32, Option<Chosen>) = (0, None);
+    let (mut tries, mut tried): (u32, Option<ChosenEndpoint>) = (0, None);
     loop {
         let not = tried.as_ref().map(|chosen| chosen.server.as_str());
         let Some(chosen) = choose(visit, not, core).await else { return (refuse(core), tries) };
@@ -135,10 +135,10 @@
 }
 
 /// A line with room; waits a bounded time for one, with a bounded number of others.
-async fn choose(visit: &Visit, not: Option<&str>, core: &Core) -> Option<Chosen> {
+async fn choose(visit: &Visit, not: Option<&str>, core: &Worker) -> Option<ChosenEndpoint> {
     let try_now = || core.held().choose(core.now(), &visit.class, not);
     match try_now() {
-        Choice::Line(chosen) => return Some(chosen),
+        Choice::Endpoint(chosen) => return Some(chosen),
         Choice::Bare => return None,
         Choice::Full => {}
     }
@@ -153,7 +153,7 @@
             break None;
         }
         match try_now() {
-            Choice::Line(chosen) => break Some(chosen),
+            Choice::Endpoint(chosen) => break Some(chosen),
             Choice::Bare => break None,
             Choice::Full => {}
         }
@@ -194,21 +194,28 @@
 
 async fn attempt(
     visit: &Visit,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     load: &mut Load,
     left: Duration,
-    core: &Core,
-) -> (Ending, Answer) {
+    core: &Worker,
+) -> (AttemptOutcome, Answer) {
     match timeout(left, exchange(visit, chosen, load, core)).await {
-        Ok((Ending::Refused, _)) => (Ending::Refused, plain(StatusCode::BAD_GATEWAY)),
+        Ok((AttemptOutcome::Refused, _)) => (AttemptOutcome::Refused, plain(StatusCode::BAD_GATEWAY)),
         Ok((ending, Some(answer))) => (ending, answer),
         Ok((ending, None)) => (ending, plain(StatusCode::BAD_GATEWAY)),
-        Err(_) => (Ending::Late, plain(StatusCode::GATEWAY_TIMEOUT)),
+        Err(_) => (AttemptOutcome::Late, plain(StatusCode::GATEWAY_TIMEOUT)),
     }
 }
 
-async fn exchange(visit: &Visit, chosen: &Chosen, load: &mut Load, core: &Core) -> (Ending, Option<Answer>) {
-    let Some(mut message) = message(visit, chosen, load, core) else { return (Ending::Refused, None) };
+async fn exchange(
+    visit: &Visit,
+    chosen: &ChosenEndpoint,
+    load: &mut Load,
+    core: &Worker,
+) -> (AttemptOutcome, Option<Answer>) {
+    let Some(mut message) = message(visit, chosen, load, core) else {
+        return (AttemptOutcome::Refused, None);
+    };
     let kept = core.pool.borrow_mut().take(chosen.address);
     if let Some(sender) = kept {
         match send(sender, message).await {
@@ -216,20 +223,20 @@
                 return answered(answer, sender, chosen.address, core).await;
             }
             (Sent::Unsent, Some(back)) => message = back,
-            _ => return (Ending::Broken, None),
+            _ => return (AttemptOutcome::Broken, None),
         }
     }
     let Some(sender) = dial(chosen.address, core.post.connect_within).await else {
-        return (Ending::Refused, None);
+        return (AttemptOutcome::Refused, None);
     };
     match send(sender, message).await {
         (Sent::Answered(answer, sender), _) => answered(answer, sender, chosen.address, core).await,
-        (Sent::Unsent, Some(_)) => (Ending::Refused, None),
-        _ => (Ending::Broken, None),
+        (Sent::Unsent, Some(_)) => (AttemptOutcome::Refused, None),
+        _ => (AttemptOutcome::Broken, None),
     }
 }
 
-fn message(visit: &Visit, chosen: &Chosen, load: &mut Load, core: &Core) -> Option<Request<Body>> {
+fn message(visit: &Visit, chosen: &ChosenEndpoint, load: &mut Load, core: &Worker) -> Option<Request<Body>> {
     let mut message = Request::new(load.body());
     *message.method_mut() = visit.method.clone();
     *message.uri_mut() = visit.path.path_and_query()?.as_str().parse().ok()?;
@@ -255,19 +262,19 @@
     answer: Response<Incoming>,
     sender: super::pool::Sender,
     from: SocketAddr,
-    core: &Core,
-) -> (Ending, Option<Answer>) {
+    core: &Worker,
+) -> (AttemptOutcome, Option<Answer>) {
     let (mut head, body) = answer.into_parts();
     let unread = head.status == StatusCode::SERVICE_UNAVAILABLE && head.headers.contains_key(UNREAD);
     strip(&mut head.headers);
     let code = head.status.as_u16();
-    let ending = if unread { Ending::TurnedAway } else { Ending::Answered(code) };
+    let ending = if unread { AttemptOutcome::TurnedAway } else { AttemptOutcome::Answered(code) };
     let small = body.size_hint().upper().is_some_and(|upper| upper <= core.post.keep_most as u64);
     if !small {
         return (ending, Some(Response::from_parts(head, body.boxed_unsync())));
     }
     match Limited::new(body, core.post.keep_most).collect().await {
-        Err(_) => (Ending::Broken, None),
+        Err(_) => (AttemptOutcome::Broken, None),
         Ok(whole) => {
             core.pool.borrow_mut().give(from, sender);
             let body = Full::new(whole.to_bytes()).map_err(|never| match never {}).boxed_unsync();
@@ -294,7 +301,7 @@
     }
 }
 
-fn refuse(core: &Core) -> Answer {
+fn refuse(core: &Worker) -> Answer {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = core.post.retry_after.as_secs_f64().ceil() as u64;
     answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
--- a/crates/proxy/src/io/guard.rs
+++ b/crates/proxy/src/io/guard.rs
@@ -140,15 +140,15 @@
 
 /// A client's connection, watched. Once something is refused the client gets 400, and the library
 /// reads the end of the connection.
-pub struct Guard {
+pub struct RequestValidator {
     stream: TcpStream,
     watch: Watch,
     refused: Option<usize>,
 }
 
-impl Guard {
+impl RequestValidator {
     pub fn new(stream: TcpStream) -> Self {
-        Guard { stream, watch: Watch::default(), refused: None }
+        RequestValidator { stream, watch: Watch::default(), refused: None }
     }
 
     fn refuse(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -160,7 +160,7 @@
     }
 }
 
-impl AsyncRead for Guard {
+impl AsyncRead for RequestValidator {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -182,7 +182,7 @@
     }
 }
 
-impl AsyncWrite for Guard {
+impl AsyncWrite for RequestValidator {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/proxy/src/io/running.rs
+++ b/crates/proxy/src/io/running.rs
@@ -16,23 +16,23 @@
 use tokio::sync::{Mutex, Notify, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-use super::guard::Guard;
+use super::guard::RequestValidator;
 use super::pool::Pool;
 use super::{control, files, forward};
-use crate::budget::Budget;
-use crate::held::Held;
+use crate::budget::RetryBudget;
+use crate::held::RoutingState;
 use crate::orders::changes;
-use crate::post::ProxyPost;
+use crate::post::ProxyConfig;
 
 /// What all of a proxy's visits and orders share; on one thread, so that nobody waits for a lock.
-pub struct Core {
-    pub post: ProxyPost,
+pub struct Worker {
+    pub post: ProxyConfig,
     pub start: Instant,
-    held: RefCell<Held>,
+    held: RefCell<RoutingState>,
     /// Held by the control connection whose set is being laid.
     pub laying: Mutex<()>,
     pub pool: RefCell<Pool>,
-    pub budget: RefCell<Budget>,
+    pub budget: RefCell<RetryBudget>,
     /// Microseconds of answered tries, by endpoint and class.
     pub times: RefCell<BTreeMap<(String, String), Histogram<u64>>>,
     /// Something ended or changed: there may be room at an endpoint.
@@ -43,8 +43,8 @@
     ended: watch::Sender<bool>,
 }
 
-impl Core {
-    pub fn held(&self) -> RefMut<'_, Held> {
+impl Worker {
+    pub fn held(&self) -> RefMut<'_, RoutingState> {
         self.held.borrow_mut()
     }
 
@@ -102,7 +102,7 @@
 /// A running proxy; it ends when this is dropped, with all its connections.
 pub struct Proxy {
     pub visits: SocketAddr,
-    core: Rc<Core>,
+    core: Rc<Worker>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -111,13 +111,13 @@
     ///
     /// # Errors
     /// A socket can't be had.
-    pub async fn start(post: ProxyPost) -> io::Result<Self> {
+    pub async fn start(post: ProxyConfig) -> io::Result<Self> {
         let classes: Vec<String> = post.classes.iter().map(|(name, _)| name.clone()).collect();
-        let held = Held::new(&post.name, &classes, &post.standing, post.limits, post.seed);
+        let held = RoutingState::new(&post.name, &classes, &post.standing, post.limits, post.seed);
         let listener = TcpListener::bind(post.visits).await?;
         let visits = listener.local_addr()?;
-        let core = Rc::new(Core {
-            budget: RefCell::new(Budget::new(post.second_share)),
+        let core = Rc::new(Worker {
+            budget: RefCell::new(RetryBudget::new(post.second_share)),
             start: Instant::now(),
             held: RefCell::new(held),
             laying: Mutex::new(()),
@@ -168,7 +168,7 @@
     }
 }
 
-async fn take_visits(listener: TcpListener, core: Rc<Core>) {
+async fn take_visits(listener: TcpListener, core: Rc<Worker>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors, say: give others time to end.
@@ -190,7 +190,7 @@
             let mut http = hyper::server::conn::http1::Builder::new();
             http.timer(TokioTimer::new()).header_read_timeout(core.post.silent_most);
             // A client that breaks off, or is cut off, concerns nobody else.
-            let serving = http.serve_connection(TokioIo::new(Guard::new(stream)), service);
+            let serving = http.serve_connection(TokioIo::new(RequestValidator::new(stream)), service);
             tokio::select! {
                 _ = serving => {}
                 () = core.end() => {}
@@ -204,7 +204,7 @@
 ///
 /// # Errors
 /// A socket can't be had.
-pub async fn serve(post: ProxyPost) -> io::Result<()> {
+pub async fn serve(post: ProxyConfig) -> io::Result<()> {
     let sockets = post.control.clone();
     let name = post.name.clone();
     let _proxy = Proxy::start(post).await?;
--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -7,58 +7,60 @@
 
 use std::collections::VecDeque;
 
-use lockcroft_runtime_api::{SessionState, CommandResult, Command, CommandHandler, CommandEntry, Level, Session};
+use lockcroft_runtime_api::{
+    Command, CommandEntry, CommandHandler, CommandResult, Level, Session, SessionState,
+};
 
-use crate::held::{Held, Tables};
+use crate::held::{RoutingState, TableSet};
 
 /// Orders laid before visits have their turn: some microseconds.
 pub const PIECE: usize = 4;
 
 /// The state of one control connection.
-pub struct Orders {
+pub struct CommandQueue {
     session: Session,
     epoch: Option<i64>,
     /// A set that is being prepared: its version, and what would be held with it.
-    prepared: Option<(u64, Held, Vec<Command>)>,
+    prepared: Option<(u64, RoutingState, Vec<Command>)>,
 }
 
 /// A line of orders on its way.
-pub struct Laying {
+pub struct TableTransaction {
     left: VecDeque<Command>,
     /// Orders of a prepared set that is being committed, with its version and what was laid before it.
-    replay: Option<(VecDeque<Command>, u64, Tables)>,
+    replay: Option<(VecDeque<Command>, u64, TableSet)>,
     /// Places of the commands that change something, among the line's answers.
     orders: Vec<usize>,
-    laid: Held,
-    before: Tables,
+    laid: RoutingState,
+    before: TableSet,
     refused: Option<String>,
     after: SessionState,
     answers: Vec<String>,
 }
 
-impl Laying {
+impl TableTransaction {
     fn done(&self) -> bool {
         self.after != SessionState::Stay || (self.left.is_empty() && self.replay.is_none())
     }
 }
 
-impl Orders {
+impl CommandQueue {
     pub fn new(level: Level) -> Self {
-        Orders { session: Session::new(level), epoch: None, prepared: None }
+        CommandQueue { session: Session::new(level), epoch: None, prepared: None }
     }
 
     /// Carries out a line, all of it at once. If an order in it is refused, none of them was done, and
     /// each says so.
-    pub fn line(&mut self, commands: &[Command], held: &mut Held, out: &mut String) -> SessionState {
+    pub fn line(&mut self, commands: &[Command], held: &mut RoutingState, out: &mut String) -> SessionState {
         let mut laying = self.begin(commands.to_vec(), held);
         while !self.step(&mut laying) {}
         self.finish(laying, held, out)
     }
 
-    /// Takes up a line. Between this and [`Orders::finish`] no other set may be adopted.
-    pub fn begin(&self, commands: Vec<Command>, held: &Held) -> Laying {
+    /// Takes up a line. Between this and [`CommandQueue::finish`] no other set may be adopted.
+    pub fn begin(&self, commands: Vec<Command>, held: &RoutingState) -> TableTransaction {
         let orders = (0..commands.len()).filter(|place| changes(&commands[*place]));
-        Laying {
+        TableTransaction {
             orders: orders.collect(),
             left: commands.into(),
             replay: None,
@@ -71,7 +73,7 @@
     }
 
     /// Lays some more of its orders, at most [`PIECE`]; `true` once none is left.
-    pub fn step(&mut self, laying: &mut Laying) -> bool {
+    pub fn step(&mut self, laying: &mut TableTransaction) -> bool {
         for _ in 0..PIECE {
             if laying.done() {
                 return true;
@@ -86,7 +88,12 @@
     }
 
     /// What was laid becomes what is held, or nothing of it; the answers go out.
-    pub fn finish(&mut self, mut laying: Laying, held: &mut Held, out: &mut String) -> SessionState {
+    pub fn finish(
+        &mut self,
+        mut laying: TableTransaction,
+        held: &mut RoutingState,
+        out: &mut String,
+    ) -> SessionState {
         let refused = laying.refused.take().filter(|_| laying.orders.len() > 1);
         if let Some(why) = &refused {
             let said = format!("Not done, as an order of its set was refused: {}\n", why.trim());
@@ -112,10 +119,14 @@
         if empty {
             return self.session.line(&[], held, out);
         }
-        if self.session.lasting() || laying.after != SessionState::Stay { laying.after } else { SessionState::Close }
+        if self.session.lasting() || laying.after != SessionState::Stay {
+            laying.after
+        } else {
+            SessionState::Close
+        }
     }
 
-    fn command(&mut self, command: &Command, laying: &mut Laying) {
+    fn command(&mut self, command: &Command, laying: &mut TableTransaction) {
         if let Some(said) = self.own(command, laying) {
             let mut said = note(said, command, &mut laying.refused);
             if !said.is_empty() {
@@ -137,7 +148,7 @@
     }
 
     /// What concerns the connection and its sets rather than a table.
-    fn own(&mut self, command: &Command, laying: &mut Laying) -> Option<Result<String, String>> {
+    fn own(&mut self, command: &Command, laying: &mut TableTransaction) -> Option<Result<String, String>> {
         if !self.session.may(Level::Admin) {
             return None;
         }
@@ -165,7 +176,7 @@
         }
     }
 
-    fn take_over(&mut self, value: &str, held: &mut Held) -> Result<String, String> {
+    fn take_over(&mut self, value: &str, held: &mut RoutingState) -> Result<String, String> {
         let epoch = value.strip_prefix("int(").and_then(|rest| rest.strip_suffix(')'));
         let epoch: i64 = epoch.and_then(|epoch| epoch.parse().ok()).ok_or("Only int(<n>) is known here.")?;
         self.epoch = Some(epoch);
@@ -177,7 +188,7 @@
     }
 
     /// Begins to commit a prepared set: its orders are laid anew, on what is held by now.
-    fn commit(&mut self, version: &str, laying: &mut Laying) -> Result<String, String> {
+    fn commit(&mut self, version: &str, laying: &mut TableTransaction) -> Result<String, String> {
         let out_of_range = || "Version number out of range.".to_string();
         let version: u64 = version.strip_prefix('@').and_then(|v| v.parse().ok()).ok_or_else(out_of_range)?;
         let (_, _, commands) =
@@ -191,7 +202,7 @@
 }
 
 /// One more order of a set that is being committed; the first that is refused undoes the set.
-fn replay(laying: &mut Laying) {
+fn replay(laying: &mut TableTransaction) {
     let Some((mut commands, version, before)) = laying.replay.take() else { return };
     let Some(command) = commands.pop_front() else {
         laying.laid.committed = version;
@@ -210,7 +221,7 @@
     }
 }
 
-fn superseded(held: &Held) -> String {
+fn superseded(held: &RoutingState) -> String {
     format!("Superseded: a pilot of epoch {} has taken over.", held.epoch)
 }
 
@@ -231,7 +242,7 @@
 
 /// A desk that remembers the first order that was refused.
 struct Noting<'a> {
-    held: &'a mut Held,
+    held: &'a mut RoutingState,
     refused: &'a mut Option<String>,
 }
 
--- a/crates/proxy/src/post.rs
+++ b/crates/proxy/src/post.rs
@@ -4,11 +4,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft_config::{Document, ConfigErrors, LogConfig, parse_duration};
+use lockcroft_config::{ConfigErrors, Document, LogConfig, parse_duration};
 use lockcroft_runtime_api::Address;
 use roxmltree::Node;
 
-use crate::choose::Way;
+use crate::choose::LoadBalancingPolicy;
 use crate::held::Limits;
 
 /// The schema of a proxy's settings.
@@ -18,7 +18,7 @@
 
 /// A proxy's post.
 #[derive(Clone, Debug)]
-pub struct ProxyPost {
+pub struct ProxyConfig {
     pub name: String,
     /// Where visits come in.
     pub visits: SocketAddr,
@@ -50,19 +50,19 @@
     pub classes: Vec<(String, Duration)>,
     pub standing: Vec<(String, SocketAddr)>,
     /// Where it takes its tables from, if not from its control socket.
-    pub files: Option<FilesTerms>,
+    pub files: Option<TableFilesConfig>,
 }
 
 /// A folder of generations, as a proxy follows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FilesTerms {
+pub struct TableFilesConfig {
     pub folder: PathBuf,
     pub keys: PathBuf,
     /// It looks by itself so often, whatever file events tell.
     pub look_every: Duration,
 }
 
-impl ProxyPost {
+impl ProxyConfig {
     /// A post with everything as it is where nothing is stated.
     pub fn new(
         name: &str,
@@ -70,13 +70,13 @@
         control: Vec<Address>,
         classes: Vec<(String, Duration)>,
     ) -> Self {
-        ProxyPost {
+        ProxyConfig {
             name: name.into(),
             visits,
             control,
             log: LogConfig::default(),
             limits: Limits {
-                way: Way::Wheel,
+                way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
                 outstanding_most: 0,
                 shuns_after: 0,
                 shuns_for: Duration::from_secs(5),
@@ -133,11 +133,11 @@
         if !faults.is_empty() {
             return Err(ConfigErrors(faults));
         }
-        let mut post = ProxyPost::new(root.attribute("name").unwrap_or_default(), visits, control, classes);
+        let mut post = ProxyConfig::new(root.attribute("name").unwrap_or_default(), visits, control, classes);
         post.standing = standing;
         let base = file.parent().unwrap_or(Path::new("."));
         let place = |node: Node, name: &str| base.join(node.attribute(name).unwrap_or_default());
-        post.files = part("files").map(|node| FilesTerms {
+        post.files = part("files").map(|node| TableFilesConfig {
             folder: place(node, "folder"),
             keys: place(node, "keys"),
             look_every: time(Some(node), "look-every").unwrap_or(LOOK_EVERY),
--- a/crates/proxy/src/tries.rs
+++ b/crates/proxy/src/tries.rs
@@ -2,7 +2,7 @@
 
 /// How a try at a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Answered with this status.
     Answered(u16),
     /// No connection came about: not a byte of the visit was written.
@@ -15,19 +15,19 @@
     Late,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether it is sure that the visit never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Refused | Ending::TurnedAway)
+        matches!(self, AttemptOutcome::Refused | AttemptOutcome::TurnedAway)
     }
 
     pub fn failed(self) -> bool {
-        !matches!(self, Ending::Answered(status) if status < 500)
+        !matches!(self, AttemptOutcome::Answered(status) if status < 500)
     }
 }
 
 /// Once, after proof, if it is ordered; whatever the class's effect, since nothing was done yet.
-pub fn may_try_again(tries: u32, ending: Ending, ordered: bool) -> bool {
+pub fn may_try_again(tries: u32, ending: AttemptOutcome, ordered: bool) -> bool {
     ordered && tries == 1 && ending.never_ran()
 }
 
@@ -36,13 +36,13 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn ending() -> impl Strategy<Value = Ending> {
+    fn ending() -> impl Strategy<Value = AttemptOutcome> {
         prop_oneof![
-            (100..600_u16).prop_map(Ending::Answered),
-            Just(Ending::Refused),
-            Just(Ending::TurnedAway),
-            Just(Ending::Broken),
-            Just(Ending::Late),
+            (100..600_u16).prop_map(AttemptOutcome::Answered),
+            Just(AttemptOutcome::Refused),
+            Just(AttemptOutcome::TurnedAway),
+            Just(AttemptOutcome::Broken),
+            Just(AttemptOutcome::Late),
         ]
     }
 
--- a/crates/proxy/tests/desk.rs
+++ b/crates/proxy/tests/desk.rs
@@ -3,17 +3,22 @@
 use std::time::Duration;
 
 use expect_test::expect;
-use lockcroft_proxy::{Choice, Ending, Held, Limits, Way, may_try_again};
+use lockcroft_proxy::{AttemptOutcome, Choice, Limits, LoadBalancingPolicy, RoutingState, may_try_again};
 use lockcroft_runtime_api::{Level, Session, split};
 
-fn held() -> Held {
+fn held() -> RoutingState {
     let standing = ["e1", "e2"].map(|name| (name.to_string(), "127.0.0.1:81".parse().expect("an address")));
     let shuns_for = Duration::from_secs(4);
-    let limits = Limits { way: Way::Wheel, outstanding_most: 2, shuns_after: 3, shuns_for };
-    Held::new("r1", &["look-up".to_string()], &standing, limits, 1)
+    let limits = Limits {
+        way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
+        outstanding_most: 2,
+        shuns_after: 3,
+        shuns_for,
+    };
+    RoutingState::new("r1", &["look-up".to_string()], &standing, limits, 1)
 }
 
-fn tell(held: &mut Held, line: &str) -> String {
+fn tell(held: &mut RoutingState, line: &str) -> String {
     let (mut session, mut out) = (Session::new(Level::Admin), String::new());
     session.line(&split(line), held, &mut out);
     out
@@ -126,21 +131,21 @@
 fn withdrawn_and_shunned_lines_are_not_chosen() {
     let (mut held, now) = (held(), Duration::from_secs(1));
     tell(&mut held, "set server standing/e1 state drain");
-    let Choice::Line(chosen) = held.choose(now, "look-up", None) else { panic!("e2 is left") };
+    let Choice::Endpoint(chosen) = held.choose(now, "look-up", None) else { panic!("e2 is left") };
     assert_eq!(chosen.server, "e2");
     assert_eq!(held.choose(now, "look-up", Some("e2")), Choice::Bare);
     for _ in 0..3 {
-        held.ended(now, &chosen, Ending::Late, now);
+        held.ended(now, &chosen, AttemptOutcome::Late, now);
     }
     assert_eq!(held.choose(now, "look-up", None), Choice::Bare, "shunned after three");
     assert!(held.has_line("look-up"), "by its orders it has one");
     let later = now + Duration::from_secs(4);
     for _ in 0..2 {
-        assert!(matches!(held.choose(later, "look-up", None), Choice::Line(_)), "and for a time only");
+        assert!(matches!(held.choose(later, "look-up", None), Choice::Endpoint(_)), "and for a time only");
     }
     assert_eq!(held.choose(later, "look-up", None), Choice::Full, "two are under way");
-    held.ended(later, &chosen, Ending::Answered(200), now);
-    assert!(matches!(held.choose(later, "look-up", None), Choice::Line(_)));
+    held.ended(later, &chosen, AttemptOutcome::Answered(200), now);
+    assert!(matches!(held.choose(later, "look-up", None), Choice::Endpoint(_)));
 }
 
 #[test]
@@ -161,7 +166,7 @@
 
 #[test]
 fn only_proof_allows_a_second_try_and_only_one() {
-    use Ending::{Answered, Broken, Late, Refused, TurnedAway};
+    use AttemptOutcome::{Answered, Broken, Late, Refused, TurnedAway};
     for ending in [Answered(200), Answered(500), Answered(503), Broken, Late] {
         assert!(!may_try_again(1, ending, true), "{ending:?}");
     }
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -6,14 +6,14 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use lockcroft_proxy::{FilesTerms, Proxy, ProxyPost};
-use lockcroft_table_format::{Bound, Content, Group, Line, Table};
-use lockcroft_table_store::{Keep, Statuses, Writer, read_keys};
+use lockcroft_proxy::{Proxy, ProxyConfig, TableFilesConfig};
+use lockcroft_table_format::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
+use lockcroft_table_store::{RetentionPolicy, SnapshotWriter, StatusReader, read_keys};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-const KEEP: Keep = Keep { generations: 4, earlier_epochs: true };
+const KEEP: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: true };
 
 /// An endpoint that answers with its own name.
 async fn endpoint(name: &'static str) -> SocketAddr {
@@ -55,9 +55,9 @@
         self.folder.path().join("tables")
     }
 
-    fn writer(&self) -> Writer {
+    fn writer(&self) -> SnapshotWriter {
         let keys = read_keys(&self.folder.path().join("keys")).expect("sound");
-        Writer::take(&self.tables(), "p", keys).expect("taken")
+        SnapshotWriter::take(&self.tables(), "p", keys).expect("taken")
     }
 
     /// A proxy that stands on the first endpoint.
@@ -67,25 +67,25 @@
         }
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
-        let mut post = ProxyPost::new("r1", any, vec![], classes);
+        let mut post = ProxyConfig::new("r1", any, vec![], classes);
         post.standing = vec![("e0".into(), self.endpoints[0].1)];
         let keys = self.folder.path().join("keys");
-        post.files = Some(FilesTerms { folder: self.tables(), keys, look_every });
+        post.files = Some(TableFilesConfig { folder: self.tables(), keys, look_every });
         self.proxy = Some(Proxy::start(post).await.expect("started"));
     }
 
     /// A table of these endpoints for the proxy.
-    fn content(&self, lines: &[usize], withdrawn: &[&str]) -> Content {
+    fn content(&self, lines: &[usize], withdrawn: &[&str]) -> SnapshotContent {
         let line = |i: &usize| {
             let (name, address) = self.endpoints[*i];
-            (name.to_string(), Line { address, weight: 256 })
+            (name.to_string(), TableEntry { address, weight: 256 })
         };
-        let bound = Bound { table: 0, level: 1000, again: false };
-        Content {
+        let bound = ProxyAssignment { table: 0, level: 1000, again: false };
+        SnapshotContent {
             tables: BTreeMap::from([(0, Table { lines: lines.iter().map(line).collect() })]),
             groups: BTreeMap::from([(
                 0,
-                Group {
+                ProxyGroup {
                     proxies: BTreeSet::from(["r1".into()]),
                     bound: BTreeMap::from([("look".into(), bound)]),
                 },
@@ -118,8 +118,12 @@
     /// Until the proxy has written that it laid, or refused, what is wanted.
     async fn told(&self, wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool) -> Duration {
         let begun = Instant::now();
-        while !Statuses::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
-            assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", Statuses::of(&self.tables(), "r1"));
+        while !StatusReader::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
+            assert!(
+                begun.elapsed() < Duration::from_secs(10),
+                "{:?}",
+                StatusReader::of(&self.tables(), "r1")
+            );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         begun.elapsed()
@@ -163,7 +167,7 @@
         assert_eq!(stage.reached().await, names(&["e0", "e1"]));
         // Another pilot has put it on no table yet: it keeps them, and what was withdrawn stays so.
         let mut next = stage.writer();
-        let bare = Content { withdrawn: BTreeSet::from(["e0".into()]), ..Content::default() };
+        let bare = SnapshotContent { withdrawn: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
         next.write(&bare, KEEP).expect("written");
         stage.laid(2, 1).await;
         assert_eq!(stage.reached().await, names(&["e1"]));
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lockcroft_proxy::{Proxy, ProxyPost};
-use lockcroft_runtime_api::{Address, request, dial};
+use lockcroft_proxy::{Proxy, ProxyConfig};
+use lockcroft_runtime_api::{Address, dial, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -74,12 +74,12 @@
 }
 
 /// A proxy with these servers standing, second tries ordered.
-async fn stage(standing: &[SocketAddr], change: impl FnOnce(&mut ProxyPost)) -> Stage {
+async fn stage(standing: &[SocketAddr], change: impl FnOnce(&mut ProxyConfig)) -> Stage {
     let folder = tempfile::tempdir().expect("a folder");
     let control = Address::Unix(folder.path().join("c.sock"));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let classes = vec![("look".to_string(), Duration::from_millis(700))];
-    let mut post = ProxyPost::new("p", any, vec![control.clone()], classes);
+    let mut post = ProxyConfig::new("p", any, vec![control.clone()], classes);
     post.standing = standing.iter().enumerate().map(|(i, at)| (format!("e{i}"), *at)).collect();
     change(&mut post);
     let proxy = Proxy::start(post).await.expect("started");
@@ -256,7 +256,7 @@
 fn room_is_waited_for_and_the_latest_are_refused() {
     run(async {
         let (slow, _) = endpoint(Does::SaysAfter(Duration::from_millis(100))).await;
-        let change = |post: &mut ProxyPost| {
+        let change = |post: &mut ProxyConfig| {
             (post.limits.outstanding_most, post.waiting_most) = (1, 2);
             post.waiting_for = Duration::from_millis(600);
         };
--- a/crates/runtime-api/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_runtime_api::tables::{StatRow, read_stat, write_stat};
-use lockcroft_runtime_api::{ResponseReader, CommandReader};
+use lockcroft_runtime_api::{CommandReader, ResponseReader};
 
 const LINES: usize = 200_000;
 /// What a socket gives at a time.
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -3,18 +3,18 @@
 //! are free of I/O; `serve` and `request` put them on sockets.
 
 mod address;
-mod response_reader;
 mod command_reader;
 mod line_buffer;
+mod response_reader;
 mod serve;
 mod session;
 pub mod tables;
 mod tokenizer;
 
 pub use address::{Address, Listener, Stream, dial};
-pub use response_reader::ResponseReader;
-pub use command_reader::{CommandReader, MAX_LINE_BYTES, LineTooLong};
+pub use command_reader::{CommandReader, LineTooLong, MAX_LINE_BYTES};
 pub use line_buffer::LineBuffer;
-pub use serve::{MAX_RESPONSE_BYTES, RequestError, MAX_SESSIONS, request, serve};
-pub use session::{SessionState, CommandResult, CommandHandler, CommandEntry, Level, Session};
+pub use response_reader::ResponseReader;
+pub use serve::{MAX_RESPONSE_BYTES, MAX_SESSIONS, RequestError, request, serve};
+pub use session::{CommandEntry, CommandHandler, CommandResult, Level, Session, SessionState};
 pub use tokenizer::{Command, escaped, split};
--- a/crates/runtime-api/src/serve.rs
+++ b/crates/runtime-api/src/serve.rs
@@ -11,7 +11,7 @@
 
 use crate::address::{Address, Listener, Stream, dial};
 use crate::command_reader::CommandReader;
-use crate::session::{SessionState, CommandHandler, Level, Session};
+use crate::session::{CommandHandler, Level, Session, SessionState};
 
 /// So many connections at a time; more are closed at once.
 pub const MAX_SESSIONS: usize = 256;
@@ -83,7 +83,11 @@
     }
 }
 
-async fn follow(mut stream: Box<dyn Stream>, desk: &RefCell<dyn CommandHandler>, mut mark: u64) -> io::Result<()> {
+async fn follow(
+    mut stream: Box<dyn Stream>,
+    desk: &RefCell<dyn CommandHandler>,
+    mut mark: u64,
+) -> io::Result<()> {
     let mut ignored = [0; 256];
     loop {
         let more = desk.borrow_mut().more(&mut mark);
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -98,7 +98,12 @@
     }
 
     /// Carries out the commands of one line; each answer ends with an empty line.
-    pub fn line(&mut self, commands: &[Command], desk: &mut dyn CommandHandler, out: &mut String) -> SessionState {
+    pub fn line(
+        &mut self,
+        commands: &[Command],
+        desk: &mut dyn CommandHandler,
+        out: &mut String,
+    ) -> SessionState {
         if commands.is_empty() {
             // An empty line: just the prompt, or the end of a connection that is for one line.
             self.end(out);
@@ -114,7 +119,12 @@
     }
 
     /// Carries out one command; [`Session::end`] ends its answer.
-    pub fn command(&mut self, command: &Command, desk: &mut dyn CommandHandler, out: &mut String) -> SessionState {
+    pub fn command(
+        &mut self,
+        command: &Command,
+        desk: &mut dyn CommandHandler,
+        out: &mut String,
+    ) -> SessionState {
         let words: Vec<&str> = command.words.iter().map(String::as_str).collect();
         match words[..] {
             ["quit"] => return SessionState::Close,
