--- a/crates/runtime-api/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -2,7 +2,8 @@
 
 use lockcroft_runtime_api::tables::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
 use lockcroft_runtime_api::{
-    SessionState, CommandResult, ResponseReader, Command, CommandHandler, CommandEntry, CommandReader, MAX_LINE_BYTES, Level, LineTooLong, Session, escaped, split,
+    Command, CommandEntry, CommandHandler, CommandReader, CommandResult, Level, LineTooLong, MAX_LINE_BYTES,
+    ResponseReader, Session, SessionState, escaped, split,
 };
 use proptest::prelude::*;
 
@@ -43,7 +44,10 @@
 
 #[test]
 fn one_line_of_commands_and_then_the_end() {
-    assert_eq!(talk(Level::User, "show echo a; show echo b\\ c\n"), ("a\n\nb c\n\n".into(), SessionState::Close));
+    assert_eq!(
+        talk(Level::User, "show echo a; show echo b\\ c\n"),
+        ("a\n\nb c\n\n".into(), SessionState::Close)
+    );
     assert_eq!(talk(Level::User, "\n"), ("\n".into(), SessionState::Close));
 }
 
--- a/crates/scenario/src/day.rs
+++ b/crates/scenario/src/day.rs
@@ -3,18 +3,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lockcroft_config::{Document, ConfigErrors, parse_duration};
-use lockcroft_proxy::{ProxyPost, Way};
+use lockcroft_config::{ConfigErrors, Document, parse_duration};
+use lockcroft_proxy::{LoadBalancingPolicy, ProxyConfig};
 use roxmltree::Node;
 
-use crate::ways::{Tries, Variant};
+use crate::ways::{SearchSpace, Variant};
 
 /// Each decision with its orders and answers.
 const LOG: &str = "info,lockcroft::decision=debug,lockcroft::order=debug,lockcroft::answer=debug";
 
 /// A scripted day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     pub length: Duration,
     pub seed: u64,
     /// The levels of the pilot's logs.
@@ -22,13 +22,13 @@
     /// The part of a settings file from `zones` to `allowed`, as it stands.
     pub terms: String,
     pub endpoints: Vec<Endpoints>,
-    pub relays: Relays,
-    pub visits: Vec<Visits>,
+    pub relays: ProxyFleet,
+    pub visits: Vec<LoadProfile>,
     /// In the order of their times.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<FaultInjection>,
     /// Ways in which it may be played, and listed weights that a search tries.
     pub ways: Vec<Variant>,
-    pub tries: Vec<Tries>,
+    pub tries: Vec<SearchSpace>,
 }
 
 #[derive(Clone, Debug)]
@@ -48,11 +48,11 @@
 
 /// Proxies; what is not stated stays as a proxy has it of itself.
 #[derive(Clone, Debug)]
-pub struct Relays {
+pub struct ProxyFleet {
     pub per_zone: usize,
     pub standing: usize,
-    pub front: Front,
-    pub way: Option<Way>,
+    pub front: TableSource,
+    pub way: Option<LoadBalancingPolicy>,
     pub shuns_for: Option<Duration>,
     pub try_most: Option<Duration>,
     pub second_share: Option<f64>,
@@ -62,7 +62,7 @@
 
 /// How proxies are told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Front {
+pub enum TableSource {
     #[default]
     Commands,
     Files,
@@ -70,24 +70,24 @@
     Mixed,
 }
 
-impl Front {
+impl TableSource {
     /// The schema allows no other names.
     pub fn named(name: &str) -> Self {
         match name {
-            "files" => Front::Files,
-            "mixed" => Front::Mixed,
-            _ => Front::Commands,
+            "files" => TableSource::Files,
+            "mixed" => TableSource::Mixed,
+            _ => TableSource::Commands,
         }
     }
 
     /// Whether the proxy of this number reads files.
     pub fn files(self, number: usize) -> bool {
-        self == Front::Files || self == Front::Mixed && number % 2 == 1
+        self == TableSource::Files || self == TableSource::Mixed && number % 2 == 1
     }
 }
 
-impl Relays {
-    pub fn apply(&self, post: &mut ProxyPost) {
+impl ProxyFleet {
+    pub fn apply(&self, post: &mut ProxyConfig) {
         post.limits.way = self.way.unwrap_or(post.limits.way);
         post.limits.shuns_for = self.shuns_for.unwrap_or(post.limits.shuns_for);
         post.limits.outstanding_most = self.outstanding_most.unwrap_or(post.limits.outstanding_most);
@@ -98,7 +98,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Visits {
+pub struct LoadProfile {
     pub class: String,
     /// Visits a second, all relays together.
     pub rate: f64,
@@ -108,7 +108,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum FaultKind {
     Hang,
     Errors,
     Slow,
@@ -123,17 +123,17 @@
     BreakRelay,
     RestartRelay,
     KillPilot,
-    Load,
+    ResourceUsage,
     /// An operator gives the pilot this command.
     Ask,
 }
 
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct FaultInjection {
     pub at: Duration,
     /// How long it lasts; what is not stated lasts to the end.
     pub lasts: Option<Duration>,
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     pub servers: Vec<String>,
     pub zone: Option<String>,
     pub relay: Option<String>,
@@ -143,17 +143,17 @@
     pub command: String,
 }
 
-impl Day {
+impl Scenario {
     /// # Errors
     /// All that is wrong with the file.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
-        Day::read(&Document::open(file, crate::SCHEMA)?)
+        Scenario::read(&Document::open(file, crate::SCHEMA)?)
     }
 
     /// # Errors
     /// All that is wrong with the text.
     pub fn parse(text: &str) -> Result<Self, ConfigErrors> {
-        Day::read(&Document::new(Path::new("day.xml"), text.into(), crate::SCHEMA)?)
+        Scenario::read(&Document::new(Path::new("day.xml"), text.into(), crate::SCHEMA)?)
     }
 
     fn read(document: &Document) -> Result<Self, ConfigErrors> {
@@ -161,10 +161,10 @@
         let root = tree.root_element();
         let all = |name: &'static str| root.children().filter(move |node| node.has_tag_name(name));
         let terms = all("terms").next().map(|node| inside(document.text(), node)).unwrap_or_default();
-        let relays = all("relays").next().map(|node| Relays {
+        let relays = all("relays").next().map(|node| ProxyFleet {
             per_zone: number(node, "per-zone", 1.0) as usize,
             standing: number(node, "standing", 8.0) as usize,
-            front: node.attribute("front").map_or(Front::default(), Front::named),
+            front: node.attribute("front").map_or(TableSource::default(), TableSource::named),
             way: node.attribute("way").and_then(|way| way.parse().ok()),
             shuns_for: time(node, "shuns-for"),
             try_most: time(node, "try-most"),
@@ -182,16 +182,16 @@
             queue: number(node, "queue", 64.0) as usize,
             turn_away: time(node, "turn-away-work").unwrap_or_default(),
         });
-        let visits = all("visits").map(|node| Visits {
+        let visits = all("visits").map(|node| LoadProfile {
             class: text(node, "class"),
             rate: number(node, "rate", 1.0),
             work: time(node, "work").unwrap_or_default(),
             comes_again: number(node, "comes-again", 0.0) as u32,
         });
-        let mut troubles: Vec<Trouble> = all("trouble").map(trouble).collect();
+        let mut troubles: Vec<FaultInjection> = all("trouble").map(trouble).collect();
         troubles.sort_by_key(|trouble| trouble.at);
         let (ways, tries) = crate::ways::read(document, root)?;
-        Ok(Day {
+        Ok(Scenario {
             length: time(root, "length").unwrap_or_default(),
             seed: number(root, "seed", 1.0) as u64,
             log: root.attribute("log").unwrap_or(LOG).into(),
@@ -206,23 +206,23 @@
     }
 }
 
-fn trouble(node: Node) -> Trouble {
+fn trouble(node: Node) -> FaultInjection {
     let kind = match node.attribute("kind").unwrap_or_default() {
-        "hang" => TroubleKind::Hang,
-        "errors" => TroubleKind::Errors,
-        "slow" => TroubleKind::Slow,
-        "refuse" => TroubleKind::Refuse,
-        "lose" => TroubleKind::Lose,
-        "drain" => TroubleKind::Drain,
-        "lie" => TroubleKind::Lie,
-        "stall-relay" => TroubleKind::StallRelay,
-        "break-relay" => TroubleKind::BreakRelay,
-        "restart-relay" => TroubleKind::RestartRelay,
-        "kill-pilot" => TroubleKind::KillPilot,
-        "load" => TroubleKind::Load,
-        _ => TroubleKind::Ask,
+        "hang" => FaultKind::Hang,
+        "errors" => FaultKind::Errors,
+        "slow" => FaultKind::Slow,
+        "refuse" => FaultKind::Refuse,
+        "lose" => FaultKind::Lose,
+        "drain" => FaultKind::Drain,
+        "lie" => FaultKind::Lie,
+        "stall-relay" => FaultKind::StallRelay,
+        "break-relay" => FaultKind::BreakRelay,
+        "restart-relay" => FaultKind::RestartRelay,
+        "kill-pilot" => FaultKind::KillPilot,
+        "load" => FaultKind::ResourceUsage,
+        _ => FaultKind::Ask,
     };
-    Trouble {
+    FaultInjection {
         at: time(node, "at").unwrap_or_default(),
         lasts: time(node, "for"),
         kind,
--- a/crates/scenario/src/folder.rs
+++ b/crates/scenario/src/folder.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockcroft_proxy::FilesTerms;
-use lockcroft_table_format::{Content, proto};
-use lockcroft_table_store::{Layout, Statuses, find, read_keys};
-use lockcroft_testbed::{Tap, What};
+use lockcroft_proxy::TableFilesConfig;
+use lockcroft_table_format::{SnapshotContent, proto};
+use lockcroft_table_store::{StatusReader, StoreLayout, find, read_keys};
+use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 use tokio::sync::Mutex;
 
 /// Statuses are looked at so often: much oftener than generations of the past are taken away.
@@ -52,8 +52,8 @@
         )
     }
 
-    pub fn terms(&self) -> FilesTerms {
-        FilesTerms {
+    pub fn terms(&self) -> TableFilesConfig {
+        TableFilesConfig {
             folder: self.folder.clone(),
             keys: self.keys.clone(),
             look_every: Duration::from_millis(500),
@@ -61,16 +61,16 @@
     }
 
     /// Records what proxies lay, for as long as the day lasts.
-    pub async fn watch(self, tap: Tap) {
+    pub async fn watch(self, tap: TrafficRecorder) {
         let Ok(keys) = read_keys(&self.keys) else { return };
-        let (mut statuses, mut heard) = (Statuses::default(), BTreeSet::new());
+        let (mut statuses, mut heard) = (StatusReader::default(), BTreeSet::new());
         loop {
             tokio::time::sleep(LOOK_EVERY).await;
             let _quiet = self.quiet.lock().await;
             for status in statuses.look(&self.folder).unwrap_or_default() {
                 for laid in &status.laid {
                     if heard.insert((status.proxy.clone(), laid.at_ms, laid.epoch, laid.version, laid.set)) {
-                        let layout = Layout::new(&self.folder);
+                        let layout = StoreLayout::new(&self.folder);
                         // One that is gone by now can't be judged, and its choices then count as outside.
                         if let Ok(found) = find(&layout, laid.epoch, laid.version, &keys) {
                             tap.put(told(&status.proxy, laid, &found.content));
@@ -82,7 +82,7 @@
     }
 }
 
-fn told(proxy: &str, laid: &proto::Laid, content: &Content) -> What {
+fn told(proxy: &str, laid: &proto::Laid, content: &SnapshotContent) -> TrafficEvent {
     let group = content.group_of(proxy).map(|number| &content.groups[&number]);
     let bound: Vec<_> = group.into_iter().flat_map(|group| &group.bound).collect();
     let tables: BTreeSet<u32> = bound.iter().map(|(_, bound)| bound.table).collect();
@@ -90,7 +90,7 @@
         let lines = content.tables.get(number).into_iter().flat_map(|table| &table.lines);
         lines.map(|(server, line)| (server.clone(), line.weight)).collect()
     };
-    What::Laid {
+    TrafficEvent::Laid {
         relay: proxy.into(),
         set: laid.set,
         tables: tables.iter().map(|number| (format!("t{number}"), lines(number))).collect(),
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -16,16 +16,16 @@
 mod ways;
 mod wire;
 
-pub use day::{Day, Front, Trouble, TroubleKind};
-pub use meter::Load;
-pub use pilot::PilotProcess;
+pub use day::{FaultInjection, FaultKind, Scenario, TableSource};
+pub use meter::ResourceUsage;
+pub use pilot::ControllerProcess;
 pub use play::{Report, Summary, play};
-pub use proxies::Hosts;
-pub use rules::{Limits, Verdict, judge};
+pub use proxies::ProxyRuntimes;
+pub use rules::{CheckResult, Limits, judge};
 pub use score::{After, Score, Zones, score};
-pub use stage::{Relay, Stage, settings};
-pub use ways::{Tries, Variant, search};
-pub use wire::{Stall, Wire};
+pub use stage::{ProxyInstance, Stage, settings};
+pub use ways::{SearchSpace, Variant, search};
+pub use wire::{StallPoint, ThrottledLink};
 
 /// The schema of days.
 pub const SCHEMA: &str = include_str!("../day.xsd");
--- a/crates/scenario/src/meter.rs
+++ b/crates/scenario/src/meter.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use lockcroft_testbed::Tap;
+use lockcroft_testbed::TrafficRecorder;
 use serde::Serialize;
 use tokio::task::JoinHandle;
 
@@ -16,13 +16,13 @@
 
 /// Cores in use and megabytes held, a sample a second: time in s, cores, MB.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Load {
+pub struct ResourceUsage {
     pub samples: Vec<(f64, f64, f64)>,
     /// Seconds of CPU that the threads of all proxies took, their reading of files among it.
     pub proxies_s: f64,
 }
 
-impl fmt::Display for Load {
+impl fmt::Display for ResourceUsage {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         let mut cores: Vec<f64> = self.samples.iter().map(|(_, cores, _)| *cores).collect();
         cores.sort_by(f64::total_cmp);
@@ -38,15 +38,15 @@
     }
 }
 
-pub struct Meter {
-    load: Arc<Mutex<Load>>,
+pub struct ResourceMeter {
+    load: Arc<Mutex<ResourceUsage>>,
     task: JoinHandle<()>,
 }
 
-impl Meter {
+impl ResourceMeter {
     /// Watches the process of this number, whichever that is at the time.
-    pub fn start(id: Arc<AtomicU32>, tap: Tap) -> Self {
-        let load = Arc::new(Mutex::new(Load::default()));
+    pub fn start(id: Arc<AtomicU32>, tap: TrafficRecorder) -> Self {
+        let load = Arc::new(Mutex::new(ResourceUsage::default()));
         let into = load.clone();
         let task = tokio::spawn(async move {
             let mut last = None;
@@ -63,13 +63,13 @@
                 last = is;
             }
         });
-        Meter { load, task }
+        ResourceMeter { load, task }
     }
 
-    pub fn read(self) -> Load {
+    pub fn read(self) -> ResourceUsage {
         self.task.abort();
         let load = self.load.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        Load { proxies_s: of_threads(&["proxies-", "files-"]), ..load }
+        ResourceUsage { proxies_s: of_threads(&["proxies-", "files-"]), ..load }
     }
 }
 
--- a/crates/scenario/src/pilot.rs
+++ b/crates/scenario/src/pilot.rs
@@ -11,7 +11,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// Killed when dropped, so that a day that is broken off leaves nobody behind.
-pub struct PilotProcess {
+pub struct ControllerProcess {
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -20,12 +20,12 @@
     id: Arc<AtomicU32>,
 }
 
-impl PilotProcess {
+impl ControllerProcess {
     /// # Errors
     /// The program can't be started.
     pub fn start(program: &Path, settings: &Path, log: &Path) -> io::Result<Self> {
         let (program, settings, log) = (program.into(), settings.into(), log.into());
-        let mut pilot = PilotProcess { program, settings, log, child: None, id: Arc::default() };
+        let mut pilot = ControllerProcess { program, settings, log, child: None, id: Arc::default() };
         pilot.again()?;
         Ok(pilot)
     }
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for PilotProcess {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -5,27 +5,27 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft_runtime_api::{Address, request};
-use lockcroft_testbed::{Caller, ClassTerms, Mode, Record, call_on};
+use lockcroft_testbed::{ClassLoad, FaultMode, LoadGenerator, TrafficRecord, call_on};
 use serde::{Deserialize, Serialize};
 
-use crate::day::{Day, Trouble, TroubleKind};
-use crate::meter::{Load, Meter};
-use crate::pilot::PilotProcess;
-use crate::rules::{Verdict, judge};
+use crate::day::{FaultInjection, FaultKind, Scenario};
+use crate::meter::{ResourceMeter, ResourceUsage};
+use crate::pilot::ControllerProcess;
+use crate::rules::{CheckResult, judge};
 use crate::score::{After, Score, score};
-use crate::stage::{Relay, Stage};
-use crate::wire::Stall;
+use crate::stage::{ProxyInstance, Stage};
+use crate::wire::StallPoint;
 
 /// What came of a day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<CheckResult>,
     pub score: Score,
     /// The pilot's `show info` at the end; for people, not for the verdicts.
     pub pilot: Vec<String>,
-    pub load: Load,
+    pub load: ResourceUsage,
     pub exit: Option<i32>,
-    pub records: Vec<Record>,
+    pub records: Vec<TrafficRecord>,
 }
 
 /// What came of a day, without all that passed.
@@ -43,14 +43,14 @@
     }
 
     pub fn kept(&self) -> bool {
-        self.verdicts.iter().all(Verdict::kept)
+        self.verdicts.iter().all(CheckResult::kept)
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         for verdict in &self.verdicts {
-            let Verdict { rule, of, figure, limit, at } = verdict;
+            let CheckResult { rule, of, figure, limit, at } = verdict;
             let word = if verdict.kept() { "kept" } else { "BROKEN" };
             let at = if at.is_empty() { String::new() } else { format!(" ({at})") };
             writeln!(out, "{word:6} {rule:20} {figure:.2} of {limit:.2} {of}{at}")?;
@@ -104,7 +104,7 @@
 /// One step of the script; a trouble that lasts makes two, one that the list tells of late makes three.
 struct Step<'a> {
     at: Duration,
-    trouble: &'a Trouble,
+    trouble: &'a FaultInjection,
     phase: Phase,
 }
 
@@ -119,7 +119,12 @@
 ///
 /// # Errors
 /// The day can't be staged, or a trouble names who is not there.
-pub async fn play(day: &Day, program: &Path, folder: &Path, tell: impl Fn(&str)) -> Result<Report, String> {
+pub async fn play(
+    day: &Scenario,
+    program: &Path,
+    folder: &Path,
+    tell: impl Fn(&str),
+) -> Result<Report, String> {
     // One core is the pilot's.
     let cores = std::thread::available_parallelism().map_or(2, std::num::NonZero::get);
     let mut stage = Stage::build(day, folder, cores.saturating_sub(1)).await?;
@@ -127,24 +132,24 @@
     for trouble in &day.troubles {
         check(&stage, trouble)?;
         steps.push(Step { at: trouble.at, trouble, phase: Phase::Begins });
-        if trouble.kind == TroubleKind::Lose {
+        if trouble.kind == FaultKind::Lose {
             steps.push(Step { at: trouble.at + trouble.notice, trouble, phase: Phase::Noticed });
         }
         let end = trouble.lasts.map(|lasts| trouble.at + lasts);
         steps.extend(end.map(|at| Step { at, trouble, phase: Phase::Ends }));
     }
     steps.sort_by_key(|step| step.at);
-    let pilot = PilotProcess::start(program, &stage.settings, &folder.join("pilot.log"));
+    let pilot = ControllerProcess::start(program, &stage.settings, &folder.join("pilot.log"));
     let mut pilot = pilot.map_err(|e| format!("{}: {e}", program.display()))?;
-    let meter = Meter::start(pilot.watch(), stage.tap.clone());
-    let caller = Caller::new(stage.tap.clone());
+    let meter = ResourceMeter::start(pilot.watch(), stage.tap.clone());
+    let caller = LoadGenerator::new(stage.tap.clone());
     let watching = tokio::spawn(stage.folder.clone().watch(stage.tap.clone()));
     call(day, &stage, &caller);
     for step in steps.iter().filter(|step| step.at < day.length) {
         tokio::time::sleep(step.at.saturating_sub(stage.tap.now())).await;
         tell(&format!("{:5.1} s: {:?} {:?}", step.at.as_secs_f64(), step.trouble.kind, step.phase));
         act(step, &mut stage, &mut pilot, &caller).await?;
-        if step.trouble.kind == TroubleKind::Ask && step.phase == Phase::Begins {
+        if step.trouble.kind == FaultKind::Ask && step.phase == Phase::Begins {
             let answer = ask_pilot(&stage, &step.trouble.command).await;
             tell(answer.trim());
         }
@@ -173,8 +178,8 @@
 }
 
 /// When the pilot is started anew.
-fn restarts(day: &Day) -> Vec<Duration> {
-    let kills = day.troubles.iter().filter(|trouble| trouble.kind == TroubleKind::KillPilot);
+fn restarts(day: &Scenario) -> Vec<Duration> {
+    let kills = day.troubles.iter().filter(|trouble| trouble.kind == FaultKind::KillPilot);
     kills.filter_map(|kill| Some(kill.at + kill.lasts?)).collect()
 }
 
@@ -184,12 +189,12 @@
     spans.max().unwrap_or_default()
 }
 
-fn call(day: &Day, stage: &Stage, caller: &Caller) {
+fn call(day: &Scenario, stage: &Stage, caller: &LoadGenerator) {
     let relays: Vec<_> = stage.relays.iter().map(|relay| relay.visits).collect();
     for (place, visits) in day.visits.iter().enumerate() {
         let number = stage.limits.classes.iter().position(|class| *class == visits.class).unwrap_or(0);
         let patience = stage.post.terms.span(&format!("classes.{number}.patience_us"));
-        let class = ClassTerms {
+        let class = ClassLoad {
             name: visits.class.clone(),
             patience,
             rate: visits.rate,
@@ -200,7 +205,7 @@
     }
 }
 
-fn check(stage: &Stage, trouble: &Trouble) -> Result<(), String> {
+fn check(stage: &Stage, trouble: &FaultInjection) -> Result<(), String> {
     stage.meant(&trouble.servers, trouble.zone.as_deref())?;
     if let Some(name) = &trouble.relay
         && !stage.relays.iter().any(|relay| relay.name == *name)
@@ -213,41 +218,43 @@
 async fn act(
     step: &Step<'_>,
     stage: &mut Stage,
-    pilot: &mut PilotProcess,
-    caller: &Caller,
+    pilot: &mut ControllerProcess,
+    caller: &LoadGenerator,
 ) -> Result<(), String> {
     let (trouble, begins) = (step.trouble, step.phase == Phase::Begins);
     let servers = stage.meant(&trouble.servers, trouble.zone.as_deref())?;
-    let set = |stage: &Stage, mode: Mode| {
-        let mode = if begins { mode } else { Mode::Well };
+    let set = |stage: &Stage, mode: FaultMode| {
+        let mode = if begins { mode } else { FaultMode::Well };
         servers.iter().for_each(|name| stage.endpoints[name].set(mode));
     };
-    let meant = |relay: &&Relay| Some(&relay.name) == trouble.relay.as_ref();
-    let relays: Vec<&Relay> = stage.relays.iter().filter(meant).collect();
+    let meant = |relay: &&ProxyInstance| Some(&relay.name) == trouble.relay.as_ref();
+    let relays: Vec<&ProxyInstance> = stage.relays.iter().filter(meant).collect();
     match trouble.kind {
-        TroubleKind::Hang => set(stage, Mode::Hang),
-        TroubleKind::Errors => set(stage, Mode::Errors),
-        TroubleKind::Slow => set(stage, Mode::Slow(trouble.times)),
-        TroubleKind::Refuse => set(stage, Mode::Refuse),
-        TroubleKind::Lose => lose(stage, &servers, step.phase)?,
-        TroubleKind::Drain => list(stage, &servers, if begins { "draining" } else { "ready" })?,
-        TroubleKind::Lie => list(stage, &servers, if begins { "gone" } else { "ready" })?,
-        TroubleKind::StallRelay if begins => {
+        FaultKind::Hang => set(stage, FaultMode::Hang),
+        FaultKind::Errors => set(stage, FaultMode::Errors),
+        FaultKind::Slow => set(stage, FaultMode::Slow(trouble.times)),
+        FaultKind::Refuse => set(stage, FaultMode::Refuse),
+        FaultKind::Lose => lose(stage, &servers, step.phase)?,
+        FaultKind::Drain => list(stage, &servers, if begins { "draining" } else { "ready" })?,
+        FaultKind::Lie => list(stage, &servers, if begins { "gone" } else { "ready" })?,
+        FaultKind::StallRelay if begins => {
             let lasts = trouble.lasts.unwrap_or(Duration::from_secs(3));
-            relays.iter().for_each(|relay| relay.wire.stall(Stall::Still(trouble.after_commands, lasts)));
+            relays
+                .iter()
+                .for_each(|relay| relay.wire.stall(StallPoint::Still(trouble.after_commands, lasts)));
         }
-        TroubleKind::BreakRelay if begins => {
-            relays.iter().for_each(|relay| relay.wire.stall(Stall::Break(trouble.after_commands)));
+        FaultKind::BreakRelay if begins => {
+            relays.iter().for_each(|relay| relay.wire.stall(StallPoint::Break(trouble.after_commands)));
         }
-        TroubleKind::RestartRelay if begins => {
+        FaultKind::RestartRelay if begins => {
             for relay in relays {
                 stage.restart(relay).await?;
             }
         }
-        TroubleKind::StallRelay | TroubleKind::BreakRelay | TroubleKind::RestartRelay | TroubleKind::Ask => {}
-        TroubleKind::KillPilot if begins => pilot.kill(),
-        TroubleKind::KillPilot => pilot.again().map_err(|e| e.to_string())?,
-        TroubleKind::Load => caller.set_factor(if begins { trouble.times } else { 1.0 }),
+        FaultKind::StallRelay | FaultKind::BreakRelay | FaultKind::RestartRelay | FaultKind::Ask => {}
+        FaultKind::KillPilot if begins => pilot.kill(),
+        FaultKind::KillPilot => pilot.again().map_err(|e| e.to_string())?,
+        FaultKind::ResourceUsage => caller.set_factor(if begins { trouble.times } else { 1.0 }),
     }
     Ok(())
 }
@@ -265,7 +272,7 @@
 fn lose(stage: &mut Stage, servers: &[String], phase: Phase) -> Result<(), String> {
     match phase {
         Phase::Begins => {
-            servers.iter().for_each(|name| stage.endpoints[name].set(Mode::Down));
+            servers.iter().for_each(|name| stage.endpoints[name].set(FaultMode::Down));
             Ok(())
         }
         Phase::Noticed => list(stage, servers, "gone"),
--- a/crates/scenario/src/proxies.rs
+++ b/crates/scenario/src/proxies.rs
@@ -4,25 +4,25 @@
 use std::io;
 use std::net::SocketAddr;
 
-use lockcroft_proxy::{Proxy, ProxyPost};
+use lockcroft_proxy::{Proxy, ProxyConfig};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
 enum Job {
-    Start(usize, Box<ProxyPost>, oneshot::Sender<io::Result<SocketAddr>>),
+    Start(usize, Box<ProxyConfig>, oneshot::Sender<io::Result<SocketAddr>>),
     Stop(usize),
 }
 
 /// Proxies by number, dealt to the threads.
-pub struct Hosts {
+pub struct ProxyRuntimes {
     threads: Vec<mpsc::UnboundedSender<Job>>,
 }
 
-impl Hosts {
+impl ProxyRuntimes {
     /// # Errors
     /// A thread can't be had.
     pub fn new(threads: usize) -> io::Result<Self> {
-        let mut hosts = Hosts { threads: Vec::new() };
+        let mut hosts = ProxyRuntimes { threads: Vec::new() };
         for number in 0..threads.max(1) {
             let (sender, jobs) = mpsc::unbounded_channel();
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// One of its sockets can't be had.
-    pub async fn start(&self, number: usize, post: ProxyPost) -> io::Result<SocketAddr> {
+    pub async fn start(&self, number: usize, post: ProxyConfig) -> io::Result<SocketAddr> {
         let (sender, started) = oneshot::channel();
         self.send(number, Job::Start(number, Box::new(post), sender));
         started.await.map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?
--- a/crates/scenario/src/roster.rs
+++ b/crates/scenario/src/roster.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use lockcroft_testbed::{Tap, What};
+use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 
 pub struct Line {
     pub zone: String,
@@ -22,11 +22,11 @@
     pub path: PathBuf,
     pub lines: BTreeMap<String, Line>,
     version: u64,
-    tap: Tap,
+    tap: TrafficRecorder,
 }
 
 impl RosterFile {
-    pub fn new(path: PathBuf, lines: BTreeMap<String, Line>, tap: Tap) -> Self {
+    pub fn new(path: PathBuf, lines: BTreeMap<String, Line>, tap: TrafficRecorder) -> Self {
         RosterFile { path, lines, version: 0, tap }
     }
 
@@ -56,7 +56,7 @@
             .lines
             .iter()
             .map(|(name, line)| (name.clone(), line.state.to_string(), line.started.map(|(at, _)| at)));
-        self.tap.put(What::Listed { servers: told.collect() });
+        self.tap.put(TrafficEvent::Listed { servers: told.collect() });
         Ok(())
     }
 }
--- a/crates/scenario/src/rules.rs
+++ b/crates/scenario/src/rules.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use lockcroft::Settings;
-use lockcroft_testbed::{Record, What};
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 use serde::Serialize;
 
-use crate::seen::Seen;
+use crate::seen::ObservedState;
 use crate::shares::shares;
 
 /// The limits as the terms state them.
@@ -56,7 +56,7 @@
 
 /// One rule with its figure, which must not pass its limit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Verdict {
+pub struct CheckResult {
     pub rule: &'static str,
     /// What the figure counts.
     pub of: &'static str,
@@ -66,9 +66,9 @@
     pub at: String,
 }
 
-impl Verdict {
+impl CheckResult {
     pub(crate) fn new(rule: &'static str, of: &'static str, limit: f64) -> Self {
-        Verdict { rule, of, figure: 0.0, limit, at: String::new() }
+        CheckResult { rule, of, figure: 0.0, limit, at: String::new() }
     }
 
     pub(crate) fn met(&mut self, figure: f64, at: impl FnOnce() -> String) {
@@ -83,7 +83,7 @@
 }
 
 /// Goes through the record once, in order.
-pub fn judge(records: &[Record], limits: &Limits) -> Vec<Verdict> {
+pub fn judge(records: &[TrafficRecord], limits: &Limits) -> Vec<CheckResult> {
     let mut judge = Judge {
         limits,
         relays: BTreeMap::new(),
@@ -92,12 +92,12 @@
         cold: BTreeMap::new(),
         sent: BTreeMap::new(),
         waiting: BTreeMap::new(),
-        bare: Verdict::new("endpoint for all", "s without a line", limits.unserved_most.as_secs_f64()),
-        twice: Verdict::new("no effect twice", "visits run twice", 0.0),
-        drains: Verdict::new("drains kept", "s after told", limits.drain_grace.as_secs_f64()),
-        pushed: Verdict::new("no cold pushed over", "times capacity", limits.cold_multiple),
-        queue: Verdict::new("short queue", "lines waiting", limits.queue_most),
-        messages: Verdict::new("few messages", "messages in the span", limits.messages_most),
+        bare: CheckResult::new("endpoint for all", "s without a line", limits.unserved_most.as_secs_f64()),
+        twice: CheckResult::new("no effect twice", "visits run twice", 0.0),
+        drains: CheckResult::new("drains kept", "s after told", limits.drain_grace.as_secs_f64()),
+        pushed: CheckResult::new("no cold pushed over", "times capacity", limits.cold_multiple),
+        queue: CheckResult::new("short queue", "lines waiting", limits.queue_most),
+        messages: CheckResult::new("few messages", "messages in the span", limits.messages_most),
     };
     for record in records {
         judge.take(record);
@@ -124,13 +124,13 @@
 
 /// No visit is sent anywhere once it has begun to run somewhere: callers of a day do not repeat
 /// theirs, so a later arrival is a proxy's second try.
-fn second_tries(records: &[Record]) -> Verdict {
-    let mut verdict = Verdict::new("second tries", "tries after one that ran", 0.0);
+fn second_tries(records: &[TrafficRecord]) -> CheckResult {
+    let mut verdict = CheckResult::new("second tries", "tries after one that ran", 0.0);
     let mut ran = BTreeMap::new();
     for record in records {
         match &record.what {
-            What::Ran { visit, endpoint, .. } => drop(ran.insert(*visit, endpoint)),
-            What::Arrived { visit, endpoint, .. } => {
+            TrafficEvent::Ran { visit, endpoint, .. } => drop(ran.insert(*visit, endpoint)),
+            TrafficEvent::Arrived { visit, endpoint, .. } => {
                 if let Some(first) = ran.get(visit) {
                     let figure = verdict.figure + 1.0;
                     verdict.met(figure, || format!("visit {visit} at {endpoint} after {first}"));
@@ -160,53 +160,53 @@
 struct Judge<'a> {
     limits: &'a Limits,
     /// What each relay holds, and since when a class of it has been without a line.
-    relays: BTreeMap<String, (Seen, Option<Duration>)>,
+    relays: BTreeMap<String, (ObservedState, Option<Duration>)>,
     listed: BTreeMap<String, Listed>,
     ran: BTreeMap<u64, u32>,
     cold: BTreeMap<String, Cold>,
     sent: BTreeMap<String, VecDeque<Duration>>,
     /// Commands by relay that came in and were not carried out yet.
     waiting: BTreeMap<String, usize>,
-    bare: Verdict,
-    twice: Verdict,
-    drains: Verdict,
-    pushed: Verdict,
-    queue: Verdict,
-    messages: Verdict,
+    bare: CheckResult,
+    twice: CheckResult,
+    drains: CheckResult,
+    pushed: CheckResult,
+    queue: CheckResult,
+    messages: CheckResult,
 }
 
 impl Judge<'_> {
-    fn take(&mut self, record: &Record) {
+    fn take(&mut self, record: &TrafficRecord) {
         let at = record.at;
         match &record.what {
-            What::Listed { servers } => {
+            TrafficEvent::Listed { servers } => {
                 self.bare_now(at);
                 self.list(at, servers);
             }
-            What::Standing { relay, servers } => {
+            TrafficEvent::Standing { relay, servers } => {
                 let classes = self.limits.classes.clone();
                 self.seen(at, relay, |seen| seen.standing(servers, &classes));
             }
-            What::Stream { relay, open } => {
+            TrafficEvent::Stream { relay, open } => {
                 // What was on its way when the stream broke waits no longer.
                 self.waiting.remove(relay);
                 self.seen(at, relay, |seen| seen.stream(at, *open));
             }
-            What::Stalled { relay, on } => self.seen(at, relay, |seen| seen.stall(at, *on)),
-            What::Line { relay, commands } => self.line(at, relay, *commands),
-            What::Set { relay, orders } => {
+            TrafficEvent::Stalled { relay, on } => self.seen(at, relay, |seen| seen.stall(at, *on)),
+            TrafficEvent::Line { relay, commands } => self.line(at, relay, *commands),
+            TrafficEvent::Set { relay, orders } => {
                 let waiting = self.waiting.entry(relay.clone()).or_default();
                 *waiting = waiting.saturating_sub(orders.len());
                 self.seen(at, relay, |seen| seen.set(orders));
             }
-            What::Laid { relay, set, tables, map, withdrawn } => {
+            TrafficEvent::Laid { relay, set, tables, map, withdrawn } => {
                 self.seen(at, relay, |seen| seen.laid(*set, tables, map, withdrawn));
             }
-            What::Arrived { endpoint, relay, work, .. } => {
+            TrafficEvent::Arrived { endpoint, relay, work, .. } => {
                 self.drained(at, endpoint, relay);
                 self.arrived_cold(at, endpoint, *work);
             }
-            What::Ran { visit, class, endpoint } => {
+            TrafficEvent::Ran { visit, class, endpoint } => {
                 let times = self.ran.entry(*visit).or_default();
                 *times += 1;
                 if *times > 1 && self.limits.once.contains(class) {
@@ -215,24 +215,24 @@
                         .met(figure, || format!("visit {visit} at {endpoint} at {:.1} s", at.as_secs_f64()));
                 }
             }
-            What::Started { endpoint, capacity } => {
+            TrafficEvent::Started { endpoint, capacity } => {
                 let cold = Cold { since: at, capacity: *capacity, came: VecDeque::new() };
                 self.cold.insert(endpoint.clone(), cold);
             }
-            What::Fell { endpoint } => {
+            TrafficEvent::Fell { endpoint } => {
                 let limit = self.limits.cold_multiple;
                 self.pushed.met(limit * 1.001, || format!("{endpoint} fell at {:.1} s", at.as_secs_f64()));
             }
-            What::Visit { .. } | What::Stopped { .. } => {}
+            TrafficEvent::Visit { .. } | TrafficEvent::Stopped { .. } => {}
         }
     }
 
     /// Every choice is held against the table in force: the proxy names it with its version, and what
     /// that held is known from the orders.
-    fn choices(&self, records: &[Record]) -> Verdict {
-        let mut verdict = Verdict::new("choices by table", "choices outside it", 0.0);
+    fn choices(&self, records: &[TrafficRecord]) -> CheckResult {
+        let mut verdict = CheckResult::new("choices by table", "choices outside it", 0.0);
         for record in records {
-            let What::Arrived { endpoint, relay, table, .. } = &record.what else { continue };
+            let TrafficEvent::Arrived { endpoint, relay, table, .. } = &record.what else { continue };
             let could = self.relays.get(relay).is_some_and(|(seen, _)| seen.could_pick(table, endpoint));
             if !could {
                 let figure = verdict.figure + 1.0;
@@ -256,7 +256,7 @@
     }
 
     /// Changes what is known of a relay, and sees whether it was or is without a line.
-    fn seen(&mut self, at: Duration, relay: &str, change: impl FnOnce(&mut Seen)) {
+    fn seen(&mut self, at: Duration, relay: &str, change: impl FnOnce(&mut ObservedState)) {
         let some_open = self.some_open(at);
         let (seen, since) = self.relays.entry(relay.into()).or_default();
         change(seen);
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::Settings;
-use lockcroft_testbed::{Record, What};
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 use serde::{Deserialize, Serialize};
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -50,7 +50,7 @@
 }
 
 /// An answer in contract time earns in full, one within patience what the terms state for it.
-pub fn score(records: &[Record], terms: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
+pub fn score(records: &[TrafficRecord], terms: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
     let figure = |i: usize, what: &str| terms.number(&format!("classes.{i}.{what}"));
     let classes = 0..terms.count("classes");
     let earns: BTreeMap<&str, (f64, f64, f64)> = classes
@@ -64,7 +64,7 @@
     let (mut all, mut by_class, mut visits) = (Share::default(), BTreeMap::<String, Share>::new(), 0);
     let mut after = vec![Share::default(); restarts.len()];
     for record in records {
-        let What::Visit { class, asked, status, .. } = &record.what else { continue };
+        let TrafficEvent::Visit { class, asked, status, .. } = &record.what else { continue };
         let Some((contract, earnings, late)) = earns.get(class.as_str()) else { continue };
         let in_time = (record.at - *asked).as_secs_f64() <= *contract;
         let part = if *status != 200 {
@@ -108,10 +108,10 @@
     }
 }
 
-fn behind(records: &[Record], at: Duration, fulfilled: f64) -> After {
+fn behind(records: &[TrafficRecord], at: Duration, fulfilled: f64) -> After {
     let orders = records.iter().filter(|record| (at..at + AFTER).contains(&record.at));
     let orders = orders.filter_map(|record| match &record.what {
-        What::Set { orders, .. } => Some((record.at, orders.iter().filter(changing).count(), orders)),
+        TrafficEvent::Set { orders, .. } => Some((record.at, orders.iter().filter(changing).count(), orders)),
         _ => None,
     });
     let (mut changes, mut settled, mut quiet) = (0, None::<Duration>, false);
@@ -135,20 +135,20 @@
     command.contains(" weight ") || command.starts_with("set var proc.level_")
 }
 
-fn crossing(records: &[Record], zones: &Zones) -> f64 {
+fn crossing(records: &[TrafficRecord], zones: &Zones) -> f64 {
     let (mut all, mut abroad) = (0_u32, 0_u32);
     for record in records {
-        let What::Arrived { endpoint, relay, .. } = &record.what else { continue };
+        let TrafficEvent::Arrived { endpoint, relay, .. } = &record.what else { continue };
         all += 1;
         abroad += u32::from(zones.get(endpoint) != zones.get(relay));
     }
     f64::from(abroad) / f64::from(all.max(1))
 }
 
-fn changes(records: &[Record]) -> Vec<usize> {
+fn changes(records: &[TrafficRecord]) -> Vec<usize> {
     let mut changes = Vec::new();
     for record in records {
-        let What::Set { orders, .. } = &record.what else { continue };
+        let TrafficEvent::Set { orders, .. } = &record.what else { continue };
         let window = (record.at.as_secs() / WINDOW.as_secs()) as usize;
         changes.resize(changes.len().max(window + 1), 0);
         changes[window] += orders.iter().filter(changing).count();
--- a/crates/scenario/src/seen.rs
+++ b/crates/scenario/src/seen.rs
@@ -12,7 +12,7 @@
 
 /// One relay, followed by its tap.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ObservedState {
     backends: BTreeMap<String, BTreeMap<String, Line>>,
     /// Every state that a backend was in, with the version of the set that brought it about; a proxy
     /// that starts anew counts anew.
@@ -29,7 +29,7 @@
     pub joined: Option<Duration>,
 }
 
-impl Seen {
+impl ObservedState {
     /// It started with this standing table.
     pub fn standing(&mut self, servers: &[String], classes: &[String]) {
         let line = |name: &String| (name.clone(), Line { weight: 256, barred: false });
--- a/crates/scenario/src/shares.rs
+++ b/crates/scenario/src/shares.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lockcroft_testbed::{Record, What};
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 
-use crate::rules::Verdict;
-use crate::seen::Seen;
+use crate::rules::CheckResult;
+use crate::seen::ObservedState;
 
 /// Groups of fewer visits tell nothing.
 const LEAST: usize = 50;
@@ -22,12 +22,12 @@
 }
 
 /// When some endpoint was down: to be refused a connection leaves no trace at it.
-fn outages(records: &[Record]) -> Vec<(Duration, Duration)> {
+fn outages(records: &[TrafficRecord]) -> Vec<(Duration, Duration)> {
     let (mut down, mut outages) = (BTreeMap::new(), Vec::new());
     for record in records {
         match &record.what {
-            What::Stopped { endpoint } => drop(down.insert(endpoint, record.at)),
-            What::Started { endpoint, .. } => {
+            TrafficEvent::Stopped { endpoint } => drop(down.insert(endpoint, record.at)),
+            TrafficEvent::Started { endpoint, .. } => {
                 outages.extend(down.remove(endpoint).map(|from| (from, record.at)))
             }
             _ => {}
@@ -39,12 +39,15 @@
 
 /// Lines that are due by their weights are at most half a visit for each other line from their share;
 /// a state begins and ends in the middle of a round, so two more.
-pub fn shares<'a>(records: &[Record], seen: impl Fn(&str) -> Option<&'a Seen>) -> Verdict {
-    let mut verdict = Verdict::new("shares by weight", "visits past the bound", 0.0);
+pub fn shares<'a>(
+    records: &[TrafficRecord],
+    seen: impl Fn(&str) -> Option<&'a ObservedState>,
+) -> CheckResult {
+    let mut verdict = CheckResult::new("shares by weight", "visits past the bound", 0.0);
     let ran: BTreeSet<(u64, &str)> = records
         .iter()
         .filter_map(|record| match &record.what {
-            What::Ran { visit, endpoint, .. } => Some((*visit, endpoint.as_str())),
+            TrafficEvent::Ran { visit, endpoint, .. } => Some((*visit, endpoint.as_str())),
             _ => None,
         })
         .collect();
@@ -52,7 +55,7 @@
     let mut groups: BTreeMap<(&str, &str), Group> = BTreeMap::new();
     let mut failures: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
     for record in records {
-        let What::Arrived { endpoint, relay, table, visit, .. } = &record.what else { continue };
+        let TrafficEvent::Arrived { endpoint, relay, table, visit, .. } = &record.what else { continue };
         let group =
             groups.entry((relay, table)).or_insert_with(|| Group { first: record.at, ..Group::default() });
         *group.by_endpoint.entry(endpoint.clone()).or_default() += 1;
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -7,46 +7,46 @@
 use std::time::Duration;
 
 use lockcroft_config::DaemonConfig;
-use lockcroft_proxy::{Limits as Shuns, ProxyPost, Way};
+use lockcroft_proxy::{Limits as Shuns, LoadBalancingPolicy, ProxyConfig};
 use lockcroft_runtime_api::Address;
-use lockcroft_testbed::{Endpoint, EndpointTerms, Tap, What};
+use lockcroft_testbed::{EndpointConfig, FakeEndpoint, TrafficEvent, TrafficRecorder};
 use nanorand::{Rng, WyRand};
 
-use crate::day::{Day, Front};
+use crate::day::{Scenario, TableSource};
 use crate::folder::Folder;
-use crate::proxies::Hosts;
+use crate::proxies::ProxyRuntimes;
 use crate::roster::{Line, RosterFile};
 use crate::rules::Limits;
 use crate::score::Zones;
-use crate::wire::Wire;
+use crate::wire::ThrottledLink;
 
 /// A proxy of the day, behind the tap on its control socket.
-pub struct Relay {
+pub struct ProxyInstance {
     pub name: String,
     pub zone: String,
     pub visits: SocketAddr,
-    pub wire: Wire,
+    pub wire: ThrottledLink,
     number: usize,
-    post: ProxyPost,
+    post: ProxyConfig,
 }
 
 pub struct Stage {
-    hosts: Hosts,
-    pub endpoints: BTreeMap<String, Endpoint>,
-    pub relays: Vec<Relay>,
+    hosts: ProxyRuntimes,
+    pub endpoints: BTreeMap<String, FakeEndpoint>,
+    pub relays: Vec<ProxyInstance>,
     pub roster: RosterFile,
     pub settings: PathBuf,
     /// The pilot's own runtime API.
     pub socket: PathBuf,
     pub post: DaemonConfig,
     pub limits: Limits,
-    pub tap: Tap,
+    pub tap: TrafficRecorder,
     pub folder: Folder,
 }
 
 /// A whole settings file from the day's terms.
-pub fn settings(day: &Day, socket: &Path, files: &str, proxies: &str, roster: &str) -> String {
-    let Day { seed, log, terms, .. } = day;
+pub fn settings(day: &Scenario, socket: &Path, files: &str, proxies: &str, roster: &str) -> String {
+    let Scenario { seed, log, terms, .. } = day;
     format!(
         "<lockcroft>\n<pilot name=\"rehearsed\" seed=\"{seed}\"/>\n\
          <runtime><listen address=\"unix:{}\" level=\"admin\"/></runtime>\n<log levels=\"{log}\"/>\n\
@@ -60,15 +60,15 @@
     ///
     /// # Errors
     /// The day's terms are no settings, or a socket or file can't be had.
-    pub async fn build(day: &Day, folder: &Path, threads: usize) -> Result<Self, String> {
+    pub async fn build(day: &Scenario, folder: &Path, threads: usize) -> Result<Self, String> {
         let (socket, path) = (folder.join("pilot.sock"), folder.join("pilot.xml"));
         let io = |e: std::io::Error| e.to_string();
         fs::write(&path, settings(day, &socket, "", "", "<roster/>")).map_err(io)?;
         let post = DaemonConfig::open(&path).map_err(|faults| faults.to_string())?;
-        let wheel = day.relays.way.unwrap_or_default() == Way::Wheel;
+        let wheel = day.relays.way.unwrap_or_default() == LoadBalancingPolicy::SmoothWeightedRoundRobin;
         let even = wheel && day.relays.outstanding_most.is_none();
         let limits = Limits { even, ..Limits::read(&post.terms) };
-        let tap = Tap::default();
+        let tap = TrafficRecorder::default();
         let mut endpoints = BTreeMap::new();
         let mut lines = BTreeMap::new();
         for zone in &post.places.zones {
@@ -87,7 +87,7 @@
                 }
             }
         }
-        let hosts = Hosts::new(threads).map_err(io)?;
+        let hosts = ProxyRuntimes::new(threads).map_err(io)?;
         let files = Folder::make(folder).map_err(io)?;
         let patience = |i: usize| post.terms.span(&format!("classes.{i}.patience_us"));
         let classes = post.places.classes.iter().cloned().enumerate();
@@ -105,7 +105,7 @@
                 let near = near.into_iter().take(day.relays.standing);
                 let control = Address::Unix(folder.join(format!("{name}.sock")));
                 let any = SocketAddr::from(([127, 0, 0, 1], 0));
-                let mut proxy = ProxyPost::new(&name, any, vec![control.clone()], classes.clone());
+                let mut proxy = ProxyConfig::new(&name, any, vec![control.clone()], classes.clone());
                 proxy.standing = near.map(|(name, line)| (name.clone(), line.address)).collect();
                 // A large day has more proxies and endpoints than descriptors for all pairs of them.
                 proxy.idle_most = Duration::from_secs(1);
@@ -119,19 +119,19 @@
                 let front = if reads_files { "files" } else { "commands" };
                 proxy.visits = hosts.start(number, proxy.clone()).await.map_err(io)?;
                 standing(&proxy, &tap);
-                let wire = Wire::lay(&name, control, tap.clone()).await.map_err(io)?;
+                let wire = ThrottledLink::lay(&name, control, tap.clone()).await.map_err(io)?;
                 proxies += &format!(
                     "<proxy name=\"{name}\" zone=\"{zone}\" address=\"{}\" visits-per-s=\"{share:.2}\" front=\"{front}\"/>\n",
                     wire.address
                 );
                 let zone = zone.clone();
-                relays.push(Relay { name, zone, visits: proxy.visits, wire, number, post: proxy });
+                relays.push(ProxyInstance { name, zone, visits: proxy.visits, wire, number, post: proxy });
             }
         }
         let mut roster = RosterFile::new(folder.join("roster.xml"), lines, tap.clone());
         roster.write().map_err(io)?;
         let file = "<roster-file path=\"roster.xml\" look-every=\"100ms\"/>";
-        let parts = if day.relays.front == Front::Commands { String::new() } else { files.settings() };
+        let parts = if day.relays.front == TableSource::Commands { String::new() } else { files.settings() };
         fs::write(&path, settings(day, &socket, &parts, &proxies, file)).map_err(io)?;
         let post = DaemonConfig::open(&path).map_err(|faults| faults.to_string())?;
         Ok(Stage {
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     /// Its sockets can't be had again.
-    pub async fn restart(&self, relay: &Relay) -> Result<(), String> {
+    pub async fn restart(&self, relay: &ProxyInstance) -> Result<(), String> {
         let _quiet = self.folder.quiet.lock().await;
         self.hosts.stop(relay.number);
         let started = self.hosts.start(relay.number, relay.post.clone()).await;
@@ -184,9 +184,9 @@
     }
 }
 
-fn standing(post: &ProxyPost, tap: &Tap) {
+fn standing(post: &ProxyConfig, tap: &TrafficRecorder) {
     let servers = post.standing.iter().map(|(name, _)| name.clone()).collect();
-    tap.put(What::Standing { relay: post.name.clone(), servers });
+    tap.put(TrafficEvent::Standing { relay: post.name.clone(), servers });
 }
 
 async fn endpoint(
@@ -194,9 +194,9 @@
     like: &crate::day::Endpoints,
     work: HashMap<String, f64>,
     limits: &Limits,
-    tap: &Tap,
-) -> std::io::Result<Endpoint> {
-    let terms = EndpointTerms {
+    tap: &TrafficRecorder,
+) -> std::io::Result<FakeEndpoint> {
+    let terms = EndpointConfig {
         name: name.into(),
         cores: like.cores,
         speed: like.speed,
@@ -208,5 +208,5 @@
         cold_multiple: limits.cold_multiple,
         cold_span: limits.cold_span,
     };
-    Endpoint::start(terms, tap.clone()).await
+    FakeEndpoint::start(terms, tap.clone()).await
 }
--- a/crates/scenario/src/ways.rs
+++ b/crates/scenario/src/ways.rs
@@ -3,10 +3,10 @@
 
 use std::path::Path;
 
-use lockcroft_config::{Document, ConfigError, ConfigErrors};
+use lockcroft_config::{ConfigError, ConfigErrors, Document};
 use roxmltree::{Document as Tree, Node};
 
-use crate::day::{Day, Front};
+use crate::day::{Scenario, TableSource};
 
 /// What differs from the day as it stands.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -20,18 +20,21 @@
     /// Listed weights of endpoints by kind.
     pub weights: Vec<(String, f64)>,
     /// How proxies are told, if not as the day has it.
-    pub front: Option<Front>,
+    pub front: Option<TableSource>,
 }
 
 /// Weights of a kind that a search tries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tries {
+pub struct SearchSpace {
     pub kind: String,
     pub weights: Vec<f64>,
 }
 
 /// The ways and the search of a day's file.
-pub(crate) fn read(document: &Document, root: Node) -> Result<(Vec<Variant>, Vec<Tries>), ConfigErrors> {
+pub(crate) fn read(
+    document: &Document,
+    root: Node,
+) -> Result<(Vec<Variant>, Vec<SearchSpace>), ConfigErrors> {
     let (mut ways, mut tries, mut faults) = (Vec::new(), Vec::new(), Vec::new());
     for node in root.children().filter(Node::is_element) {
         let words = |name: &str| node.attribute(name).unwrap_or_default().split_whitespace();
@@ -50,11 +53,11 @@
                 without: words("without").map(String::from).collect(),
                 set: sound(set, &mut faults),
                 weights: sound(weights, &mut faults),
-                front: node.attribute("front").map(Front::named),
+                front: node.attribute("front").map(TableSource::named),
             });
         } else if node.has_tag_name("search") {
             let weights = words("weights").filter_map(|word| word.parse().ok()).collect();
-            tries.push(Tries { kind: node.attribute("kind").unwrap_or_default().into(), weights });
+            tries.push(SearchSpace { kind: node.attribute("kind").unwrap_or_default().into(), weights });
         }
     }
     if faults.is_empty() { Ok((ways, tries)) } else { Err(ConfigErrors(faults)) }
@@ -81,9 +84,9 @@
 
 /// Every choice of one weight a kind, as ways that differ in these alone; without a plan, which would
 /// replace them.
-pub fn search(tries: &[Tries]) -> Vec<Variant> {
+pub fn search(tries: &[SearchSpace]) -> Vec<Variant> {
     let mut found = vec![Variant { without: vec!["solver".into()], ..Variant::default() }];
-    for Tries { kind, weights } in tries {
+    for SearchSpace { kind, weights } in tries {
         let further = |way: &Variant| {
             let way = way.clone();
             weights.clone().into_iter().map(move |weight| {
@@ -102,12 +105,12 @@
     found
 }
 
-impl Day {
+impl Scenario {
     /// The day played in this way.
     ///
     /// # Errors
     /// The way names what the day does not have.
-    pub fn in_way(&self, way: &Variant) -> Result<Day, String> {
+    pub fn in_way(&self, way: &Variant) -> Result<Scenario, String> {
         let mut day = self.clone();
         day.relays.front = way.front.unwrap_or(day.relays.front);
         for (kind, weight) in &way.weights {
--- a/crates/scenario/src/wire.rs
+++ b/crates/scenario/src/wire.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use lockcroft_proxy::changes;
 use lockcroft_runtime_api::{Address, ResponseReader, Stream, dial, split};
-use lockcroft_testbed::{Tap, What};
+use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -19,7 +19,7 @@
 
 /// What happens to the next line with more orders than this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stall {
+pub enum StallPoint {
     /// It stops in the middle for so long, then goes on.
     Still(usize, Duration),
     /// It is carried out, and the stream breaks before its answer.
@@ -27,26 +27,26 @@
 }
 
 #[derive(Clone)]
-pub struct Wire {
+pub struct ThrottledLink {
     pub address: SocketAddr,
     name: String,
     to: Address,
-    stall: Arc<Mutex<Option<Stall>>>,
-    tap: Tap,
+    stall: Arc<Mutex<Option<StallPoint>>>,
+    tap: TrafficRecorder,
 }
 
-impl Wire {
+impl ThrottledLink {
     /// # Errors
     /// The socket can't be had.
-    pub async fn lay(name: &str, to: Address, tap: Tap) -> io::Result<Self> {
+    pub async fn lay(name: &str, to: Address, tap: TrafficRecorder) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let wire = Wire { address, name: name.into(), to, stall: Arc::default(), tap };
+        let wire = ThrottledLink { address, name: name.into(), to, stall: Arc::default(), tap };
         tokio::spawn(wire.clone().listen(listener));
         Ok(wire)
     }
 
-    pub fn stall(&self, stall: Stall) {
+    pub fn stall(&self, stall: StallPoint) {
         *self.stall.lock().unwrap_or_else(PoisonError::into_inner) = Some(stall);
     }
 
@@ -56,7 +56,7 @@
             tokio::spawn(async move {
                 let _ = pilot.set_nodelay(true);
                 let Ok(proxy) = dial(&wire.to).await else { return };
-                wire.tap.put(What::Stream { relay: wire.name.clone(), open: true });
+                wire.tap.put(TrafficEvent::Stream { relay: wire.name.clone(), open: true });
                 let mut talk = Talk {
                     wire: &wire,
                     asked: VecDeque::new(),
@@ -67,7 +67,7 @@
                 };
                 // However it ends, it ends for both.
                 let _ = talk.pass(pilot, proxy).await;
-                wire.tap.put(What::Stream { relay: wire.name.clone(), open: false });
+                wire.tap.put(TrafficEvent::Stream { relay: wire.name.clone(), open: false });
             });
         }
     }
@@ -75,7 +75,7 @@
 
 /// One stream through the wire.
 struct Talk<'a> {
-    wire: &'a Wire,
+    wire: &'a ThrottledLink,
     /// Commands whose answers are still to come, orders with the number of those that come behind them
     /// in their line.
     asked: VecDeque<(String, Option<usize>)>,
@@ -129,7 +129,7 @@
         let orders = commands.iter().filter(|command| changes(command)).count();
         let relay = || self.wire.name.clone();
         if orders > 0 {
-            self.wire.tap.put(What::Line { relay: relay(), commands: orders });
+            self.wire.tap.put(TrafficEvent::Line { relay: relay(), commands: orders });
         }
         let mut left = orders;
         for command in &commands {
@@ -140,19 +140,19 @@
         let stall = {
             let mut stall = self.wire.stall.lock().unwrap_or_else(PoisonError::into_inner);
             stall.take_if(|stall| match stall {
-                Stall::Still(after, _) | Stall::Break(after) => orders > *after,
+                StallPoint::Still(after, _) | StallPoint::Break(after) => orders > *after,
             })
         };
         match stall {
-            Some(Stall::Still(_, time)) => {
+            Some(StallPoint::Still(_, time)) => {
                 let half = line.len() / 2;
                 proxy.write_all(&line[..half]).await?;
-                self.wire.tap.put(What::Stalled { relay: relay(), on: true });
+                self.wire.tap.put(TrafficEvent::Stalled { relay: relay(), on: true });
                 tokio::time::sleep(time).await;
-                self.wire.tap.put(What::Stalled { relay: relay(), on: false });
+                self.wire.tap.put(TrafficEvent::Stalled { relay: relay(), on: false });
                 proxy.write_all(&line[half..]).await
             }
-            Some(Stall::Break(_)) => {
+            Some(StallPoint::Break(_)) => {
                 self.cut = true;
                 proxy.write_all(line).await
             }
@@ -180,7 +180,7 @@
             }
             if left == 0 && !self.set.is_empty() {
                 let (relay, orders) = (self.wire.name.clone(), std::mem::take(&mut self.set));
-                self.wire.tap.put(What::Set { relay, orders });
+                self.wire.tap.put(TrafficEvent::Set { relay, orders });
             }
         }
     }
--- a/crates/scenario/tests/rules.rs
+++ b/crates/scenario/tests/rules.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lockcroft_scenario::{Limits, Verdict, judge};
-use lockcroft_testbed::{Record, What};
+use lockcroft_scenario::{CheckResult, Limits, judge};
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 
 fn limits() -> Limits {
     Limits {
@@ -24,21 +24,21 @@
     }
 }
 
-fn at(seconds: f64, what: What) -> Record {
-    Record { at: Duration::from_secs_f64(seconds), what }
+fn at(seconds: f64, what: TrafficEvent) -> TrafficRecord {
+    TrafficRecord { at: Duration::from_secs_f64(seconds), what }
 }
 
-fn listed(states: &[(&str, &str)]) -> What {
+fn listed(states: &[(&str, &str)]) -> TrafficEvent {
     let servers = states.iter().map(|(name, state)| ((*name).into(), (*state).into(), None)).collect();
-    What::Listed { servers }
+    TrafficEvent::Listed { servers }
 }
 
-fn order(command: &str) -> What {
-    What::Set { relay: "r".into(), orders: vec![(command.into(), String::new())] }
+fn order(command: &str) -> TrafficEvent {
+    TrafficEvent::Set { relay: "r".into(), orders: vec![(command.into(), String::new())] }
 }
 
-fn arrived(endpoint: &str, visit: u64, work: f64) -> What {
-    What::Arrived {
+fn arrived(endpoint: &str, visit: u64, work: f64) -> TrafficEvent {
+    TrafficEvent::Arrived {
         endpoint: endpoint.into(),
         relay: "r".into(),
         visit,
@@ -48,32 +48,32 @@
     }
 }
 
-fn ran(endpoint: &str, visit: u64) -> What {
-    What::Ran { endpoint: endpoint.into(), visit, class: "look".into() }
+fn ran(endpoint: &str, visit: u64) -> TrafficEvent {
+    TrafficEvent::Ran { endpoint: endpoint.into(), visit, class: "look".into() }
 }
 
-fn stream(open: bool) -> What {
-    What::Stream { relay: "r".into(), open }
+fn stream(open: bool) -> TrafficEvent {
+    TrafficEvent::Stream { relay: "r".into(), open }
 }
 
-fn line(commands: usize) -> What {
-    What::Line { relay: "r".into(), commands }
+fn line(commands: usize) -> TrafficEvent {
+    TrafficEvent::Line { relay: "r".into(), commands }
 }
 
 /// A relay that holds e1 and e2 and follows a pilot from 1 s on.
-fn opening() -> Vec<Record> {
+fn opening() -> Vec<TrafficRecord> {
     vec![
         at(0.0, listed(&[("e1", "ready"), ("e2", "ready")])),
-        at(0.0, What::Standing { relay: "r".into(), servers: vec!["e1".into(), "e2".into()] }),
+        at(0.0, TrafficEvent::Standing { relay: "r".into(), servers: vec!["e1".into(), "e2".into()] }),
         at(1.0, stream(true)),
     ]
 }
 
 /// What is broken, after the opening and these.
-fn broken(more: &[Record]) -> Vec<&'static str> {
-    let records: Vec<Record> = opening().into_iter().chain(more.iter().cloned()).collect();
+fn broken(more: &[TrafficRecord]) -> Vec<&'static str> {
+    let records: Vec<TrafficRecord> = opening().into_iter().chain(more.iter().cloned()).collect();
     let verdicts = judge(&records, &limits());
-    let broken: BTreeMap<&str, Verdict> =
+    let broken: BTreeMap<&str, CheckResult> =
         verdicts.into_iter().filter(|verdict| !verdict.kept()).map(|v| (v.rule, v)).collect();
     assert!(broken.values().all(|verdict| !verdict.at.is_empty()), "it says where");
     broken.into_keys().collect()
@@ -142,14 +142,14 @@
 
 #[test]
 fn a_cold_server_that_is_sent_too_much_is_found() {
-    let started = What::Started { endpoint: "e1".into(), capacity: 1.0 };
+    let started = TrafficEvent::Started { endpoint: "e1".into(), capacity: 1.0 };
     // At half its capacity and twice that, one second holds one second of work.
     let heavy = [at(2.0, started.clone()), at(2.1, arrived("e1", 1, 0.6)), at(2.5, arrived("e1", 2, 0.6))];
     assert_eq!(broken(&heavy), ["no cold pushed over"]);
     let spread = [at(2.0, started.clone()), at(2.1, arrived("e1", 1, 0.6)), at(3.5, arrived("e1", 2, 0.6))];
     assert_eq!(broken(&spread), Vec::<&str>::new());
     assert_eq!(
-        broken(&[at(2.0, started), at(2.1, What::Fell { endpoint: "e1".into() })]),
+        broken(&[at(2.0, started), at(2.1, TrafficEvent::Fell { endpoint: "e1".into() })]),
         ["no cold pushed over"]
     );
 }
@@ -157,17 +157,17 @@
 #[test]
 fn too_many_lines_or_messages_are_found() {
     assert_eq!(broken(&[at(2.0, line(11))]), ["short queue"]);
-    let done: Vec<Record> = (0..8).map(|_| at(2.1, order("set var proc.x int(1)"))).collect();
-    let fits: Vec<Record> = [vec![at(2.0, line(8))], done, vec![at(2.2, line(8))]].concat();
+    let done: Vec<TrafficRecord> = (0..8).map(|_| at(2.1, order("set var proc.x int(1)"))).collect();
+    let fits: Vec<TrafficRecord> = [vec![at(2.0, line(8))], done, vec![at(2.2, line(8))]].concat();
     assert_eq!(broken(&fits), Vec::<&str>::new());
-    let many: Vec<Record> = (0..4).map(|n| at(2.0 + f64::from(n), line(1))).collect();
+    let many: Vec<TrafficRecord> = (0..4).map(|n| at(2.0 + f64::from(n), line(1))).collect();
     assert_eq!(broken(&many), ["few messages"]);
 }
 
 #[test]
 fn a_choice_outside_the_table_is_found() {
     let off = order("set server standing/e1 state maint");
-    let by = |endpoint: &str, table: &str| What::Arrived {
+    let by = |endpoint: &str, table: &str| TrafficEvent::Arrived {
         endpoint: endpoint.into(),
         relay: "r".into(),
         visit: 1,
@@ -197,7 +197,7 @@
     };
     let orders =
         vec![refused("set server standing/e1 state maint"), refused("set server standing/e9 state maint")];
-    let set = [at(3.0, What::Set { relay: "r".into(), orders }), at(3.1, arrived("e1", 1, 0.0))];
+    let set = [at(3.0, TrafficEvent::Set { relay: "r".into(), orders }), at(3.1, arrived("e1", 1, 0.0))];
     assert_eq!(broken(&set), Vec::<&str>::new());
 }
 
@@ -211,7 +211,7 @@
 
 #[test]
 fn a_line_that_gets_more_than_its_share_is_found() {
-    let day = |of_ten: u64| -> Vec<Record> {
+    let day = |of_ten: u64| -> Vec<TrafficRecord> {
         let visits = (0..200).flat_map(|visit| {
             let to = if visit % 10 < of_ten { "e1" } else { "e2" };
             [at(2.0, arrived(to, visit, 0.0)), at(2.0, ran(to, visit))]
@@ -228,11 +228,11 @@
 /// A proxy that starts anew counts anew, also where it is bound to the very lines of before.
 #[test]
 fn a_restart_begins_the_versions_anew() {
-    let set = |orders: &[&str]| What::Set {
+    let set = |orders: &[&str]| TrafficEvent::Set {
         relay: "r".into(),
         orders: orders.iter().map(|order| ((*order).into(), String::new())).collect(),
     };
-    let by = |table: &str| What::Arrived {
+    let by = |table: &str| TrafficEvent::Arrived {
         endpoint: "e1".into(),
         relay: "r".into(),
         visit: 1,
@@ -246,7 +246,7 @@
         "set map classes look t0",
     ]);
     let epoch = set(&["set var proc.epoch int(4)"]);
-    let again = What::Standing { relay: "r".into(), servers: vec!["e1".into(), "e2".into()] };
+    let again = TrafficEvent::Standing { relay: "r".into(), servers: vec!["e1".into(), "e2".into()] };
     let day = [at(2.0, bind.clone()), at(3.0, again), at(3.5, epoch), at(4.0, bind), at(4.1, by("t0@2"))];
     assert_eq!(broken(&day), Vec::<&str>::new());
 }
--- a/crates/scenario/tests/ways.rs
+++ b/crates/scenario/tests/ways.rs
@@ -1,6 +1,6 @@
 //! A day in several ways.
 
-use lockcroft_scenario::{Day, search};
+use lockcroft_scenario::{Scenario, search};
 
 const DAY: &str = r#"<day length="5s">
   <terms><kinds><kind name="old"/><kind name="new" cores="4"/></kinds><rules cold-share="0.25"/><solver every="2s"/></terms>
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_way_changes_what_it_names_and_nothing_else() {
-    let day = Day::parse(DAY).expect("a sound day");
+    let day = Scenario::parse(DAY).expect("a sound day");
     let plain = day.in_way(&day.ways[0]).expect("all that it names is there");
     let terms: String = plain.terms.split_whitespace().collect::<Vec<_>>().join(" ");
     let expected = r#"<kinds><kind cores="1" name="old"/><kind name="new" cores="8"/></kinds> <rules fixed-weights="true" />"#;
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_search_tries_every_choice() {
-    let day = Day::parse(DAY).expect("a sound day");
+    let day = Scenario::parse(DAY).expect("a sound day");
     let names: Vec<String> = search(&day.tries).into_iter().map(|way| way.name).collect();
     let all = [
         "old=0.25 new=1",
@@ -39,9 +39,9 @@
 
 #[test]
 fn a_way_that_names_what_is_not_there_says_so() {
-    let mut day = Day::parse(DAY).expect("a sound day");
+    let mut day = Scenario::parse(DAY).expect("a sound day");
     day.ways[0].without = vec!["limits".into()];
     assert_eq!(day.in_way(&day.ways[0]).unwrap_err(), "way \"plain\": the terms have no limits ");
-    let wrong = Day::parse(&DAY.replace("old=0.5\"", "old=no\"")).unwrap_err().to_string();
+    let wrong = Scenario::parse(&DAY.replace("old=0.5\"", "old=no\"")).unwrap_err().to_string();
     assert!(wrong.contains("\"old=no\"") && wrong.contains("kind=weight"), "{wrong}");
 }
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -6,8 +6,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use lockcroft::{Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, Controller};
-use lockcroft_host::{NameInterner, NameIndex, read_settings};
+use lockcroft::{Action, Controller, EndpointRecord, EndpointStatus, HealthCheckOutcome};
+use lockcroft_host::{NameIndex, NameInterner, read_settings};
 
 use crate::codec::Line;
 
--- a/crates/solver-format/src/lib.rs
+++ b/crates/solver-format/src/lib.rs
@@ -7,6 +7,6 @@
 mod write;
 
 pub use picture::picture;
-pub use read::{Named, SCHEMA};
+pub use read::{NamedProblem, SCHEMA};
 pub use tell::{json, text};
 pub use write::write;
--- a/crates/solver-format/src/picture.rs
+++ b/crates/solver-format/src/picture.rs
@@ -1,9 +1,9 @@
 //! Load against capacity, before and after: a bar for each server, those of a zone side by side.
 
-use lockcroft_solver::{Answer, Spread};
+use lockcroft_solver::{Answer, LoadDistribution};
 use plotters::prelude::*;
 
-use crate::read::Named;
+use crate::read::NamedProblem;
 
 const HIGH: u32 = 420;
 /// A server has so many points at least, up to a picture of a width that can still be looked at.
@@ -15,10 +15,10 @@
 ///
 /// # Errors
 /// What the drawing library says.
-pub fn picture(named: &Named, answer: &Answer) -> Result<String, String> {
+pub fn picture(named: &NamedProblem, answer: &Answer) -> Result<String, String> {
     let mut order: Vec<usize> = (0..named.servers.len()).collect();
     order.sort_by_key(|place| (named.problem.servers[*place].zone, *place));
-    let before = Spread::new(&named.problem).loads(&vec![1; named.servers.len()], &[]);
+    let before = LoadDistribution::new(&named.problem).loads(&vec![1; named.servers.len()], &[]);
     let wide = (order.len() as u32 * SERVER).clamp(WIDE[0], WIDE[1]);
     let mut out = String::new();
     {
@@ -38,7 +38,13 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn chart(area: &Area, title: &str, named: &Named, order: &[usize], loads: &[f64]) -> Result<(), String> {
+fn chart(
+    area: &Area,
+    title: &str,
+    named: &NamedProblem,
+    order: &[usize],
+    loads: &[f64],
+) -> Result<(), String> {
     let top = |place: usize| named.problem.servers[place].room().max(loads[place]);
     let most = order.iter().map(|place| top(*place)).fold(0.0, f64::max).max(1e-9);
     let mut chart = ChartBuilder::on(area)
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -2,26 +2,26 @@
 
 use std::path::Path;
 
-use lockcroft_config::{Document, ConfigError, ConfigErrors, parse_duration};
-use lockcroft_solver::{Class, Problem, Server};
+use lockcroft_config::{ConfigError, ConfigErrors, Document, parse_duration};
+use lockcroft_solver::{Class, Endpoint, Problem};
 use roxmltree::Node;
 
 pub const SCHEMA: &str = include_str!("../problem.xsd");
 
 /// A problem with the names behind its places.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Named {
+pub struct NamedProblem {
     pub problem: Problem,
     pub zones: Vec<String>,
     pub servers: Vec<String>,
     pub classes: Vec<String>,
 }
 
-impl Named {
+impl NamedProblem {
     /// # Errors
     /// All that is wrong with the file.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
-        Named::read(&Document::open(file, SCHEMA)?)
+        NamedProblem::read(&Document::open(file, SCHEMA)?)
     }
 
     /// # Errors
@@ -29,7 +29,7 @@
     pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
-        let mut reader = Reader { document, named: Named::default(), faults: Vec::new() };
+        let mut reader = Reader { document, named: NamedProblem::default(), faults: Vec::new() };
         reader.named.problem.crossing = number(root, "crossing").unwrap_or(0.0);
         reader.zones(part(root, "zones"));
         reader.servers(part(root, "servers"));
@@ -40,7 +40,7 @@
 
 struct Reader<'a> {
     document: &'a Document,
-    named: Named,
+    named: NamedProblem,
     faults: Vec<ConfigError>,
 }
 
@@ -62,7 +62,7 @@
             }
             let zone = self.place(node, text(node, "zone"), "zone", &self.named.zones.clone());
             self.named.servers.push(name);
-            self.named.problem.servers.push(Server {
+            self.named.problem.servers.push(Endpoint {
                 zone,
                 capacity: number(node, "cores").unwrap_or(0.0),
                 warmth: number(node, "warmth").unwrap_or(1.0),
--- a/crates/solver-format/src/tell.rs
+++ b/crates/solver-format/src/tell.rs
@@ -2,18 +2,18 @@
 
 use std::fmt::{self, Display, Formatter};
 
-use lockcroft_solver::{Answer, Dropped, Spread};
+use lockcroft_solver::{Answer, LoadDistribution, ShedReason};
 use serde_json::{Value, json};
 
-use crate::read::Named;
+use crate::read::NamedProblem;
 
 /// An answer for people: what is dropped and why, then a line for each server.
-pub fn text<'a>(named: &'a Named, answer: &'a Answer) -> impl Display + 'a {
+pub fn text<'a>(named: &'a NamedProblem, answer: &'a Answer) -> impl Display + 'a {
     Text { named, answer }
 }
 
 struct Text<'a> {
-    named: &'a Named,
+    named: &'a NamedProblem,
     answer: &'a Answer,
 }
 
@@ -33,7 +33,7 @@
             writeln!(out, "class {}: {:.1}% let in", named.classes[class], let_in * 100.0)?;
         }
         answer.dropped.iter().try_for_each(|dropped| self.dropped(dropped, out))?;
-        let alike = Spread::new(&named.problem).loads(&vec![1; named.servers.len()], &[]);
+        let alike = LoadDistribution::new(&named.problem).loads(&vec![1; named.servers.len()], &[]);
         writeln!(
             out,
             "{:24} {:>10} {:>6} {:>6} {:>10} {:>12}",
@@ -57,8 +57,8 @@
 }
 
 impl Text<'_> {
-    fn dropped(&self, dropped: &Dropped, out: &mut Formatter) -> fmt::Result {
-        let Dropped { class, visits, restored_by, room, before } = dropped;
+    fn dropped(&self, dropped: &ShedReason, out: &mut Formatter) -> fmt::Result {
+        let ShedReason { class, visits, restored_by, room, before } = dropped;
         let classes = &self.named.classes;
         write!(
             out,
@@ -74,14 +74,14 @@
 }
 
 /// The same for programs; tables by class and zone of the proxies.
-pub fn json(named: &Named, answer: &Answer) -> Value {
-    let Named { zones, servers, classes, .. } = named;
+pub fn json(named: &NamedProblem, answer: &Answer) -> Value {
+    let NamedProblem { zones, servers, classes, .. } = named;
     let part = answer.objective;
     let server = |place: usize| {
         json!({"name": servers[place], "cores": named.problem.servers[place].room(), "weight": answer.weights[place],
             "load": answer.loads[place]})
     };
-    let dropped = |dropped: &Dropped| {
+    let dropped = |dropped: &ShedReason| {
         let before: Vec<&String> = dropped.before.iter().map(|class| &classes[*class]).collect();
         json!({"class": classes[dropped.class], "visits_per_s": dropped.visits,
             "restored_by_cores": dropped.restored_by, "cores": dropped.room, "before_it": before})
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Write;
 
-use crate::read::Named;
+use crate::read::NamedProblem;
 
 /// The file's text. Figures are written so that they are read back as they are.
-pub fn write(named: &Named) -> String {
-    let Named { problem, zones, servers, classes } = named;
+pub fn write(named: &NamedProblem) -> String {
+    let NamedProblem { problem, zones, servers, classes } = named;
     let mut out = format!("<problem crossing=\"{}\">\n  <zones>", problem.crossing);
     // Writing to a String cannot fail.
     for zone in zones {
--- a/crates/solver-format/tests/plans.rs
+++ b/crates/solver-format/tests/plans.rs
@@ -5,13 +5,13 @@
 use expect_test::expect;
 use lockcroft_config::Document;
 use lockcroft_solver::solve;
-use lockcroft_solver_format::{Named, SCHEMA, json, picture, text, write};
+use lockcroft_solver_format::{NamedProblem, SCHEMA, json, picture, text, write};
 
 const PROBLEM: &str = include_str!("../../../examples/problem.xml");
 
-fn read(text: &str) -> Result<Named, String> {
+fn read(text: &str) -> Result<NamedProblem, String> {
     let document = Document::new(Path::new("problem.xml"), text.into(), SCHEMA);
-    document.and_then(|document| Named::read(&document)).map_err(|faults| faults.to_string())
+    document.and_then(|document| NamedProblem::read(&document)).map_err(|faults| faults.to_string())
 }
 
 #[test]
--- a/crates/solver/benches/solve.rs
+++ b/crates/solver/benches/solve.rs
@@ -6,11 +6,11 @@
 
 use std::time::{Duration, Instant};
 
-use lockcroft_solver::{Class, Keeper, Price, Problem, Server, Spread, solve};
+use lockcroft_solver::{ChangePrice, Class, Endpoint, LoadDistribution, PlanStabilizer, Problem, solve};
 
 /// Sizes double; places are spread by whole numbers, not by chance.
 fn problem(servers: usize, zones: usize, classes: usize) -> Problem {
-    let server = |i: usize| Server {
+    let server = |i: usize| Endpoint {
         zone: i % zones,
         capacity: [1.0, 2.0, 4.0, 8.0][i / zones % 4],
         warmth: if i.is_multiple_of(17) { 0.25 } else { 1.0 },
@@ -90,15 +90,15 @@
         let (took, answer) = timed(|| solve(&problem).expect("sound"));
         let mut changed = problem.clone();
         changed.servers[1].withdrawn = true;
-        let price = Price { line: 0.01, lines_most: 1000, stands: 10.0 };
+        let price = ChangePrice { line: 0.01, lines_most: 1000, stands: 10.0 };
         let numbers: Vec<usize> = (0..servers).collect();
-        let mut keeper = Keeper::default();
+        let mut keeper = PlanStabilizer::default();
         keeper.take(&problem, &numbers, &answer, price);
         let (again, lines) = timed(|| {
             let answer = solve(&changed).expect("sound");
             keeper.clone().take(&changed, &numbers, &answer, price).len()
         });
-        let spread = Spread::new(&problem);
+        let spread = LoadDistribution::new(&problem);
         let equal = spread.value(&vec![1; servers], &answer.let_in);
         let laid = spread.value(&answer.weights, &answer.let_in);
         println!(
--- a/crates/solver/src/answer.rs
+++ b/crates/solver/src/answer.rs
@@ -15,7 +15,7 @@
     pub loads: Vec<f64>,
     /// The share of each class's visits that is let in, from 0 to 1.
     pub let_in: Vec<f64>,
-    pub dropped: Vec<Dropped>,
+    pub dropped: Vec<ShedReason>,
     pub objective: Objective,
 }
 
@@ -31,7 +31,7 @@
 
 /// Visits of a class that find no room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dropped {
+pub struct ShedReason {
     pub class: usize,
     /// Visits a second.
     pub visits: f64,
--- a/crates/solver/src/flow.rs
+++ b/crates/solver/src/flow.rs
@@ -4,7 +4,7 @@
 
 /// A source that has work, and a sink that has room; an arc where work may go, at a gain a unit.
 #[derive(Clone, Debug, Default)]
-pub struct Net {
+pub struct FlowNetwork {
     pub work: Vec<i64>,
     pub room: Vec<i64>,
     /// By source, then by sink; none where it may not go.
@@ -13,7 +13,7 @@
 
 /// Units that go from each source to each sink, so that no other way gains more. Work stays where it
 /// would gain nothing.
-pub fn most_gain(net: &Net) -> Vec<Vec<i64>> {
+pub fn most_gain(net: &FlowNetwork) -> Vec<Vec<i64>> {
     let (sources, sinks) = (net.work.len(), net.room.len());
     let mut state = State {
         flow: vec![vec![0; sinks]; sources],
@@ -28,7 +28,7 @@
 }
 
 struct State<'a> {
-    net: &'a Net,
+    net: &'a FlowNetwork,
     flow: Vec<Vec<i64>>,
     left: Vec<i64>,
     room: Vec<i64>,
@@ -140,7 +140,7 @@
 
     /// The best that any spread of whole units gains: all of them are tried, source by source, and of
     /// those that leave the same room the best is kept.
-    fn best_of_all(net: &Net) -> i64 {
+    fn best_of_all(net: &FlowNetwork) -> i64 {
         let mut found: BTreeMap<Vec<i64>, i64> = BTreeMap::from([(net.room.clone(), 0)]);
         for (work, gain) in net.work.iter().zip(&net.gain) {
             let mut next: BTreeMap<Vec<i64>, i64> = BTreeMap::new();
@@ -166,7 +166,7 @@
         found.into_values().max().unwrap_or(0)
     }
 
-    fn check(net: &Net) -> i64 {
+    fn check(net: &FlowNetwork) -> i64 {
         let flow = most_gain(net);
         let mut sum = 0;
         for (source, row) in flow.iter().enumerate() {
@@ -205,7 +205,11 @@
                     };
                     let row =
                         |from: usize| (0..ZONES).map(|to| gain(from / ZONES, from % ZONES, to)).collect();
-                    let net = Net { work: work.clone(), room: room.clone(), gain: (0..6).map(row).collect() };
+                    let net = FlowNetwork {
+                        work: work.clone(),
+                        room: room.clone(),
+                        gain: (0..6).map(row).collect(),
+                    };
                     assert_eq!(check(&net), best_of_all(&net), "{net:?}");
                     cases += 1;
                 }
@@ -217,7 +221,7 @@
     /// The check sees an answer that is not the best.
     #[test]
     fn a_worse_spread_is_told_apart() {
-        let net = Net { work: vec![1, 1], room: vec![1], gain: vec![vec![Some(2)], vec![Some(5)]] };
+        let net = FlowNetwork { work: vec![1, 1], room: vec![1], gain: vec![vec![Some(2)], vec![Some(5)]] };
         assert_eq!(most_gain(&net), [[0], [1]]);
         assert_eq!(best_of_all(&net), 5, "and not the 2 of who comes first");
     }
--- a/crates/solver/src/lateness.rs
+++ b/crates/solver/src/lateness.rs
@@ -16,20 +16,20 @@
 
 /// A piece of a group's room, and what a unit of work on it costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Piece {
+pub struct LinearSegment {
     pub room: i64,
     pub cost: f64,
 }
 
 /// The pieces of a group, from idle to full. What is late costs what a unit of work earns on average.
-pub fn pieces(problem: &Problem, group: &Group) -> Vec<Piece> {
+pub fn pieces(problem: &Problem, group: &Group) -> Vec<LinearSegment> {
     let steep = steepness(problem, group);
     let price = mean_gain(problem);
     let at = |piece: i64| group.room / PIECES * piece + group.room % PIECES * piece / PIECES;
     let piece = |i: i64| {
         let (from, to) = (i as f64 / PIECES as f64, (i + 1) as f64 / PIECES as f64);
         let cost = (late_work(to, steep) - late_work(from, steep)) / (to - from) * price;
-        Piece { room: at(i + 1) - at(i), cost }
+        LinearSegment { room: at(i + 1) - at(i), cost }
     };
     (0..PIECES).map(piece).filter(|piece| piece.room > 0).collect()
 }
--- a/crates/solver/src/learn.rs
+++ b/crates/solver/src/learn.rs
@@ -8,7 +8,7 @@
 
 /// One server over one report period.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Look {
+pub struct LoadSample {
     /// Seconds of one core a second that its fulfilled visits took.
     pub done: f64,
     /// Its tries took longer than their contract time, or failed.
@@ -21,7 +21,7 @@
 
 /// A capacity with its bounds, in cores, and the age of the last report that bore on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
+pub struct CapacityEstimate {
     pub capacity: f64,
     pub least: f64,
     pub most: f64,
@@ -30,26 +30,26 @@
 
 /// What a server is taken for before any report, in cores, and how far from it reports may lead, as a factor.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prior {
+pub struct CapacityPrior {
     pub cores: f64,
     pub within: f64,
 }
 
-impl Prior {
+impl CapacityPrior {
     /// One figure for machines of any kind.
     pub fn guessed(cores: f64) -> Self {
-        Prior { cores, within: GUESS_WITHIN }
+        CapacityPrior { cores, within: GUESS_WITHIN }
     }
 
     /// What others of its kind turned out to have.
     pub fn alike(cores: f64) -> Self {
-        Prior { cores, within: ALIKE_WITHIN }
+        CapacityPrior { cores, within: ALIKE_WITHIN }
     }
 
     /// What the terms state of its kind. Where a server does less than that, it is slow for now, which is
     /// not the list's matter: relief answers within a report period.
     pub fn stated(cores: f64) -> Self {
-        Prior { cores, within: STATED_WITHIN }
+        CapacityPrior { cores, within: STATED_WITHIN }
     }
 
     fn least(self) -> f64 {
@@ -85,7 +85,7 @@
 /// The load of a server that tells none, by how much longer visits take than their work. Of all loads,
 /// each with the number of cores that would do what was done at it, the one is taken at which a queue
 /// with so many cores would slow visits by just this much. A quick one is never taken for idler than an eighth.
-fn load_by_times(look: Look) -> Option<f64> {
+fn load_by_times(look: LoadSample) -> Option<f64> {
     if look.slowdown <= 0.0 || look.done <= 0.0 {
         return None;
     }
@@ -118,19 +118,19 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Learner {
+pub struct CapacityEstimator {
     /// Evidence loses half of its force in this time: some report periods.
     fades: Duration,
     shown: BTreeMap<usize, Shown>,
 }
 
-impl Learner {
+impl CapacityEstimator {
     pub fn new(fades: Duration) -> Self {
-        Learner { fades, shown: BTreeMap::new() }
+        CapacityEstimator { fades, shown: BTreeMap::new() }
     }
 
     /// Takes a look at a server; `prior` is what it is taken for before any report.
-    pub fn look(&mut self, now: Duration, server: usize, prior: Prior, look: Look) {
+    pub fn look(&mut self, now: Duration, server: usize, prior: CapacityPrior, look: LoadSample) {
         let mut shown = self.aged(now, server, prior);
         if look.late {
             // It could do no more than this; what it showed to be able to lately still stands, and what
@@ -151,11 +151,11 @@
     }
 
     /// What is believed of a server now.
-    pub fn estimate(&self, now: Duration, server: usize, prior: Prior) -> Estimate {
+    pub fn estimate(&self, now: Duration, server: usize, prior: CapacityPrior) -> CapacityEstimate {
         let shown = self.aged(now, server, prior);
         let capacity = shown.told.unwrap_or(prior.cores).clamp(shown.least, shown.most);
         let age = self.shown.get(&server).map(|shown| now.saturating_sub(shown.at));
-        Estimate { capacity, least: shown.least, most: shown.most, age }
+        CapacityEstimate { capacity, least: shown.least, most: shown.most, age }
     }
 
     /// What servers of one kind have, by the middle one of those that showed it lately; none where they are too few.
@@ -173,7 +173,7 @@
         self.shown.retain(|server, _| listed(*server));
     }
 
-    fn aged(&self, now: Duration, server: usize, prior: Prior) -> Shown {
+    fn aged(&self, now: Duration, server: usize, prior: CapacityPrior) -> Shown {
         let most = prior.most();
         let fresh = Shown { least: 0.0, most, told: None, at: now };
         let Some(shown) = self.shown.get(&server) else { return fresh };
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -1,6 +1,6 @@
 //! Listed weights worked out ahead. A [`Problem`] says what servers can do, what is asked of them and
 //! what it earns; [`solve`] says how much of each class to let in, where it goes and at which weights;
-//! [`Keeper`] holds on to an answer until another gains more than its lines cost, [`Tables`] on to those of zones and classes; [`Learner`] finds out what a
+//! [`PlanStabilizer`] holds on to an answer until another gains more than its lines cost, [`Tables`] on to those of zones and classes; [`CapacityEstimator`] finds out what a
 //! problem needs from what reports show. Free of I/O and clock; the same input gives the same answer,
 //! to the bit, as all sums are of whole numbers.
 
@@ -15,10 +15,10 @@
 mod tables;
 mod value;
 
-pub use answer::{Answer, Dropped, Objective, WEIGHT_STEPS};
-pub use learn::{Estimate, Learner, Look, Prior};
-pub use problem::{Class, Fault, Problem, Server};
+pub use answer::{Answer, Objective, ShedReason, WEIGHT_STEPS};
+pub use learn::{CapacityEstimate, CapacityEstimator, CapacityPrior, LoadSample};
+pub use problem::{Class, Endpoint, Problem, ProblemError};
 pub use solve::solve;
-pub use steady::{Keeper, Price};
-pub use tables::{Lane, Shares, Tables};
-pub use value::Spread;
+pub use steady::{ChangePrice, PlanStabilizer};
+pub use tables::{Shares, TableScope, Tables};
+pub use value::LoadDistribution;
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -4,7 +4,7 @@
 
 /// A server, by its place in [`Problem::servers`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct Endpoint {
     /// Place among the zones.
     pub zone: usize,
     /// Work that it does in a second once it is warm, in seconds of one core: its cores, for short.
@@ -15,7 +15,7 @@
     pub withdrawn: bool,
 }
 
-impl Server {
+impl Endpoint {
     /// Cores that it has now.
     pub fn room(&self) -> f64 {
         if self.withdrawn { 0.0 } else { self.capacity * self.warmth }
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Problem {
     pub zones: usize,
-    pub servers: Vec<Server>,
+    pub servers: Vec<Endpoint>,
     pub classes: Vec<Class>,
     /// What a visit that crosses zones costs, in earnings.
     pub crossing: f64,
@@ -51,9 +51,9 @@
 
 /// What is wrong with a problem, and with which entry of it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
-    /// Server, figure, value: below 0, above what whole numbers hold, or not a number.
-    Server(usize, &'static str, f64),
+pub enum ProblemError {
+    /// Endpoint, figure, value: below 0, above what whole numbers hold, or not a number.
+    Endpoint(usize, &'static str, f64),
     /// Class, figure, value.
     Class(usize, &'static str, f64),
     /// Class, its list, the entry that is not there.
@@ -61,18 +61,18 @@
     Crossing(f64),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ProblemError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Server(server, what, value) => write!(out, "server {server}: {what} {value}"),
-            Fault::Class(class, what, value) => write!(out, "class {class}: {what} {value}"),
-            Fault::Place(class, what, place) => write!(out, "class {class}: no such {what}: {place}"),
-            Fault::Crossing(value) => write!(out, "crossing {value}"),
+            ProblemError::Endpoint(server, what, value) => write!(out, "server {server}: {what} {value}"),
+            ProblemError::Class(class, what, value) => write!(out, "class {class}: {what} {value}"),
+            ProblemError::Place(class, what, place) => write!(out, "class {class}: no such {what}: {place}"),
+            ProblemError::Crossing(value) => write!(out, "crossing {value}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ProblemError {}
 
 /// Sums of all servers' work stay whole numbers of [`UNIT`] far below what is exact.
 const MOST: f64 = 1e9;
@@ -90,43 +90,43 @@
 impl Problem {
     /// # Errors
     /// The first entry that makes no sense.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), ProblemError> {
         let sound = |value: f64| value.is_finite() && (0.0..=MOST).contains(&value);
         for (place, server) in self.servers.iter().enumerate() {
             if server.zone >= self.zones {
-                return Err(Fault::Server(place, "zone", server.zone as f64));
+                return Err(ProblemError::Endpoint(place, "zone", server.zone as f64));
             }
             if !sound(server.capacity) {
-                return Err(Fault::Server(place, "capacity", server.capacity));
+                return Err(ProblemError::Endpoint(place, "capacity", server.capacity));
             }
             if !(0.0..=1.0).contains(&server.warmth) {
-                return Err(Fault::Server(place, "warmth", server.warmth));
+                return Err(ProblemError::Endpoint(place, "warmth", server.warmth));
             }
         }
         for (place, class) in self.classes.iter().enumerate() {
             let least = |value: f64| sound(value) && value >= LEAST;
             let figures = [("work", class.work), ("contract time", class.contract_time)];
             if let Some((what, value)) = figures.into_iter().find(|(_, value)| !least(*value)) {
-                return Err(Fault::Class(place, what, value));
+                return Err(ProblemError::Class(place, what, value));
             }
             if !sound(class.earnings) {
-                return Err(Fault::Class(place, "earnings", class.earnings));
+                return Err(ProblemError::Class(place, "earnings", class.earnings));
             }
             if class.demand.len() != self.zones {
-                return Err(Fault::Class(place, "zones of demand", class.demand.len() as f64));
+                return Err(ProblemError::Class(place, "zones of demand", class.demand.len() as f64));
             }
             if let Some(value) = class.demand.iter().find(|value| !sound(**value * class.work)) {
-                return Err(Fault::Class(place, "demand", *value));
+                return Err(ProblemError::Class(place, "demand", *value));
             }
             if let Some(zone) = class.zones.iter().find(|zone| **zone >= self.zones) {
-                return Err(Fault::Place(place, "zone", *zone));
+                return Err(ProblemError::Place(place, "zone", *zone));
             }
             if let Some(server) = class.servers.iter().flatten().find(|server| **server >= self.servers.len())
             {
-                return Err(Fault::Place(place, "server", *server));
+                return Err(ProblemError::Place(place, "server", *server));
             }
         }
-        if sound(self.crossing) { Ok(()) } else { Err(Fault::Crossing(self.crossing)) }
+        if sound(self.crossing) { Ok(()) } else { Err(ProblemError::Crossing(self.crossing)) }
     }
 
     /// Work that a server can do in a second now, in whole units.
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -1,11 +1,11 @@
 //! A problem becomes a net of sources (a class in a zone) and sinks (a piece of a group's room), the
 //! net's flow becomes loads, and loads become weights.
 
-use crate::answer::{Answer, Dropped, Objective, weigh};
-use crate::flow::{Net, most_gain};
+use crate::answer::{Answer, Objective, ShedReason, weigh};
+use crate::flow::{FlowNetwork, most_gain};
 use crate::groups::{Group, groups};
 use crate::lateness::pieces;
-use crate::problem::{Fault, Problem, UNIT};
+use crate::problem::{Problem, ProblemError, UNIT};
 
 /// Gains become whole numbers: this many steps in the greatest gain of a unit of work.
 const STEPS: f64 = 1e9;
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// The problem makes no sense; the fault names the entry.
-pub fn solve(problem: &Problem) -> Result<Answer, Fault> {
+pub fn solve(problem: &Problem) -> Result<Answer, ProblemError> {
     problem.check()?;
     let groups = groups(problem);
     let plan = Plan::new(problem, &groups);
@@ -29,7 +29,7 @@
     sources: Vec<(usize, usize)>,
     /// Group of each sink, and what a unit of work costs there by lateness.
     sinks: Vec<(usize, f64)>,
-    net: Net,
+    net: FlowNetwork,
 }
 
 impl<'a> Plan<'a> {
@@ -53,7 +53,7 @@
             may.then(|| ((problem.gain(*class, *zone != group.zone) - cost) * step).round() as i64)
         };
         let gain = sources.iter().map(|from| sinks.iter().map(|to| gain(from, to)).collect()).collect();
-        Plan { problem, groups, sources, sinks, net: Net { work, room, gain } }
+        Plan { problem, groups, sources, sinks, net: FlowNetwork { work, room, gain } }
     }
 
     fn answer(&self, flow: &[Vec<i64>]) -> Answer {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn dropped(&self, class: usize, units: i64, placed: &[Vec<Vec<i64>>]) -> Dropped {
+    fn dropped(&self, class: usize, units: i64, placed: &[Vec<Vec<i64>>]) -> ShedReason {
         let work = self.problem.classes[class].work;
         let own = |group: &&Group| group.classes.binary_search(&class).is_ok();
         let room: i64 = self.groups.iter().filter(own).map(|group| group.room).sum();
@@ -118,7 +118,13 @@
         let used = placed.iter().map(own_work).sum::<i64>();
         let share = if used > 0 { used as f64 / room as f64 } else { 1.0 };
         let visits = units as f64 / UNIT / work;
-        Dropped { class, visits, restored_by: units as f64 / UNIT / share, room: room as f64 / UNIT, before }
+        ShedReason {
+            class,
+            visits,
+            restored_by: units as f64 / UNIT / share,
+            room: room as f64 / UNIT,
+            before,
+        }
     }
 
     /// A server's listed weight is its part of the planned work if it were warm: what holds a cold
--- a/crates/solver/src/steady.rs
+++ b/crates/solver/src/steady.rs
@@ -6,11 +6,11 @@
 
 use crate::answer::{Answer, WEIGHT_STEPS};
 use crate::problem::Problem;
-use crate::value::Spread;
+use crate::value::LoadDistribution;
 
 /// What changing costs, from the stated price and pace of lines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Price {
+pub struct ChangePrice {
     /// Earnings that a changed line costs, over all proxies that hold it.
     pub line: f64,
     /// So many lines may change at once.
@@ -24,12 +24,12 @@
 
 /// The weights in force, by the host's own numbers of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Keeper {
+pub struct PlanStabilizer {
     weights: BTreeMap<usize, u32>,
     let_in: Vec<f64>,
 }
 
-impl Keeper {
+impl PlanStabilizer {
     pub fn weights(&self) -> &BTreeMap<usize, u32> {
         &self.weights
     }
@@ -45,7 +45,7 @@
         problem: &Problem,
         numbers: &[usize],
         answer: &Answer,
-        price: Price,
+        price: ChangePrice,
     ) -> Vec<(usize, u32)> {
         self.take_shares(&answer.let_in);
         let new = self.scaled(numbers, &answer.weights);
@@ -54,7 +54,7 @@
         let mut now: Vec<u32> = held.iter().zip(&new).map(|(held, new)| held.unwrap_or(*new)).collect();
         let mut changed: Vec<usize> =
             (0..now.len()).filter(|place| differs(now[*place], new[*place])).collect();
-        let spread = Spread::new(problem);
+        let spread = LoadDistribution::new(problem);
         let (before, after) = (spread.loads(&now, &self.let_in), spread.loads(&new, &self.let_in));
         let moved = |place: &usize| (after[*place] - before[*place]).abs();
         changed.sort_by(|a, b| moved(b).total_cmp(&moved(a)).then(a.cmp(b)));
@@ -68,7 +68,14 @@
 
     /// How many of the changes gain most beyond what they cost; 0 if none does. Tried at one, two,
     /// four and so on, and at all.
-    fn best(&self, spread: &Spread, now: &[u32], new: &[u32], changed: &[usize], price: Price) -> usize {
+    fn best(
+        &self,
+        spread: &LoadDistribution,
+        now: &[u32],
+        new: &[u32],
+        changed: &[usize],
+        price: ChangePrice,
+    ) -> usize {
         let all = changed.len().min(price.lines_most);
         let before = spread.value(now, &self.let_in);
         let sizes = (0..).map(|power| 1_usize << power).take_while(|size| *size < all).chain([all]);
--- a/crates/solver/src/tables.rs
+++ b/crates/solver/src/tables.rs
@@ -10,7 +10,7 @@
 
 /// One table that proxies of a zone use for some classes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lane {
+pub struct TableScope {
     pub zone: usize,
     pub classes: Vec<usize>,
 }
@@ -37,7 +37,7 @@
         problem: &Problem,
         numbers: &[usize],
         answer: &Answer,
-        lanes: &[Lane],
+        lanes: &[TableScope],
         listed: &BTreeMap<usize, u32>,
         anew: bool,
     ) -> Vec<(usize, Shares)> {
@@ -64,7 +64,7 @@
     problem: &Problem,
     numbers: &[usize],
     answer: &Answer,
-    lane: &Lane,
+    lane: &TableScope,
     listed: &BTreeMap<usize, u32>,
 ) -> Shares {
     let mut parts: BTreeMap<usize, f64> = BTreeMap::new();
--- a/crates/solver/src/value.rs
+++ b/crates/solver/src/value.rs
@@ -5,7 +5,7 @@
 use crate::problem::{Problem, UNIT};
 
 /// How the visits of a problem spread; made once, for as many weights as are to be tried.
-pub struct Spread<'a> {
+pub struct LoadDistribution<'a> {
     problem: &'a Problem,
     /// Each with how steeply its lateness grows.
     groups: Vec<(Group, f64)>,
@@ -13,14 +13,14 @@
     price: f64,
 }
 
-impl<'a> Spread<'a> {
+impl<'a> LoadDistribution<'a> {
     pub fn new(problem: &'a Problem) -> Self {
         let steep = |group: Group| {
             let steep = steepness(problem, &group);
             (group, steep)
         };
         let groups = groups(problem).into_iter().map(steep).collect();
-        Spread { problem, groups, price: mean_gain(problem) }
+        LoadDistribution { problem, groups, price: mean_gain(problem) }
     }
 
     /// Work that comes to each server, in cores, where the visits let in spread over all the servers
--- a/crates/solver/tests/answers.rs
+++ b/crates/solver/tests/answers.rs
@@ -3,11 +3,11 @@
 
 mod whole;
 
-use lockcroft_solver::{Class, Fault, Problem, Server, solve};
+use lockcroft_solver::{Class, Endpoint, Problem, ProblemError, solve};
 use proptest::prelude::*;
 
-fn server(zone: usize, capacity: f64) -> Server {
-    Server { zone, capacity, warmth: 1.0, withdrawn: false }
+fn server(zone: usize, capacity: f64) -> Endpoint {
+    Endpoint { zone, capacity, warmth: 1.0, withdrawn: false }
 }
 
 fn class(work: f64, earnings: f64, demand: &[f64]) -> Class {
@@ -15,14 +15,14 @@
     Class { work, contract_time: 10.0 * work, earnings, zones: vec![], servers: None, demand }
 }
 
-fn problem(zones: usize, servers: Vec<Server>, classes: Vec<Class>) -> Problem {
+fn problem(zones: usize, servers: Vec<Endpoint>, classes: Vec<Class>) -> Problem {
     Problem { zones, servers, classes, crossing: 0.1 }
 }
 
 prop_compose! {
-    fn any_server()(zone in 0..3_usize, capacity in 1..9_u32, warmth in 0..5_u32, withdrawn in 0..8) -> Server {
+    fn any_server()(zone in 0..3_usize, capacity in 1..9_u32, warmth in 0..5_u32, withdrawn in 0..8) -> Endpoint {
         let warmth = if warmth == 0 { 0.25 } else { 1.0 };
-        Server { zone, capacity: f64::from(capacity) / 2.0, warmth, withdrawn: withdrawn == 0 }
+        Endpoint { zone, capacity: f64::from(capacity) / 2.0, warmth, withdrawn: withdrawn == 0 }
     }
 }
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_zone_lost_whole_and_a_class_with_one_server() {
-    let mut servers: Vec<Server> = (0..6).map(|i| server(i / 2, 2.0)).collect();
+    let mut servers: Vec<Endpoint> = (0..6).map(|i| server(i / 2, 2.0)).collect();
     servers[..2].iter_mut().for_each(|server| server.withdrawn = true);
     let mut bound = class(0.05, 2.0, &[4.0, 0.0, 0.0]);
     bound.servers = Some(vec![4]);
@@ -167,7 +167,7 @@
     assert_eq!(check(&|p| p.classes[0].work = 0.0), "class 0: work 0");
     assert_eq!(check(&|p| p.classes[0].demand = vec![]), "class 0: zones of demand 0");
     assert_eq!(check(&|p| p.classes[0].servers = Some(vec![3])), "class 0: no such server: 3");
-    assert_eq!(solve(&Problem { crossing: -1.0, ..sound }), Err(Fault::Crossing(-1.0)));
+    assert_eq!(solve(&Problem { crossing: -1.0, ..sound }), Err(ProblemError::Crossing(-1.0)));
 }
 
 /// All servers of a class turn cold at once: no more is let in than cold ones can do, and weights stay, so
--- a/crates/state-store/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -5,38 +5,44 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use lockcroft_state_store::{Entry, Folder, Key, Owner, Rules, ServerNote, Store, What, age, load};
+use lockcroft_state_store::{
+    AgeingRules, DirectoryStorage, EndpointNote, Entry, EntryValue, Key, Store, StoreIdentity, age, load,
+};
 use serde_json::{Value, json};
 
 const SERVERS: usize = 640;
 const TABLES: u32 = 42;
 const ROUNDS: usize = 60;
 
-fn owner() -> Owner {
-    Owner::of("p", ["a", "gen3", "look"].into_iter())
+fn owner() -> StoreIdentity {
+    StoreIdentity::of("p", ["a", "gen3", "look"].into_iter())
 }
 
 /// Everything that a pilot of 640 servers, 42 tables and two classes keeps.
 fn fleet() -> Vec<Entry> {
     let server = |i: usize| {
-        let note = ServerNote {
+        let note = EndpointNote {
             zone: ["a", "b", "c", "d"][i % 4].into(),
             kind: "gen3".into(),
             counter: Some(4),
             relief: 1.0,
-            ..ServerNote::default()
+            ..EndpointNote::default()
         };
         let name = format!("server-{i:04}");
         [
-            Entry { at_ms: 1_800_000_000_000, key: Key::Server(name.clone()), what: What::Server(note) },
-            Entry { at_ms: 1_800_000_000_000, key: Key::Size(name), what: What::Size(2.05) },
+            Entry {
+                at_ms: 1_800_000_000_000,
+                key: Key::Server(name.clone()),
+                what: EntryValue::Server(note),
+            },
+            Entry { at_ms: 1_800_000_000_000, key: Key::Size(name), what: EntryValue::Size(2.05) },
         ]
     };
     let level = |table: u32| {
         ["look", "book"].map(|class| Entry {
             at_ms: 1_800_000_000_000,
             key: Key::Level(class.into(), table),
-            what: What::Level(1.0),
+            what: EntryValue::Level(1.0),
         })
     };
     (0..SERVERS).flat_map(server).chain((0..TABLES).flat_map(level)).collect()
@@ -68,7 +74,8 @@
 
 fn main() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut store, _) = Store::open(Folder::hold(folder.path()).expect("held"), owner()).expect("opened");
+    let (mut store, _) =
+        Store::open(DirectoryStorage::hold(folder.path()).expect("held"), owner()).expect("opened");
     store.append(&fleet()).expect("written");
     store.begin().expect("begun");
     let (mut appended, mut flushed) = (vec![], vec![]);
@@ -83,11 +90,13 @@
     say("and flushed", flushed, 0);
     drop(store);
     let (mut loaded, mut aged) = (vec![], vec![]);
-    let rules = Rules { report_period: Duration::from_secs(2), warm_within: Duration::from_secs(10) };
+    let rules = AgeingRules { report_period: Duration::from_secs(2), warm_within: Duration::from_secs(10) };
     let mut bytes = 0;
     for _ in 0..ROUNDS {
         let mut state = None;
-        timed(&mut loaded, || state = Some(load(&Folder::look(folder.path()), &owner()).expect("sound")));
+        timed(&mut loaded, || {
+            state = Some(load(&DirectoryStorage::look(folder.path()), &owner()).expect("sound"))
+        });
         let state = state.expect("loaded");
         bytes = state.bytes;
         timed(&mut aged, || drop(age(&state.state, 1_800_000_060_000, &rules)));
--- a/crates/state-store/src/age.rs
+++ b/crates/state-store/src/age.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::state::{Key, ServerNote, State, What};
+use crate::state::{EndpointNote, EntryValue, Key, State};
 
 /// Half of the relief that a server lacked is given back after so many report periods, as it would have regained it.
 const RELIEF_HALF: f64 = 10.0;
@@ -21,14 +21,14 @@
 
 /// Figures of the terms that the rules rest on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct AgeingRules {
     pub report_period: Duration,
     pub warm_within: Duration,
 }
 
 /// What is still good of one server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RecalledServer {
+pub struct RecoveredEndpoint {
     pub name: String,
     pub zone: String,
     pub kind: String,
@@ -44,8 +44,8 @@
 
 /// What is still good, in the order of names.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recalled {
-    pub servers: Vec<RecalledServer>,
+pub struct RecoveredState {
+    pub servers: Vec<RecoveredEndpoint>,
     /// Class, table, share let in: only those below all.
     pub levels: Vec<(String, u32, f64)>,
     /// Cores by server.
@@ -55,8 +55,8 @@
 }
 
 /// What is good of a state by this time of the wall's clock, in milliseconds.
-pub fn age(state: &State, now_ms: u64, rules: &Rules) -> Recalled {
-    let mut recalled = Recalled::default();
+pub fn age(state: &State, now_ms: u64, rules: &AgeingRules) -> RecoveredState {
+    let mut recalled = RecoveredState::default();
     let period = rules.report_period.as_secs_f64().max(1e-3);
     for (key, (at_ms, what)) in state {
         // A clock that was set back leaves nothing to age by. A small step, as clocks make them, counts as just now.
@@ -65,15 +65,15 @@
         let since = Duration::from_millis(now_ms.saturating_sub(*at_ms));
         let periods = since.as_secs_f64() / period;
         match (key, what) {
-            (Key::Server(name), What::Server(note)) => {
+            (Key::Server(name), EntryValue::Server(note)) => {
                 recalled.servers.extend(server(name, note, now_ms, since, periods, ahead, rules));
             }
-            (Key::Level(class, table), What::Level(level)) if !ahead => {
+            (Key::Level(class, table), EntryValue::Level(level)) if !ahead => {
                 let back = 0.5_f64.powf((periods / LEVEL_STANDS - 1.0).max(0.0));
                 let level = 1.0 - (1.0 - level) * back;
                 recalled.levels.extend((level < NEARLY).then(|| (class.clone(), *table, level)));
             }
-            (Key::Size(name), What::Size(cores)) if !ahead && since < SIZE_MOST => {
+            (Key::Size(name), EntryValue::Size(cores)) if !ahead && since < SIZE_MOST => {
                 recalled.sizes.push((name.clone(), *cores));
             }
             _ => {}
@@ -84,13 +84,13 @@
 
 fn server(
     name: &str,
-    note: &ServerNote,
+    note: &EndpointNote,
     now_ms: u64,
     since: Duration,
     periods: f64,
     ahead: bool,
-    rules: &Rules,
-) -> Option<RecalledServer> {
+    rules: &AgeingRules,
+) -> Option<RecoveredEndpoint> {
     let left = |until_ms: u64| Duration::from_millis(until_ms.saturating_sub(now_ms));
     // To name one that is gone costs a line at those who hold it, whenever that was.
     let out = (note.gone || note.draining) && (ahead || since < GONE_MOST);
@@ -104,7 +104,7 @@
     let doubted = if ahead { Duration::ZERO } else { left(note.doubted_until_ms) };
     let doubted = doubted.min(rules.report_period.mul_f64(DOUBT_MOST));
     let says = out || relief < 1.0 || warming.is_some() || !doubted.is_zero();
-    says.then(|| RecalledServer {
+    says.then(|| RecoveredEndpoint {
         name: name.into(),
         zone: note.zone.clone(),
         kind: note.kind.clone(),
--- a/crates/state-store/src/disk.rs
+++ b/crates/state-store/src/disk.rs
@@ -8,7 +8,7 @@
 
 /// A folder of files by name. What was written is there after a crash once it was flushed, and a name once the folder
 /// was; before that it may be there in part.
-pub trait Disk {
+pub trait Storage {
     /// # Errors
     /// As the file system says.
     fn list(&self) -> io::Result<Vec<String>>;
@@ -36,7 +36,7 @@
 
 /// A folder of the machine, held by one writer at a time.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DirectoryStorage {
     path: PathBuf,
     /// The file that is being written, kept open.
     open: Option<(String, File)>,
@@ -47,7 +47,7 @@
 /// The file whose lock the writer holds.
 const LOCK: &str = "lock";
 
-impl Folder {
+impl DirectoryStorage {
     /// For one writer: made if it is not there, refused while another process writes in it.
     ///
     /// # Errors
@@ -56,16 +56,16 @@
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
-        Ok(Folder { path: path.into(), open: None, lock: Some(lock) })
+        Ok(DirectoryStorage { path: path.into(), open: None, lock: Some(lock) })
     }
 
     /// For those who only read, whoever writes.
     pub fn look(path: &Path) -> Self {
-        Folder { path: path.into(), open: None, lock: None }
+        DirectoryStorage { path: path.into(), open: None, lock: None }
     }
 }
 
-impl Drop for Folder {
+impl Drop for DirectoryStorage {
     /// Closing is not enough: a process that was forked meanwhile has the lock's file open until it runs
     /// its program.
     fn drop(&mut self) {
@@ -76,7 +76,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Storage for DirectoryStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         let names = fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().to_str().map(String::from)));
         let names: io::Result<Vec<Option<String>>> = names.collect();
--- a/crates/state-store/src/lib.rs
+++ b/crates/state-store/src/lib.rs
@@ -14,8 +14,8 @@
     pub use memory::*;
 }
 
-pub use age::{Recalled, RecalledServer, Rules, age};
-pub use disk::{Disk, Folder};
+pub use age::{AgeingRules, RecoveredEndpoint, RecoveredState, age};
+pub use disk::{DirectoryStorage, Storage};
 pub use frame::FORMAT;
-pub use state::{Entry, Key, Owner, ServerNote, State, What};
-pub use store::{Loaded, Refused, Store, Trouble, load, owner_of};
+pub use state::{EndpointNote, Entry, EntryValue, Key, State, StoreIdentity};
+pub use store::{LoadedState, OpenError, RecoveryError, Store, load, owner_of};
--- a/crates/state-store/src/state.rs
+++ b/crates/state-store/src/state.rs
@@ -6,13 +6,13 @@
 
 /// Whose memory it is: nothing of another pilot or another fleet is believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Owner {
+pub struct StoreIdentity {
     pub pilot: String,
     /// Digest of the names of zones, kinds and classes.
     pub fleet: u64,
 }
 
-impl Owner {
+impl StoreIdentity {
     /// From the fleet's names, in the order stated: zones, kinds, classes.
     pub fn of<'a>(pilot: &str, names: impl Iterator<Item = &'a str>) -> Self {
         let mut sum = crc32fast::Hasher::new();
@@ -20,7 +20,7 @@
             sum.update(name.as_bytes());
             sum.update(&[0]);
         }
-        Owner { pilot: pilot.into(), fleet: u64::from(sum.finalize()) }
+        StoreIdentity { pilot: pilot.into(), fleet: u64::from(sum.finalize()) }
     }
 }
 
@@ -35,7 +35,7 @@
 
 /// What was known of a server. Times in milliseconds of the wall's clock, 0 for none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ServerNote {
+pub struct EndpointNote {
     pub zone: String,
     pub kind: String,
     pub gone: bool,
@@ -48,8 +48,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    Server(ServerNote),
+pub enum EntryValue {
+    Server(EndpointNote),
     Level(f64),
     /// Cores.
     Size(f64),
@@ -60,16 +60,16 @@
 pub struct Entry {
     pub at_ms: u64,
     pub key: Key,
-    pub what: What,
+    pub what: EntryValue,
 }
 
 /// The last entry of each key.
-pub type State = BTreeMap<Key, (u64, What)>;
+pub type State = BTreeMap<Key, (u64, EntryValue)>;
 
 impl Entry {
     pub(crate) fn message(&self) -> proto::Entry {
         let what = match (&self.key, &self.what) {
-            (Key::Server(name), What::Server(note)) => proto::entry::What::Server(proto::Server {
+            (Key::Server(name), EntryValue::Server(note)) => proto::entry::What::Server(proto::Server {
                 name: name.clone(),
                 zone: note.zone.clone(),
                 kind: note.kind.clone(),
@@ -82,13 +82,13 @@
                 relief: note.relief,
                 ..Default::default()
             }),
-            (Key::Level(class, table), What::Level(level)) => proto::entry::What::Level(proto::Level {
+            (Key::Level(class, table), EntryValue::Level(level)) => proto::entry::What::Level(proto::Level {
                 class: class.clone(),
                 table: *table,
                 level: *level,
                 ..Default::default()
             }),
-            (Key::Size(server), What::Size(cores)) => proto::entry::What::Size(proto::Size {
+            (Key::Size(server), EntryValue::Size(cores)) => proto::entry::What::Size(proto::Size {
                 server: server.clone(),
                 cores: *cores,
                 ..Default::default()
@@ -103,7 +103,7 @@
         let share = |value: f64| (0.0..=1.0).contains(&value).then_some(value);
         let (key, what) = match message.what? {
             proto::entry::What::Server(server) => {
-                let note = ServerNote {
+                let note = EndpointNote {
                     zone: server.zone,
                     kind: server.kind,
                     gone: server.gone,
@@ -114,14 +114,14 @@
                     warm_ms: server.warm_ms,
                     relief: share(server.relief)?,
                 };
-                (Key::Server(server.name), What::Server(note))
+                (Key::Server(server.name), EntryValue::Server(note))
             }
             proto::entry::What::Level(level) => {
-                (Key::Level(level.class, level.table), What::Level(share(level.level)?))
+                (Key::Level(level.class, level.table), EntryValue::Level(share(level.level)?))
             }
             proto::entry::What::Size(size) => {
                 let cores = Some(size.cores).filter(|cores| cores.is_finite() && *cores > 0.0)?;
-                (Key::Size(size.server), What::Size(cores))
+                (Key::Size(size.server), EntryValue::Size(cores))
             }
         };
         Some(Entry { at_ms: message.at_ms, key, what })
--- a/crates/state-store/src/store.rs
+++ b/crates/state-store/src/store.rs
@@ -9,10 +9,10 @@
 
 use protobuf::Message;
 
-use crate::disk::Disk;
+use crate::disk::Storage;
 use crate::frame::{FORMAT, Frames, Kind, put};
 use crate::proto;
-use crate::state::{Entry, Owner, State, take};
+use crate::state::{Entry, State, StoreIdentity, take};
 
 /// A journal is closed once it is so many times as long as its snapshot, and this long at least.
 const GROWN: usize = 4;
@@ -20,7 +20,7 @@
 
 /// Why a folder's memory is left alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     /// File, its format: of a later program.
     Newer(String, u32),
     /// File, the pilot whose it is.
@@ -29,44 +29,46 @@
     OtherFleet(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for OpenError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Newer(file, format) => {
+            OpenError::Newer(file, format) => {
                 write!(out, "{file}: format {format}, up to {FORMAT} is read here")
             }
-            Refused::Foreign(file, pilot) => write!(out, "{file}: the memory of pilot {pilot:?}"),
-            Refused::OtherFleet(file) => write!(out, "{file}: of a fleet with other zones, kinds or classes"),
+            OpenError::Foreign(file, pilot) => write!(out, "{file}: the memory of pilot {pilot:?}"),
+            OpenError::OtherFleet(file) => {
+                write!(out, "{file}: of a fleet with other zones, kinds or classes")
+            }
         }
     }
 }
 
 #[derive(Debug)]
-pub enum Trouble {
-    Refused(Refused),
+pub enum RecoveryError {
+    Open(OpenError),
     Io(io::Error),
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for RecoveryError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Trouble::Refused(refused) => write!(out, "{refused}"),
-            Trouble::Io(error) => write!(out, "{error}"),
+            RecoveryError::Open(refused) => write!(out, "{refused}"),
+            RecoveryError::Io(error) => write!(out, "{error}"),
         }
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for RecoveryError {}
 
-impl From<io::Error> for Trouble {
+impl From<io::Error> for RecoveryError {
     fn from(error: io::Error) -> Self {
-        Trouble::Io(error)
+        RecoveryError::Io(error)
     }
 }
 
 /// What a folder holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Loaded {
+pub struct LoadedState {
     pub state: State,
     /// What was passed over or cut, for people.
     pub remarks: Vec<String>,
@@ -83,18 +85,18 @@
 }
 
 /// Whether the file is this owner's and of a format that is read here; none if there is no telling.
-fn own(name: &str, frames: &mut Frames, owner: &Owner) -> Result<bool, Refused> {
+fn own(name: &str, frames: &mut Frames, owner: &StoreIdentity) -> Result<bool, OpenError> {
     let header = frames.next().filter(|(kind, _)| *kind == Kind::Header as u8);
     let header = header.and_then(|(_, payload)| proto::Header::parse_from_bytes(payload).ok());
     let Some(header) = header else { return Ok(false) };
     if header.format > FORMAT {
-        return Err(Refused::Newer(name.into(), header.format));
+        return Err(OpenError::Newer(name.into(), header.format));
     }
     if header.pilot != owner.pilot {
-        return Err(Refused::Foreign(name.into(), header.pilot));
+        return Err(OpenError::Foreign(name.into(), header.pilot));
     }
     if header.fleet != owner.fleet {
-        return Err(Refused::OtherFleet(name.into()));
+        return Err(OpenError::OtherFleet(name.into()));
     }
     Ok(true)
 }
@@ -103,7 +105,7 @@
 ///
 /// # Errors
 /// As the file system says.
-pub fn owner_of(disk: &impl Disk) -> io::Result<Option<Owner>> {
+pub fn owner_of(disk: &impl Storage) -> io::Result<Option<StoreIdentity>> {
     let names = disk.list()?;
     let numbered = names.iter().filter_map(|name| {
         let number = number(name, "snapshot").or_else(|| number(name, "journal"))?;
@@ -115,7 +117,7 @@
         let bytes = disk.read(name)?;
         let first = Frames::new(&bytes).next().filter(|(kind, _)| *kind == Kind::Header as u8);
         if let Some(header) = first.and_then(|(_, payload)| proto::Header::parse_from_bytes(payload).ok()) {
-            return Ok(Some(Owner { pilot: header.pilot, fleet: header.fleet }));
+            return Ok(Some(StoreIdentity { pilot: header.pilot, fleet: header.fleet }));
         }
     }
     Ok(None)
@@ -143,9 +145,9 @@
 /// # Errors
 /// It is another's or a later program's, or as the file system says. A file that can't be read is an error, not a
 /// loss: the disk may be well again.
-pub fn load(disk: &impl Disk, owner: &Owner) -> Result<Loaded, Trouble> {
+pub fn load(disk: &impl Storage, owner: &StoreIdentity) -> Result<LoadedState, RecoveryError> {
     let names = disk.list()?;
-    let mut loaded = Loaded { files: names.len(), ..Loaded::default() };
+    let mut loaded = LoadedState { files: names.len(), ..LoadedState::default() };
     let mut journals: Vec<u64> = names.iter().filter_map(|name| number(name, "journal")).collect();
     let mut snapshots: Vec<u64> = names.iter().filter_map(|name| number(name, "snapshot")).collect();
     journals.sort_unstable();
@@ -157,7 +159,7 @@
         let bytes = disk.read(&name)?;
         loaded.bytes += bytes.len() as u64;
         let (mut frames, mut state, mut end) = (Frames::new(&bytes), State::new(), None);
-        let sound = own(&name, &mut frames, owner).map_err(Trouble::Refused)?;
+        let sound = own(&name, &mut frames, owner).map_err(RecoveryError::Open)?;
         let count = entries(&mut frames, &mut state, &mut end);
         if sound && end == Some(count) && !frames.torn() {
             (loaded.state, loaded.from, from) = (state, snapshot, Some(snapshot));
@@ -170,7 +172,7 @@
         let bytes = disk.read(&name)?;
         loaded.bytes += bytes.len() as u64;
         let (mut frames, mut end) = (Frames::new(&bytes), None);
-        let sound = own(&name, &mut frames, owner).map_err(Trouble::Refused)?;
+        let sound = own(&name, &mut frames, owner).map_err(RecoveryError::Open)?;
         if sound {
             entries(&mut frames, &mut loaded.state, &mut end);
         }
@@ -184,7 +186,7 @@
 /// The one writer.
 pub struct Store<D> {
     disk: D,
-    owner: Owner,
+    owner: StoreIdentity,
     state: State,
     number: u64,
     /// The last number that was begun to its end, which stays until another is.
@@ -196,12 +198,12 @@
     spoilt: bool,
 }
 
-impl<D: Disk> Store<D> {
+impl<D: Storage> Store<D> {
     /// Loads what is there, and begins a new number with it.
     ///
     /// # Errors
     /// It is another's or a later program's, or as the file system says.
-    pub fn open(disk: D, owner: Owner) -> Result<(Self, Loaded), Trouble> {
+    pub fn open(disk: D, owner: StoreIdentity) -> Result<(Self, LoadedState), RecoveryError> {
         let loaded = load(&disk, &owner)?;
         let mut store = Store {
             disk,
--- a/crates/state-store/tests/folder.rs
+++ b/crates/state-store/tests/folder.rs
@@ -7,39 +7,40 @@
 use std::time::Duration;
 
 use lockcroft_state_store::{
-    Entry, Folder, Key, Loaded, Owner, Refused, ServerNote, Store, Trouble, What, load,
+    DirectoryStorage, EndpointNote, Entry, EntryValue, Key, LoadedState, OpenError, RecoveryError, Store,
+    StoreIdentity, load,
 };
 
 /// In CI; `LOCKCROFT_KILLS=1000` for the figure in docs/measured.md.
 const KILLS: u64 = 100;
 const FOLDER: &str = "LOCKCROFT_TEST_FOLDER";
 
-fn owner() -> Owner {
-    Owner::of("p", ["north", "std", "look"].into_iter())
+fn owner() -> StoreIdentity {
+    StoreIdentity::of("p", ["north", "std", "look"].into_iter())
 }
 
 /// Entry `number`: it says so itself, on one of ten keys.
 fn entry(number: u64) -> Entry {
-    let note = ServerNote {
+    let note = EndpointNote {
         zone: "north".into(),
         kind: "std".into(),
         warm_ms: number,
         relief: 0.5,
-        ..ServerNote::default()
+        ..EndpointNote::default()
     };
-    Entry { at_ms: number, key: Key::Server(format!("e{}", number % 10)), what: What::Server(note) }
+    Entry { at_ms: number, key: Key::Server(format!("e{}", number % 10)), what: EntryValue::Server(note) }
 }
 
-fn open(folder: &Path) -> (Store<Folder>, Loaded) {
-    Store::open(Folder::hold(folder).expect("nobody else's"), owner()).expect("sound")
+fn open(folder: &Path) -> (Store<DirectoryStorage>, LoadedState) {
+    Store::open(DirectoryStorage::hold(folder).expect("nobody else's"), owner()).expect("sound")
 }
 
-fn look(folder: &Path) -> Result<Loaded, Trouble> {
-    load(&Folder::look(folder), &owner())
+fn look(folder: &Path) -> Result<LoadedState, RecoveryError> {
+    load(&DirectoryStorage::look(folder), &owner())
 }
 
 /// The number of the last entry; all that is there has to be of the run up to it.
-fn last(loaded: &Loaded) -> u64 {
+fn last(loaded: &LoadedState) -> u64 {
     let last = loaded.state.values().map(|(at, _)| *at).max().unwrap_or(0);
     for (key, (at, what)) in &loaded.state {
         let entry = entry(*at);
@@ -141,13 +142,18 @@
 fn another_s_memory_is_refused_and_left_as_it_is() {
     let folder = two();
     let before = look(folder.path()).expect("sound");
-    let with = |owner: Owner| match Store::open(Folder::hold(folder.path()).expect("held"), owner) {
-        Err(Trouble::Refused(refused)) => refused,
-        other => panic!("not refused: {:?}", other.map(|(_, loaded)| loaded)),
-    };
-    let pilot = with(Owner::of("q", ["north", "std", "look"].into_iter()));
-    assert_eq!(pilot, Refused::Foreign("snapshot-2".into(), "p".into()));
-    assert_eq!(with(Owner::of("p", ["south"].into_iter())), Refused::OtherFleet("snapshot-2".into()));
+    let with =
+        |owner: StoreIdentity| match Store::open(DirectoryStorage::hold(folder.path()).expect("held"), owner)
+        {
+            Err(RecoveryError::Open(refused)) => refused,
+            other => panic!("not refused: {:?}", other.map(|(_, loaded)| loaded)),
+        };
+    let pilot = with(StoreIdentity::of("q", ["north", "std", "look"].into_iter()));
+    assert_eq!(pilot, OpenError::Foreign("snapshot-2".into(), "p".into()));
+    assert_eq!(
+        with(StoreIdentity::of("p", ["south"].into_iter())),
+        OpenError::OtherFleet("snapshot-2".into())
+    );
     // A later program's: its header says so, whatever else it says.
     let mut later = fs::read(folder.path().join("snapshot-2")).expect("there");
     let payload = later[0] as usize;
@@ -158,7 +164,7 @@
     sum.update(&later[9..9 + payload]);
     later[5..9].copy_from_slice(&sum.finalize().to_le_bytes());
     fs::write(folder.path().join("snapshot-3"), later).expect("written");
-    assert_eq!(with(owner()), Refused::Newer("snapshot-3".into(), 9));
+    assert_eq!(with(owner()), OpenError::Newer("snapshot-3".into(), 9));
     fs::remove_file(folder.path().join("snapshot-3")).expect("gone");
     assert_eq!(look(folder.path()).expect("sound"), before);
 }
@@ -167,7 +173,7 @@
 fn one_writes_at_a_time_and_anybody_reads() {
     let folder = two();
     let (store, _) = open(folder.path());
-    let second = Folder::hold(folder.path()).expect_err("it is held");
+    let second = DirectoryStorage::hold(folder.path()).expect_err("it is held");
     assert_eq!(second.kind(), std::io::ErrorKind::WouldBlock);
     assert_eq!(last(&look(folder.path()).expect("readers need no lock")), 30);
     drop(store);
@@ -193,7 +199,7 @@
 #[test]
 fn files_of_the_first_format_still_load() {
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/format-1");
-    let loaded = load(&Folder::look(&fixture), &owner()).expect("sound");
+    let loaded = load(&DirectoryStorage::look(&fixture), &owner()).expect("sound");
     assert_eq!((last(&loaded), loaded.state.len(), loaded.from), (30, 10, 2));
 }
 
@@ -221,8 +227,11 @@
     let sound = fs::read(&path).expect("there");
     fs::remove_file(&path).expect("gone");
     fs::create_dir(&path).expect("a folder in its place");
-    assert!(matches!(look(folder.path()), Err(Trouble::Io(_))));
-    assert!(matches!(Store::open(Folder::hold(folder.path()).expect("held"), owner()), Err(Trouble::Io(_))));
+    assert!(matches!(look(folder.path()), Err(RecoveryError::Io(_))));
+    assert!(matches!(
+        Store::open(DirectoryStorage::hold(folder.path()).expect("held"), owner()),
+        Err(RecoveryError::Io(_))
+    ));
     fs::remove_dir(&path).expect("gone");
     fs::write(&path, sound).expect("written");
     assert_eq!(last(&look(folder.path()).expect("sound")), 30);
--- a/crates/state-store/tests/model.rs
+++ b/crates/state-store/tests/model.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_state_store::{Disk, Entry, Key, Owner, State, Store, What, load};
+use lockcroft_state_store::{Entry, EntryValue, Key, State, Storage, Store, StoreIdentity, load};
 
 /// A file: what is safe of it, and what was written.
 #[derive(Clone, Default)]
@@ -74,7 +74,7 @@
     io::Error::from(io::ErrorKind::StorageFull)
 }
 
-impl Disk for Shared {
+impl Storage for Shared {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.borrow().names.keys().cloned().collect())
     }
@@ -177,14 +177,14 @@
     found
 }
 
-fn owner() -> Owner {
-    Owner { pilot: "p".into(), fleet: 7 }
+fn owner() -> StoreIdentity {
+    StoreIdentity { pilot: "p".into(), fleet: 7 }
 }
 
 /// The entries of the run, on three keys.
 fn entry(number: u64) -> Entry {
     let key = Key::Level(format!("class-{}", number % 3), 0);
-    Entry { at_ms: number, key, what: What::Level(1.0 / (1.0 + number as f64)) }
+    Entry { at_ms: number, key, what: EntryValue::Level(1.0 / (1.0 + number as f64)) }
 }
 
 /// States after none, one, two … of the entries.
--- a/crates/table-format/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use lockcroft_runtime_api::split;
-use lockcroft_table_format::{Content, Key, Keys, Line, Table, open, read_table, seal};
+use lockcroft_table_format::{Key, KeyRing, SnapshotContent, Table, TableEntry, open, read_table, seal};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     let line = |i: usize| {
         let address =
             format!("10.{}.{}.{}:8101", i / 65_536, i / 256 % 256, i % 256).parse().expect("an address");
-        (format!("server-{i:05}"), Line { address, weight: 1 + (i % 256) as u32 })
+        (format!("server-{i:05}"), TableEntry { address, weight: 1 + (i % 256) as u32 })
     };
     Table { lines: (0..lines).map(line).collect() }
 }
@@ -44,10 +44,11 @@
 
 fn main() {
     println!("million lines a second");
-    let keys = Keys(vec![Key::new("k1", &[7; 32]).expect("long enough")]);
+    let keys = KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")]);
     for lines in [25, 600, 10_000] {
         let table = table(lines);
-        let content = Content { tables: BTreeMap::from([(0, table.clone())]), ..Content::default() };
+        let content =
+            SnapshotContent { tables: BTreeMap::from([(0, table.clone())]), ..SnapshotContent::default() };
         let generation = seal("p", 1, 1, &content, &keys);
         let file = generation.members["table-0"].bytes.clone();
         rate("file: written, sealed", lines, file.len(), || {
@@ -73,7 +74,7 @@
             black_box(serde_json::from_slice::<Vec<JsonLine>>(&json)).expect("sound");
         });
         let write = || {
-            let command = |(server, line): (&String, &Line)| {
+            let command = |(server, line): (&String, &TableEntry)| {
                 format!(
                     "add server t0/{server} {} weight {}; set server t0/{server} state ready; ",
                     line.address, line.weight
--- a/crates/table-format/src/content.rs
+++ b/crates/table-format/src/content.rs
@@ -5,20 +5,20 @@
 
 /// All that a pilot has published for proxies that read files.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Content {
+pub struct SnapshotContent {
     pub tables: BTreeMap<u32, Table>,
-    pub groups: BTreeMap<u32, Group>,
+    pub groups: BTreeMap<u32, ProxyGroup>,
     pub withdrawn: BTreeSet<String>,
 }
 
 /// Lines by server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    pub lines: BTreeMap<String, Line>,
+    pub lines: BTreeMap<String, TableEntry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct TableEntry {
     pub address: SocketAddr,
     /// From 1 to 256.
     pub weight: u32,
@@ -26,28 +26,28 @@
 
 /// Proxies on the same tables.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Group {
+pub struct ProxyGroup {
     pub proxies: BTreeSet<String>,
     /// By class.
-    pub bound: BTreeMap<String, Bound>,
+    pub bound: BTreeMap<String, ProxyAssignment>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct ProxyAssignment {
     pub table: u32,
     /// Thousandths of the visits let in.
     pub level: u32,
     pub again: bool,
 }
 
-impl Content {
+impl SnapshotContent {
     /// The group that a proxy is in.
     pub fn group_of(&self, proxy: &str) -> Option<u32> {
         self.groups.iter().find(|(_, group)| group.proxies.contains(proxy)).map(|(number, _)| *number)
     }
 
     /// Lines that differ from another's, those of withdrawals and bindings among them: what a change amounts to.
-    pub fn differs(&self, other: &Content) -> usize {
+    pub fn differs(&self, other: &SnapshotContent) -> usize {
         let none = Table::default();
         let tables: BTreeSet<&u32> = self.tables.keys().chain(other.tables.keys()).collect();
         let lines = |number: &&u32| {
--- a/crates/table-format/src/keys.rs
+++ b/crates/table-format/src/keys.rs
@@ -49,12 +49,12 @@
 
 /// The keys of one side: a writer seals with each, a reader believes any.
 #[derive(Clone, Debug, Default)]
-pub struct Keys(pub Vec<Key>);
+pub struct KeyRing(pub Vec<Key>);
 
 /// A file holds no more keys than this.
 const KEYS_MOST: usize = 8;
 
-impl Keys {
+impl KeyRing {
     /// Reads keys from a text: a line each, a name and the secret in hex; `#` begins a remark.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
         match keys.len() {
             0 => Err("no key; one line each is wanted, a name and 64 or more hex digits".into()),
             count if count > KEYS_MOST => Err(format!("{count} keys, {KEYS_MOST} at most")),
-            _ => Ok(Keys(keys)),
+            _ => Ok(KeyRing(keys)),
         }
     }
 }
--- a/crates/table-format/src/lib.rs
+++ b/crates/table-format/src/lib.rs
@@ -14,16 +14,16 @@
     pub use tables::*;
 }
 
-pub use content::{Bound, Content, Group, Line, Table};
-pub use keys::{Key, Keys};
-pub use open::{Opened, Wrong, open, read_group, read_status, read_table, read_withdrawn};
-pub use seal::{Generation, Member, seal, write_status};
+pub use content::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
+pub use keys::{Key, KeyRing};
+pub use open::{FormatError, OpenedManifest, open, read_group, read_status, read_table, read_withdrawn};
+pub use seal::{Member, SealedSnapshot, seal, write_status};
 
 /// The format that this code writes, and the only one that it reads.
 pub const FORMAT: u32 = 1;
 /// Bytes of a manifest, and of any other member, at most: a longer one is not read.
-pub const MANIFEST_MOST: u64 = 4 << 20;
-pub const MEMBER_MOST: u64 = 16 << 20;
+pub const MAX_MANIFEST_BYTES: u64 = 4 << 20;
+pub const MAX_MEMBER_BYTES: u64 = 16 << 20;
 /// Members of a generation at most.
 pub const MEMBERS_MOST: usize = 8192;
 /// Greatest weight of a line, and greatest level.
--- a/crates/table-format/src/seal.rs
+++ b/crates/table-format/src/seal.rs
@@ -5,8 +5,8 @@
 use protobuf::{Message, MessageField};
 use sha2::{Digest, Sha256};
 
-use crate::content::{Content, Group, Table};
-use crate::keys::Keys;
+use crate::content::{ProxyGroup, SnapshotContent, Table};
+use crate::keys::KeyRing;
 use crate::{FORMAT, WITHDRAWN, proto};
 
 /// A file of a generation.
@@ -18,7 +18,7 @@
 
 /// All files of a generation, by name, and the sealed manifest over them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Generation {
+pub struct SealedSnapshot {
     pub epoch: u64,
     pub version: u64,
     pub members: BTreeMap<String, Member>,
@@ -26,7 +26,13 @@
 }
 
 /// The files that say this; the same content gives the same bytes.
-pub fn seal(pilot: &str, epoch: u64, version: u64, content: &Content, keys: &Keys) -> Generation {
+pub fn seal(
+    pilot: &str,
+    epoch: u64,
+    version: u64,
+    content: &SnapshotContent,
+    keys: &KeyRing,
+) -> SealedSnapshot {
     let mut members = BTreeMap::new();
     for (number, table) in &content.tables {
         members.insert(format!("table-{number}"), member(&table_message(*number, table)));
@@ -54,7 +60,7 @@
     let seal = |key: &crate::Key| (key.name.clone(), key.sign(&manifest)).into();
     let seals = keys.0.iter().map(seal).collect();
     let manifest = bytes(&proto::Sealed { manifest: manifest.clone(), seals, ..Default::default() });
-    Generation { epoch, version, members, manifest }
+    SealedSnapshot { epoch, version, members, manifest }
 }
 
 /// A proxy's status, as bytes with their sum.
@@ -69,7 +75,7 @@
 }
 
 fn table_message(number: u32, table: &Table) -> proto::Table {
-    let line = |(server, line): (&String, &crate::Line)| proto::Line {
+    let line = |(server, line): (&String, &crate::TableEntry)| proto::Line {
         server: server.clone(),
         address: line.address.to_string(),
         weight: line.weight,
@@ -78,8 +84,8 @@
     proto::Table { number, lines: table.lines.iter().map(line).collect(), ..Default::default() }
 }
 
-fn group_message(group: &Group) -> proto::Group {
-    let bound = |(class, bound): (&String, &crate::Bound)| proto::Bound {
+fn group_message(group: &ProxyGroup) -> proto::Group {
+    let bound = |(class, bound): (&String, &crate::ProxyAssignment)| proto::Bound {
         class: class.clone(),
         table: bound.table,
         level: bound.level,
--- a/crates/table-format/tests/bytes.rs
+++ b/crates/table-format/tests/bytes.rs
@@ -3,39 +3,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lockcroft_table_format::{
-    Bound, Content, Generation, Group, Key, Keys, Line, Table, WITHDRAWN, Wrong, open, proto, read_group,
-    read_status, read_table, read_withdrawn, seal,
+    FormatError, Key, KeyRing, ProxyAssignment, ProxyGroup, SealedSnapshot, SnapshotContent, Table,
+    TableEntry, WITHDRAWN, open, proto, read_group, read_status, read_table, read_withdrawn, seal,
 };
 use proptest::prelude::*;
 use protobuf::Message;
 
-fn keys() -> Keys {
-    Keys(vec![Key::new("k1", &[7; 32]).expect("long enough")])
+fn keys() -> KeyRing {
+    KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")])
 }
 
 fn any_name() -> impl Strategy<Value = String> {
     "[a-z0-9äß/ -]{1,12}"
 }
 
-fn any_content() -> impl Strategy<Value = Content> {
+fn any_content() -> impl Strategy<Value = SnapshotContent> {
     let line = (any::<u16>(), 1..=256_u32).prop_map(|(port, weight)| {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-        Line { address, weight }
+        TableEntry { address, weight }
     });
     let table = proptest::collection::btree_map(any_name(), line, 0..6).prop_map(|lines| Table { lines });
     let bound = (0..4_u32, 0..=1000_u32, any::<bool>());
-    let bound = bound.prop_map(|(table, level, again)| Bound { table, level, again });
+    let bound = bound.prop_map(|(table, level, again)| ProxyAssignment { table, level, again });
     let group = (
         proptest::collection::btree_set(any_name(), 0..4),
         proptest::collection::btree_map(any_name(), bound, 0..3),
     );
-    let group = group.prop_map(|(proxies, bound)| Group { proxies, bound });
+    let group = group.prop_map(|(proxies, bound)| ProxyGroup { proxies, bound });
     (
         proptest::collection::btree_map(0..9_u32, table, 0..4),
         proptest::collection::btree_map(0..9_u32, group, 0..4),
         proptest::collection::btree_set(any_name(), 0..4),
     )
-        .prop_map(|(tables, groups, withdrawn)| Content { tables, groups, withdrawn })
+        .prop_map(|(tables, groups, withdrawn)| SnapshotContent { tables, groups, withdrawn })
 }
 
 /// A manifest without the seals of keys that are not known here, which say nothing: keys are turned over so.
@@ -46,9 +46,9 @@
 }
 
 /// Everything that a generation says, by opening it.
-fn read(generation: &Generation, keys: &Keys) -> Result<Content, Wrong> {
+fn read(generation: &SealedSnapshot, keys: &KeyRing) -> Result<SnapshotContent, FormatError> {
     let opened = open(&generation.manifest, keys)?;
-    let mut content = Content::default();
+    let mut content = SnapshotContent::default();
     for name in opened.members.keys() {
         let bytes = &generation.members[name].bytes;
         opened.check(name, bytes)?;
@@ -156,7 +156,7 @@
 /// The seal is the last field: a copy of all of it behind it is well-formed, and says nothing.
 #[test]
 fn a_seal_stands_once() {
-    let sound = seal("p", 1, 1, &Content::default(), &keys()).manifest;
+    let sound = seal("p", 1, 1, &SnapshotContent::default(), &keys()).manifest;
     let sealed = proto::Sealed::parse_from_bytes(&sound).expect("read");
     let with = |seal: proto::Seal| {
         let mut sealed = sealed.clone();
@@ -206,15 +206,16 @@
 
 #[test]
 fn what_differs_is_counted_by_line() {
-    let line = |weight| Line { address: "127.0.0.1:1".parse().expect("an address"), weight };
+    let line = |weight| TableEntry { address: "127.0.0.1:1".parse().expect("an address"), weight };
     let table = |weights: &[u32]| Table {
         lines: weights.iter().enumerate().map(|(i, weight)| (format!("e{i}"), line(*weight))).collect(),
     };
-    let one = Content { tables: BTreeMap::from([(1, table(&[1, 2, 3]))]), ..Content::default() };
-    let other = Content {
+    let one =
+        SnapshotContent { tables: BTreeMap::from([(1, table(&[1, 2, 3]))]), ..SnapshotContent::default() };
+    let other = SnapshotContent {
         tables: BTreeMap::from([(1, table(&[1, 5])), (2, table(&[1]))]),
         withdrawn: BTreeSet::from(["e9".to_string()]),
-        ..Content::default()
+        ..SnapshotContent::default()
     };
     assert_eq!((one.differs(&other), other.differs(&one), one.differs(&one)), (4, 4, 0));
 }
@@ -223,17 +224,20 @@
 #[test]
 fn the_worked_example() {
     let key = Key::new("k1", &(0..32).collect::<Vec<u8>>()).expect("long enough");
-    let line = Line { address: "127.0.0.1:8101".parse().expect("an address"), weight: 256 };
-    let bound = Bound { table: 3, level: 500, again: true };
-    let content = Content {
+    let line = TableEntry { address: "127.0.0.1:8101".parse().expect("an address"), weight: 256 };
+    let bound = ProxyAssignment { table: 3, level: 500, again: true };
+    let content = SnapshotContent {
         tables: BTreeMap::from([(3, Table { lines: BTreeMap::from([("e1".into(), line)]) })]),
         groups: BTreeMap::from([(
             0,
-            Group { proxies: BTreeSet::from(["r1".into()]), bound: BTreeMap::from([("look".into(), bound)]) },
+            ProxyGroup {
+                proxies: BTreeSet::from(["r1".into()]),
+                bound: BTreeMap::from([("look".into(), bound)]),
+            },
         )]),
         withdrawn: BTreeSet::from(["e9".into()]),
     };
-    let generation = seal("p", 7, 41, &content, &Keys(vec![key]));
+    let generation = seal("p", 7, 41, &content, &KeyRing(vec![key]));
     let hex = |bytes: &[u8]| {
         let rows =
             bytes.chunks(32).map(|row| row.iter().map(|byte| format!("{byte:02x}")).collect::<String>());
--- a/crates/table-store/benches/folder.rs
+++ b/crates/table-store/benches/folder.rs
@@ -5,28 +5,30 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use lockcroft_table_format::{Bound, Content, Group, Key, Keys, Line, Table, proto};
-use lockcroft_table_store::{Keep, Reader, Writer, write_status};
+use lockcroft_table_format::{
+    Key, KeyRing, ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry, proto,
+};
+use lockcroft_table_store::{RetentionPolicy, SnapshotReader, SnapshotWriter, write_status};
 
-const KEEP: Keep = Keep { generations: 4, earlier_epochs: false };
+const KEEP: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: false };
 
 /// So many tables of so many lines, with so many proxies on each.
-fn content(tables: u32, lines: usize, proxies: u32, weight: u32) -> Content {
+fn content(tables: u32, lines: usize, proxies: u32, weight: u32) -> SnapshotContent {
     let line = |table: u32| {
         move |i: usize| {
             let address =
                 format!("10.{}.{}.{}:8101", table % 256, i / 256, i % 256).parse().expect("an address");
-            (format!("server-{table}-{i}"), Line { address, weight })
+            (format!("server-{table}-{i}"), TableEntry { address, weight })
         }
     };
     let table = |number: u32| (number, Table { lines: (0..lines).map(line(number)).collect() });
     let group = |number: u32| {
-        let bound = Bound { table: number, level: 1000, again: true };
+        let bound = ProxyAssignment { table: number, level: 1000, again: true };
         let bound = ["look", "book"].map(|class| (class.to_string(), bound)).into();
         let names: BTreeSet<String> = (0..proxies).map(|i| format!("r-{number}-{i}")).collect();
-        (number, Group { proxies: names, bound })
+        (number, ProxyGroup { proxies: names, bound })
     };
-    Content {
+    SnapshotContent {
         tables: (0..tables).map(table).collect(),
         groups: (0..tables).map(group).collect::<BTreeMap<_, _>>(),
         withdrawn: BTreeSet::new(),
@@ -44,10 +46,10 @@
     let base = base.unwrap_or_else(std::env::temp_dir);
     for (tables, lines, proxies) in [(1, 15, 20), (42, 15, 20), (1, 600, 20), (1, 10_000, 20)] {
         let folder = tempfile::tempdir_in(&base).expect("a folder");
-        let keys = || Keys(vec![Key::new("k1", &[7; 32]).expect("long enough")]);
-        let mut writer = Writer::take(folder.path(), "p", keys()).expect("taken");
-        let mut readers: Vec<Reader> = (0..8)
-            .map(|i| Reader::new(folder.path(), &format!("r-{}-{i}", tables - 1), keys(), None))
+        let keys = || KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")]);
+        let mut writer = SnapshotWriter::take(folder.path(), "p", keys()).expect("taken");
+        let mut readers: Vec<SnapshotReader> = (0..8)
+            .map(|i| SnapshotReader::new(folder.path(), &format!("r-{}-{i}", tables - 1), keys(), None))
             .collect();
         println!("{tables} tables of {lines} lines, {proxies} proxies on each");
         let (mut wrote, mut first, mut looked, mut idle, mut told) = (vec![], vec![], vec![], vec![], vec![]);
--- a/crates/table-store/src/find.rs
+++ b/crates/table-store/src/find.rs
@@ -1,14 +1,16 @@
 //! A generation read whole, by those who are no proxy.
 
-use lockcroft_table_format::{Content, Keys, WITHDRAWN, Wrong, read_group, read_table, read_withdrawn};
+use lockcroft_table_format::{
+    FormatError, KeyRing, SnapshotContent, WITHDRAWN, read_group, read_table, read_withdrawn,
+};
 
-use crate::layout::{Epoch, Layout, Version};
+use crate::layout::{Epoch, StoreLayout, Version};
 use crate::reader::{manifest, member};
 
 /// All of a sound generation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
-    pub content: Content,
+pub struct LoadedSnapshot {
+    pub content: SnapshotContent,
     pub pilot: String,
     /// The key that vouches for it.
     pub key: String,
@@ -18,11 +20,16 @@
 
 /// # Errors
 /// What of it is not sound.
-pub fn find(layout: &Layout, epoch: Epoch, version: Version, keys: &Keys) -> Result<Found, String> {
+pub fn find(
+    layout: &StoreLayout,
+    epoch: Epoch,
+    version: Version,
+    keys: &KeyRing,
+) -> Result<LoadedSnapshot, String> {
     let folder = layout.generation(epoch, version);
     let (opened, mut sum) = manifest(layout, epoch, version, keys)?;
-    let said = |wrong: Wrong| wrong.to_string();
-    let mut content = Content::default();
+    let said = |wrong: FormatError| wrong.to_string();
+    let mut content = SnapshotContent::default();
     for name in opened.members.keys() {
         let bytes = member(&folder, &opened, name)?;
         sum += bytes.len() as u64;
@@ -35,5 +42,5 @@
             content.tables.insert(number, table);
         }
     }
-    Ok(Found { content, pilot: opened.pilot, key: opened.key, bytes: sum })
+    Ok(LoadedSnapshot { content, pilot: opened.pilot, key: opened.key, bytes: sum })
 }
--- a/crates/table-store/src/follow.rs
+++ b/crates/table-store/src/follow.rs
@@ -6,7 +6,7 @@
 
 /// What a proxy has laid, by its own account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Follow {
+pub struct SnapshotSelector {
     /// The newest that it has laid; after a start, by what it wrote down.
     floor: (Epoch, Version),
     /// Whether anything was laid since the start.
@@ -15,7 +15,7 @@
 
 /// What to do with a generation that is sound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SnapshotDecision {
     Lay,
     /// It is laid already.
     Stands,
@@ -23,18 +23,18 @@
     Old,
 }
 
-impl Follow {
+impl SnapshotSelector {
     /// After a start: nothing is laid, and nothing older than this will be.
     pub fn from(floor: Option<(Epoch, Version)>) -> Self {
-        Follow { floor: floor.unwrap_or_default(), laid: false }
+        SnapshotSelector { floor: floor.unwrap_or_default(), laid: false }
     }
 
-    pub fn consider(&self, epoch: Epoch, version: Version) -> Verdict {
+    pub fn consider(&self, epoch: Epoch, version: Version) -> SnapshotDecision {
         match (epoch, version).cmp(&self.floor) {
-            std::cmp::Ordering::Greater => Verdict::Lay,
-            std::cmp::Ordering::Equal if self.laid => Verdict::Stands,
-            std::cmp::Ordering::Equal => Verdict::Lay,
-            std::cmp::Ordering::Less => Verdict::Old,
+            std::cmp::Ordering::Greater => SnapshotDecision::Lay,
+            std::cmp::Ordering::Equal if self.laid => SnapshotDecision::Stands,
+            std::cmp::Ordering::Equal => SnapshotDecision::Lay,
+            std::cmp::Ordering::Less => SnapshotDecision::Old,
         }
     }
 
--- a/crates/table-store/src/keep.rs
+++ b/crates/table-store/src/keep.rs
@@ -4,7 +4,7 @@
 
 /// How much stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keep {
+pub struct RetentionPolicy {
     /// Generations of the writer's own epoch, the current one among them; 2 at least, as readers may be in
     /// the midst of the one before.
     pub generations: usize,
@@ -16,7 +16,7 @@
 /// What may go, of what there is in the writer's epoch and before it: generations of its own, and whole epochs.
 /// What is not this writer's to judge, a later epoch, stays.
 pub fn outdated(
-    keep: Keep,
+    keep: RetentionPolicy,
     epoch: Epoch,
     current: Version,
     versions: &[Version],
--- a/crates/table-store/src/keyfile.rs
+++ b/crates/table-store/src/keyfile.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-use lockcroft_table_format::Keys;
+use lockcroft_table_format::KeyRing;
 
 /// Bytes of a key file at most.
 const MOST: u64 = 64 << 10;
@@ -14,7 +14,7 @@
 
 /// # Errors
 /// File, what is wrong and what is allowed: not there, open to others, or no keys.
-pub fn read_keys(path: &Path) -> Result<Keys, String> {
+pub fn read_keys(path: &Path) -> Result<KeyRing, String> {
     let wrong = |wrong: String| format!("{}: {wrong}", path.display());
     let mut file = File::open(path).map_err(|e| wrong(e.to_string()))?;
     // Of the file that is open, so that nobody swaps it in between.
@@ -28,5 +28,5 @@
     }
     let mut text = String::new();
     file.read_to_string(&mut text).map_err(|e| wrong(e.to_string()))?;
-    Keys::read(&text).map_err(wrong)
+    KeyRing::read(&text).map_err(wrong)
 }
--- a/crates/table-store/src/layout.rs
+++ b/crates/table-store/src/layout.rs
@@ -8,11 +8,11 @@
 
 /// Where things stand in a folder of generations.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Layout(pub PathBuf);
+pub struct StoreLayout(pub PathBuf);
 
-impl Layout {
+impl StoreLayout {
     pub fn new(folder: &Path) -> Self {
-        Layout(folder.into())
+        StoreLayout(folder.into())
     }
 
     pub fn epoch(&self, epoch: Epoch) -> PathBuf {
--- a/crates/table-store/src/lib.rs
+++ b/crates/table-store/src/lib.rs
@@ -20,11 +20,11 @@
 mod status;
 mod writer;
 
-pub use find::{Found, find};
-pub use follow::{Follow, Verdict};
-pub use keep::{Keep, outdated};
+pub use find::{LoadedSnapshot, find};
+pub use follow::{SnapshotDecision, SnapshotSelector};
+pub use keep::{RetentionPolicy, outdated};
 pub use keyfile::read_keys;
-pub use layout::{Epoch, Layout, Version};
-pub use reader::{Looked, Mine, Reader, Refusal};
-pub use status::{Statuses, write_status};
-pub use writer::{WriteError, Writer, Written};
+pub use layout::{Epoch, StoreLayout, Version};
+pub use reader::{AppliedSnapshot, RejectedSnapshot, ScanResult, SnapshotReader};
+pub use status::{StatusReader, write_status};
+pub use writer::{SnapshotWriter, WriteError, WrittenSnapshot};
--- a/crates/table-store/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -6,28 +6,28 @@
 use std::path::Path;
 
 use lockcroft_table_format::{
-    Bound, Group, Keys, MANIFEST, MANIFEST_MOST, MEMBER_MOST, Opened, Table, WITHDRAWN, open, read_group,
-    read_table, read_withdrawn,
+    KeyRing, MANIFEST, MAX_MANIFEST_BYTES, MAX_MEMBER_BYTES, OpenedManifest, ProxyAssignment, ProxyGroup,
+    Table, WITHDRAWN, open, read_group, read_table, read_withdrawn,
 };
 
-use crate::follow::{Follow, Verdict};
-use crate::layout::{Epoch, Layout, Version};
+use crate::follow::{SnapshotDecision, SnapshotSelector};
+use crate::layout::{Epoch, StoreLayout, Version};
 
 /// What a generation says for one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Mine {
+pub struct AppliedSnapshot {
     pub epoch: Epoch,
     pub version: Version,
     /// By class, with the tables that they name. None are named where its pilot has not put the proxy on any yet:
     /// it keeps what it holds.
-    pub bound: BTreeMap<String, Bound>,
+    pub bound: BTreeMap<String, ProxyAssignment>,
     pub tables: BTreeMap<u32, Table>,
     pub withdrawn: BTreeSet<String>,
 }
 
 /// A generation that was not believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct RejectedSnapshot {
     pub epoch: Epoch,
     pub version: Version,
     pub why: String,
@@ -35,33 +35,33 @@
 
 /// What one look gave.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Looked {
+pub struct ScanResult {
     /// To be laid, oldest first: after a start, tables of an earlier epoch may come before withdrawals of this one.
-    pub lay: Vec<Mine>,
-    pub refused: Vec<Refusal>,
+    pub lay: Vec<AppliedSnapshot>,
+    pub refused: Vec<RejectedSnapshot>,
 }
 
 /// Follows a folder for one proxy.
-pub struct Reader {
-    layout: Layout,
-    keys: Keys,
+pub struct SnapshotReader {
+    layout: StoreLayout,
+    keys: KeyRing,
     proxy: String,
-    follow: Follow,
+    follow: SnapshotSelector,
     /// The generation that was looked at last, if there was nothing wrong with it.
     seen: Option<(Epoch, Version)>,
     /// Members as they were read, by name, with their digests.
-    groups: BTreeMap<String, ([u8; 32], Group)>,
+    groups: BTreeMap<String, ([u8; 32], ProxyGroup)>,
     tables: BTreeMap<String, ([u8; 32], Table)>,
 }
 
-impl Reader {
+impl SnapshotReader {
     /// Nothing older than `floor` is laid.
-    pub fn new(folder: &Path, proxy: &str, keys: Keys, floor: Option<(Epoch, Version)>) -> Self {
-        Reader {
-            layout: Layout::new(folder),
+    pub fn new(folder: &Path, proxy: &str, keys: KeyRing, floor: Option<(Epoch, Version)>) -> Self {
+        SnapshotReader {
+            layout: StoreLayout::new(folder),
             keys,
             proxy: proxy.into(),
-            follow: Follow::from(floor),
+            follow: SnapshotSelector::from(floor),
             seen: None,
             groups: BTreeMap::new(),
             tables: BTreeMap::new(),
@@ -69,7 +69,7 @@
     }
 
     /// Keys that were turned over.
-    pub fn turn_over(&mut self, keys: Keys) {
+    pub fn turn_over(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// The folder can't be read.
-    pub fn look(&mut self) -> io::Result<Looked> {
+    pub fn look(&mut self) -> io::Result<ScanResult> {
         let epochs = self.layout.epochs()?;
         let looked = if self.follow.stands() { self.go_on(&epochs) } else { self.start(&epochs) };
         if let Some(last) = looked.lay.last() {
@@ -88,22 +88,22 @@
     }
 
     /// The first sound one decides, and lower epochs are not looked at: what is held is better than what is older.
-    fn go_on(&mut self, epochs: &[Epoch]) -> Looked {
-        let mut looked = Looked::default();
+    fn go_on(&mut self, epochs: &[Epoch]) -> ScanResult {
+        let mut looked = ScanResult::default();
         for epoch in epochs {
             let Some(version) = self.layout.current_version(*epoch) else { continue };
             if self.seen == Some((*epoch, version)) {
                 break;
             }
-            let refuse = |why: String| Refusal { epoch: *epoch, version, why };
+            let refuse = |why: String| RejectedSnapshot { epoch: *epoch, version, why };
             match (self.read(*epoch, version), self.follow.consider(*epoch, version)) {
                 (Err(why), _) => looked.refused.push(refuse(why)),
-                (Ok(mine), Verdict::Lay) => {
+                (Ok(mine), SnapshotDecision::Lay) => {
                     looked.lay.push(mine);
                     break;
                 }
-                (Ok(_), Verdict::Stands) => break,
-                (Ok(_), Verdict::Old) => {
+                (Ok(_), SnapshotDecision::Stands) => break,
+                (Ok(_), SnapshotDecision::Old) => {
                     // Of several only the one that would be the newest is worth telling.
                     if looked.refused.is_empty() {
                         looked.refused.push(refuse(self.follow.older()));
@@ -117,21 +117,21 @@
 
     /// After a start: the last good generation, in its epoch whatever the link says, and not older than what was laid
     /// before the start if there is any other.
-    fn start(&mut self, epochs: &[Epoch]) -> Looked {
-        let (mut looked, mut old) = (Looked::default(), None);
+    fn start(&mut self, epochs: &[Epoch]) -> ScanResult {
+        let (mut looked, mut old) = (ScanResult::default(), None);
         for epoch in epochs {
             let Some(current) = self.layout.current_version(*epoch) else { continue };
             let others = self.layout.versions(*epoch).unwrap_or_default();
             let others = others.into_iter().filter(|version| *version != current);
             for version in std::iter::once(current).chain(others) {
-                let refuse = |why: String| Refusal { epoch: *epoch, version, why };
+                let refuse = |why: String| RejectedSnapshot { epoch: *epoch, version, why };
                 match (self.read(*epoch, version), self.follow.consider(*epoch, version)) {
                     (Err(why), _) => looked.refused.push(refuse(why)),
-                    (Ok(mine), Verdict::Lay | Verdict::Stands) => {
+                    (Ok(mine), SnapshotDecision::Lay | SnapshotDecision::Stands) => {
                         self.begin_with(mine, &mut looked);
                         return looked;
                     }
-                    (Ok(mine), Verdict::Old) => {
+                    (Ok(mine), SnapshotDecision::Old) => {
                         looked.refused.push(refuse(self.follow.older()));
                         old.get_or_insert(mine);
                     }
@@ -144,7 +144,7 @@
         looked
     }
 
-    fn begin_with(&mut self, mine: Mine, looked: &mut Looked) {
+    fn begin_with(&mut self, mine: AppliedSnapshot, looked: &mut ScanResult) {
         if mine.bound.is_empty() {
             self.earlier(mine.epoch, &mine, looked);
         }
@@ -152,7 +152,7 @@
     }
 
     /// A pilot that has put the proxy on no table yet: those of the one before it stand.
-    fn earlier(&mut self, epoch: Epoch, mine: &Mine, looked: &mut Looked) {
+    fn earlier(&mut self, epoch: Epoch, mine: &AppliedSnapshot, looked: &mut ScanResult) {
         let epochs = self.layout.epochs().unwrap_or_default();
         for before in epochs.into_iter().filter(|before| *before < epoch) {
             let Some(version) = self.layout.current_version(before) else { continue };
@@ -167,10 +167,10 @@
 
     /// # Errors
     /// Why it is not believed.
-    fn read(&mut self, epoch: Epoch, version: Version) -> Result<Mine, String> {
+    fn read(&mut self, epoch: Epoch, version: Version) -> Result<AppliedSnapshot, String> {
         let folder = self.layout.generation(epoch, version);
         let (opened, _) = manifest(&self.layout, epoch, version, &self.keys)?;
-        let mut mine = Mine { epoch, version, ..Mine::default() };
+        let mut mine = AppliedSnapshot { epoch, version, ..AppliedSnapshot::default() };
         let withdrawn = member(&folder, &opened, WITHDRAWN)?;
         mine.withdrawn = read_withdrawn(&withdrawn).map_err(|wrong| wrong.to_string())?;
         let Some(group) = self.group(&folder, &opened)? else { return Ok(mine) };
@@ -186,14 +186,14 @@
     }
 
     /// The group that names the proxy: of those that did not change, what was read before.
-    fn group(&mut self, folder: &Path, opened: &Opened) -> Result<Option<Group>, String> {
+    fn group(&mut self, folder: &Path, opened: &OpenedManifest) -> Result<Option<ProxyGroup>, String> {
         for (name, (_, digest)) in opened.members.iter().filter(|(name, _)| name.starts_with("group-")) {
             if self.groups.get(name).is_none_or(|(known, _)| known != digest) {
                 let bytes = member(folder, opened, name)?;
                 let mut group = read_group(name, &bytes).map_err(|wrong| wrong.to_string())?;
                 // Of the other groups only that they are others is kept.
                 if !group.proxies.contains(&self.proxy) {
-                    group = Group::default();
+                    group = ProxyGroup::default();
                 }
                 self.groups.insert(name.clone(), (*digest, group));
             }
@@ -205,7 +205,7 @@
         Ok(None)
     }
 
-    fn table(&mut self, folder: &Path, opened: &Opened, number: u32) -> Result<Table, String> {
+    fn table(&mut self, folder: &Path, opened: &OpenedManifest, number: u32) -> Result<Table, String> {
         let name = format!("table-{number}");
         let (_, digest) =
             opened.members.get(&name).ok_or_else(|| format!("{name}: named by a group and not there"))?;
@@ -226,12 +226,12 @@
 
 /// The manifest of a generation that stands where it belongs, and how many bytes it has.
 pub(crate) fn manifest(
-    layout: &Layout,
+    layout: &StoreLayout,
     epoch: Epoch,
     version: Version,
-    keys: &Keys,
-) -> Result<(Opened, u64), String> {
-    let bytes = read_most(&layout.generation(epoch, version).join(MANIFEST), MANIFEST_MOST)?;
+    keys: &KeyRing,
+) -> Result<(OpenedManifest, u64), String> {
+    let bytes = read_most(&layout.generation(epoch, version).join(MANIFEST), MAX_MANIFEST_BYTES)?;
     let opened = open(&bytes, keys).map_err(|wrong| wrong.to_string())?;
     if (opened.epoch, opened.version) != (epoch, version) {
         return Err(format!("a copy of epoch {}, version {}", opened.epoch, opened.version));
@@ -239,8 +239,8 @@
     Ok((opened, bytes.len() as u64))
 }
 
-pub(crate) fn member(folder: &Path, opened: &Opened, name: &str) -> Result<Vec<u8>, String> {
-    let bytes = read_most(&folder.join(name), MEMBER_MOST)?;
+pub(crate) fn member(folder: &Path, opened: &OpenedManifest, name: &str) -> Result<Vec<u8>, String> {
+    let bytes = read_most(&folder.join(name), MAX_MEMBER_BYTES)?;
     opened.check(name, &bytes).map_err(|wrong| wrong.to_string())?;
     Ok(bytes)
 }
--- a/crates/table-store/src/status.rs
+++ b/crates/table-store/src/status.rs
@@ -10,7 +10,7 @@
 use lockcroft_table_format::proto::Status;
 use lockcroft_table_format::read_status;
 
-use crate::layout::Layout;
+use crate::layout::StoreLayout;
 use crate::reader::read_most;
 
 /// Bytes of a status at most.
@@ -37,7 +37,7 @@
         );
         return Err(io::Error::new(io::ErrorKind::InvalidInput, wrong));
     }
-    let own = Layout::new(folder).status();
+    let own = StoreLayout::new(folder).status();
     let place = own.join(&status.proxy);
     let bytes = lockcroft_table_format::write_status(status);
     let write = || -> io::Result<()> {
@@ -60,7 +60,7 @@
 
 /// Reads the statuses of a folder's proxies, and only those that changed since the last look.
 #[derive(Default)]
-pub struct Statuses {
+pub struct StatusReader {
     seen: BTreeMap<String, Seen>,
 }
 
@@ -70,13 +70,13 @@
     said: Status,
 }
 
-impl Statuses {
+impl StatusReader {
     /// Statuses that changed, by proxy; what is no status is left out until it changes.
     ///
     /// # Errors
     /// The folder can't be read; there being none yet is no error.
     pub fn look(&mut self, folder: &Path) -> io::Result<Vec<Status>> {
-        let own = Layout::new(folder).status();
+        let own = StoreLayout::new(folder).status();
         let entries = match fs::read_dir(&own) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
             entries => entries?,
@@ -110,7 +110,7 @@
 
     /// The status of one proxy, as it stands.
     pub fn of(folder: &Path, proxy: &str) -> Option<Status> {
-        let path = Layout::new(folder).status().join(proxy);
+        let path = StoreLayout::new(folder).status().join(proxy);
         read_status(&read_most(&path, MOST).ok()?)
             .ok()
             .filter(|status| is_name(proxy) && status.proxy == proxy)
--- a/crates/table-store/src/writer.rs
+++ b/crates/table-store/src/writer.rs
@@ -7,17 +7,17 @@
 use std::os::unix::fs::symlink;
 use std::path::Path;
 
-use lockcroft_table_format::{Content, Generation, Keys, MANIFEST, seal};
+use lockcroft_table_format::{KeyRing, MANIFEST, SealedSnapshot, SnapshotContent, seal};
 
-use crate::keep::{Keep, outdated};
-use crate::layout::{Epoch, Layout, Version};
+use crate::keep::{RetentionPolicy, outdated};
+use crate::layout::{Epoch, StoreLayout, Version};
 
 /// Files are written and flushed by so many threads at once: most of the time is the disk's.
 const HANDS: usize = 8;
 
 /// What one generation cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Written {
+pub struct WrittenSnapshot {
     pub epoch: Epoch,
     pub version: Version,
     /// Files written, files linked as they did not change, and bytes written.
@@ -53,10 +53,10 @@
 
 /// The one writer of an epoch.
 #[derive(Debug)]
-pub struct Writer {
-    layout: Layout,
+pub struct SnapshotWriter {
+    layout: StoreLayout,
     pilot: String,
-    keys: Keys,
+    keys: KeyRing,
     epoch: Epoch,
     /// The generation that is current, and the last that was begun: a number is not used again.
     version: Version,
@@ -65,13 +65,13 @@
     last: BTreeMap<String, [u8; 32]>,
 }
 
-impl Writer {
+impl SnapshotWriter {
     /// Takes the next epoch: the folder of an epoch is made by one alone.
     ///
     /// # Errors
     /// The folder is not there, or can't be written to.
-    pub fn take(folder: &Path, pilot: &str, keys: Keys) -> io::Result<Self> {
-        let layout = Layout::new(folder);
+    pub fn take(folder: &Path, pilot: &str, keys: KeyRing) -> io::Result<Self> {
+        let layout = StoreLayout::new(folder);
         let mut epoch = layout.epochs()?.first().copied().unwrap_or(0) + 1;
         while let Err(error) = fs::create_dir(layout.epoch(epoch)) {
             if error.kind() != io::ErrorKind::AlreadyExists {
@@ -80,7 +80,15 @@
             epoch += 1;
         }
         flush(folder)?;
-        Ok(Writer { layout, pilot: pilot.into(), keys, epoch, version: 0, begun: 0, last: BTreeMap::new() })
+        Ok(SnapshotWriter {
+            layout,
+            pilot: pilot.into(),
+            keys,
+            epoch,
+            version: 0,
+            begun: 0,
+            last: BTreeMap::new(),
+        })
     }
 
     pub fn epoch(&self) -> Epoch {
@@ -92,7 +100,7 @@
     }
 
     /// Keys that were turned over: the next generation is sealed with these.
-    pub fn turn_over(&mut self, keys: Keys) {
+    pub fn turn_over(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
@@ -100,7 +108,11 @@
     ///
     /// # Errors
     /// Another has taken over, or as the file system says.
-    pub fn write(&mut self, content: &Content, keep: Keep) -> Result<Written, WriteError> {
+    pub fn write(
+        &mut self,
+        content: &SnapshotContent,
+        keep: RetentionPolicy,
+    ) -> Result<WrittenSnapshot, WriteError> {
         self.still_first()?;
         self.begun += 1;
         let version = self.begun;
@@ -135,7 +147,7 @@
     }
 
     /// Everything beside what is current, flushed; then two renames, of which the second makes it so.
-    fn lay(&self, generation: &Generation) -> io::Result<Written> {
+    fn lay(&self, generation: &SealedSnapshot) -> io::Result<WrittenSnapshot> {
         let (own, new) = (self.layout.epoch(self.epoch), self.new_folder());
         match fs::remove_dir_all(&new) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -143,7 +155,8 @@
         }
         fs::create_dir(&new)?;
         let before = self.layout.generation(self.epoch, self.version);
-        let mut written = Written { epoch: self.epoch, version: generation.version, ..Written::default() };
+        let mut written =
+            WrittenSnapshot { epoch: self.epoch, version: generation.version, ..WrittenSnapshot::default() };
         let mut files: Vec<(&str, &[u8])> = vec![(MANIFEST, &generation.manifest)];
         for (name, member) in &generation.members {
             if self.last.get(name) == Some(&member.digest) {
@@ -172,7 +185,7 @@
     }
 
     /// What can't be taken away now is tried again with the next generation.
-    fn prune(&self, keep: Keep) {
+    fn prune(&self, keep: RetentionPolicy) {
         let versions = self.layout.versions(self.epoch).unwrap_or_default();
         let epochs = self.layout.epochs().unwrap_or_default();
         let (versions, epochs) = outdated(keep, self.epoch, self.version, &versions, &epochs);
--- a/crates/table-store/tests/folder/faults.rs
+++ b/crates/table-store/tests/folder/faults.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use lockcroft_table_format::{MANIFEST, MANIFEST_MOST};
-use lockcroft_table_store::{WriteError, Writer};
+use lockcroft_table_format::{MANIFEST, MAX_MANIFEST_BYTES};
+use lockcroft_table_store::{SnapshotWriter, WriteError};
 use rustix::process::{Resource, Rlimit, setrlimit};
 
 use crate::stage::*;
@@ -100,7 +100,7 @@
     let file = fs::File::create(second.join(MANIFEST)).expect("made");
     file.set_len(1 << 40).expect("a sparse file");
     let why = refused(folder.path()).expect("refused");
-    assert_eq!(why, format!("manifest: over {MANIFEST_MOST} bytes"));
+    assert_eq!(why, format!("manifest: over {MAX_MANIFEST_BYTES} bytes"));
 }
 
 fn child(name: &str, folder: &Path) -> Command {
@@ -187,7 +187,7 @@
 fn a_folder_that_is_not_there_is_no_epoch() {
     let folder = tempfile::tempdir().expect("a folder");
     let missing = folder.path().join("none");
-    assert!(Writer::take(&missing, "p", keys()).is_err());
+    assert!(SnapshotWriter::take(&missing, "p", keys()).is_err());
     assert!(reader(&missing, "r0").look().is_err());
     let mut writer = writer(folder.path());
     fs::remove_dir_all(folder.path().join("e1")).expect("gone");
--- a/crates/table-store/tests/folder/follow.rs
+++ b/crates/table-store/tests/folder/follow.rs
@@ -3,8 +3,11 @@
 use std::fs;
 use std::path::Path;
 
-use lockcroft_table_format::{Content, Key, Keys, proto};
-use lockcroft_table_store::{Keep, Reader, Statuses, WriteError, Writer, outdated, read_keys, write_status};
+use lockcroft_table_format::{Key, KeyRing, SnapshotContent, proto};
+use lockcroft_table_store::{
+    RetentionPolicy, SnapshotReader, SnapshotWriter, StatusReader, WriteError, outdated, read_keys,
+    write_status,
+};
 
 use crate::stage::*;
 
@@ -35,8 +38,8 @@
     assert_eq!(look(&mut before), (Some(1), vec![]));
     // The next pilot has put nobody on a table yet, and bars a server at once.
     let mut next = writer(folder.path());
-    let bare = Content { withdrawn: ["w2".to_string()].into(), ..Content::default() };
-    next.write(&bare, Keep { earlier_epochs: true, ..KEEP }).expect("written");
+    let bare = SnapshotContent { withdrawn: ["w2".to_string()].into(), ..SnapshotContent::default() };
+    next.write(&bare, RetentionPolicy { earlier_epochs: true, ..KEEP }).expect("written");
     let looked = before.look().expect("there");
     assert!(looked.lay[0].bound.is_empty() && looked.lay[0].withdrawn.contains("w2"), "{looked:?}");
     // One that starts now finds its tables with the pilot before, and both pilots' withdrawals.
@@ -61,7 +64,7 @@
     let mut second = writer(folder.path());
     assert_eq!((paused.epoch(), second.epoch()), (1, 2));
     assert!(matches!(paused.write(&content(9, 3), KEEP), Err(WriteError::Fenced(2))));
-    second.write(&content(2, 3), Keep { earlier_epochs: true, ..KEEP }).expect("written");
+    second.write(&content(2, 3), RetentionPolicy { earlier_epochs: true, ..KEEP }).expect("written");
     assert_eq!(look(&mut reader), (Some(2), vec![]));
     // Had it been paused behind its last look, its rename would come now: in its own epoch, where nobody looks.
     copy(&folder.path().join("e2/g1"), &folder.path().join("e1/g7"));
@@ -73,7 +76,7 @@
 #[test]
 fn epochs_are_taken_by_one_alone() {
     let folder = tempfile::tempdir().expect("a folder");
-    let take = || Writer::take(folder.path(), "p", keys()).expect("an epoch").epoch();
+    let take = || SnapshotWriter::take(folder.path(), "p", keys()).expect("an epoch").epoch();
     let mut taken: Vec<u64> = std::thread::scope(|scope| {
         let hands: Vec<_> =
             (0..16).map(|_| scope.spawn(|| (0..10).map(|_| take()).collect::<Vec<_>>())).collect();
@@ -109,13 +112,13 @@
     swap("g4").expect("swapped");
     assert_eq!(look(&mut reader), (None, vec!["a copy of epoch 1, version 2".into()]));
     // After a start what was laid is known from the status, and the newest sound one is found beside the link.
-    let mut anew = Reader::new(folder.path(), "r0", keys(), Some((1, 3)));
+    let mut anew = SnapshotReader::new(folder.path(), "r0", keys(), Some((1, 3)));
     swap("g2").expect("swapped");
     let (laid, refused) = look(&mut anew);
     assert_eq!((laid, refused.len()), (Some(3), 2), "{refused:?}");
     // Where nothing newer is left, an old one is better than none.
     fs::remove_dir_all(folder.path().join("e1/g3")).expect("gone");
-    let mut anew = Reader::new(folder.path(), "r0", keys(), Some((1, 3)));
+    let mut anew = SnapshotReader::new(folder.path(), "r0", keys(), Some((1, 3)));
     assert_eq!(look(&mut anew).0, Some(2));
 }
 
@@ -125,11 +128,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let key = |name: &str, byte: u8| Key::new(name, &[byte; 32]).expect("long enough");
     let (old, new) = (key("k1", 7), key("k2", 9));
-    let both = || Keys(vec![old.clone(), new.clone()]);
+    let both = || KeyRing(vec![old.clone(), new.clone()]);
     let mut writer = writer(folder.path());
     let mut lagging = reader(folder.path(), "r0");
-    let mut early = Reader::new(folder.path(), "r1", both(), None);
-    let steps = [keys(), both(), Keys(vec![new.clone()])];
+    let mut early = SnapshotReader::new(folder.path(), "r1", both(), None);
+    let steps = [keys(), both(), KeyRing(vec![new.clone()])];
     for (stamp, keys) in (1..).zip(steps) {
         writer.turn_over(keys);
         writer.write(&content(stamp, 3), KEEP).expect("written");
@@ -174,9 +177,9 @@
 
 #[test]
 fn what_stays_and_what_goes() {
-    let keep = Keep { generations: 3, earlier_epochs: false };
+    let keep = RetentionPolicy { generations: 3, earlier_epochs: false };
     assert_eq!(outdated(keep, 5, 9, &[10, 9, 8, 7, 6], &[7, 5, 4, 2]), (vec![6], vec![4, 2]));
-    let keep = Keep { generations: 0, earlier_epochs: true };
+    let keep = RetentionPolicy { generations: 0, earlier_epochs: true };
     assert_eq!(
         outdated(keep, 5, 9, &[9, 8, 7], &[5, 4]),
         (vec![7], vec![]),
@@ -187,7 +190,7 @@
 #[test]
 fn statuses_are_read_as_they_change() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut statuses = Statuses::default();
+    let mut statuses = StatusReader::default();
     assert!(statuses.look(folder.path()).expect("none yet").is_empty());
     let mut status = proto::Status::of("r-1.a");
     write_status(folder.path(), &status).expect("written");
@@ -196,7 +199,7 @@
     status.refused = Some((3, 4, "torn".to_string()).into()).into();
     write_status(folder.path(), &status).expect("written");
     assert_eq!(statuses.look(folder.path()).expect("there"), [status.clone()]);
-    assert_eq!(Statuses::of(folder.path(), "r-1.a"), Some(status));
+    assert_eq!(StatusReader::of(folder.path(), "r-1.a"), Some(status));
     fs::write(folder.path().join("status/r2"), b"\xff\xff\xff").expect("written");
     assert!(statuses.look(folder.path()).expect("there").is_empty(), "what is no status is left out");
     for name in ["", "..", "a/b", ".hidden"] {
@@ -226,5 +229,5 @@
         file.set_modified(if years < 0 { now - span } else { now + span }).expect("set");
     }
     assert_eq!(look(&mut reader), (Some(11), vec![]));
-    assert_eq!(look(&mut Reader::new(folder.path(), "r1", keys(), None)), (Some(11), vec![]));
+    assert_eq!(look(&mut SnapshotReader::new(folder.path(), "r1", keys(), None)), (Some(11), vec![]));
 }
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -14,14 +14,14 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use nanorand::{Rng, WyRand};
 
-use crate::tap::{Tap, What};
+use crate::tap::{TrafficEvent, TrafficRecorder};
 
 /// Connections to relays that are not used for so long are closed.
 const IDLE: Duration = Duration::from_secs(2);
 
 /// What callers of a class do.
 #[derive(Clone, Debug)]
-pub struct ClassTerms {
+pub struct ClassLoad {
     pub name: String,
     pub patience: Duration,
     /// Visits a second, all callers together.
@@ -32,16 +32,16 @@
 
 /// Calls in the name of all clients of a day.
 #[derive(Clone)]
-pub struct Caller {
+pub struct LoadGenerator {
     client: Client<HttpConnector, Empty<Bytes>>,
     ids: Arc<AtomicU64>,
     /// The rate is so many thousandths of what is stated.
     factor: Arc<AtomicU64>,
-    tap: Tap,
+    tap: TrafficRecorder,
 }
 
-impl Caller {
-    pub fn new(tap: Tap) -> Self {
+impl LoadGenerator {
+    pub fn new(tap: TrafficRecorder) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
@@ -49,7 +49,12 @@
             .pool_idle_timeout(IDLE)
             .pool_timer(TokioTimer::new())
             .build(connector);
-        Caller { client, ids: Arc::new(AtomicU64::new(1)), factor: Arc::new(AtomicU64::new(1000)), tap }
+        LoadGenerator {
+            client,
+            ids: Arc::new(AtomicU64::new(1)),
+            factor: Arc::new(AtomicU64::new(1000)),
+            tap,
+        }
     }
 
     pub fn set_factor(&self, factor: f64) {
@@ -58,7 +63,7 @@
 
     /// One visit with the tries that its client makes by itself, each with an id of its own; the
     /// status is 0 where the client's patience ended first.
-    pub async fn visit(&self, to: SocketAddr, class: &ClassTerms) -> u16 {
+    pub async fn visit(&self, to: SocketAddr, class: &ClassLoad) -> u16 {
         let asked = self.tap.now();
         let (mut visit, mut status) = (0, 0);
         for _ in 0..=class.comes_again {
@@ -67,11 +72,11 @@
                 break;
             }
         }
-        self.tap.put(What::Visit { visit, class: class.name.clone(), asked, status });
+        self.tap.put(TrafficEvent::Visit { visit, class: class.name.clone(), asked, status });
         status
     }
 
-    async fn call(&self, to: SocketAddr, class: &ClassTerms, asked: Duration) -> (u64, u16) {
+    async fn call(&self, to: SocketAddr, class: &ClassLoad, asked: Duration) -> (u64, u16) {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let left = (asked + class.patience).saturating_sub(self.tap.now());
         let visit = Request::get(format!("http://{to}/{}", class.name))
@@ -86,7 +91,13 @@
 }
 
 /// Visits of a class at random times, spread over these relays, until the given time.
-pub async fn call_on(caller: Caller, class: ClassTerms, relays: Vec<SocketAddr>, seed: u64, until: Duration) {
+pub async fn call_on(
+    caller: LoadGenerator,
+    class: ClassLoad,
+    relays: Vec<SocketAddr>,
+    seed: u64,
+    until: Duration,
+) {
     let mut chance = WyRand::new_seed(seed);
     let mut at = caller.tap.now();
     while at < until && !relays.is_empty() {
--- a/crates/testbed/src/endpoint.rs
+++ b/crates/testbed/src/endpoint.rs
@@ -16,14 +16,14 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Semaphore, watch};
 
-use crate::tap::{Tap, What};
+use crate::tap::{TrafficEvent, TrafficRecorder};
 
 /// A visit takes at most so many times its own work longer for those that were turned away.
 const MOST_OWED: f64 = 3.0;
 
 /// How an endpoint is built.
 #[derive(Clone, Debug)]
-pub struct EndpointTerms {
+pub struct EndpointConfig {
     pub name: String,
     pub cores: usize,
     /// How fast each core is; 1 works a visit off in its stated work.
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mode {
+pub enum FaultMode {
     #[default]
     Well,
     /// Takes visits and answers none; its health call goes on.
@@ -57,7 +57,7 @@
 }
 
 struct State {
-    mode: Mode,
+    mode: FaultMode,
     started: Option<Duration>,
     /// What came in of late while cold: time and work.
     came: VecDeque<(Duration, f64)>,
@@ -70,25 +70,31 @@
 
 /// A handle on a running endpoint.
 #[derive(Clone)]
-pub struct Endpoint {
+pub struct FakeEndpoint {
     pub address: SocketAddr,
-    pub terms: Arc<EndpointTerms>,
+    pub terms: Arc<EndpointConfig>,
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<()>>,
     cores: Arc<Semaphore>,
-    tap: Tap,
+    tap: TrafficRecorder,
 }
 
-impl Endpoint {
+impl FakeEndpoint {
     /// Starts an endpoint that has been warm for long.
     ///
     /// # Errors
     /// As the socket says.
-    pub async fn start(terms: EndpointTerms, tap: Tap) -> io::Result<Self> {
+    pub async fn start(terms: EndpointConfig, tap: TrafficRecorder) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let state =
-            State { mode: Mode::Well, started: None, came: VecDeque::new(), waiting: 0, owed: 0.0, life: 0 };
-        let endpoint = Endpoint {
+        let state = State {
+            mode: FaultMode::Well,
+            started: None,
+            came: VecDeque::new(),
+            waiting: 0,
+            owed: 0.0,
+            life: 0,
+        };
+        let endpoint = FakeEndpoint {
             address: listener.local_addr()?,
             cores: Arc::new(Semaphore::new(terms.cores)),
             terms: Arc::new(terms),
@@ -100,11 +106,11 @@
         Ok(endpoint)
     }
 
-    pub fn set(&self, mode: Mode) {
+    pub fn set(&self, mode: FaultMode) {
         let mut state = self.state();
-        if mode == Mode::Down {
+        if mode == FaultMode::Down {
             state.life += 1;
-            self.tap.put(What::Stopped { endpoint: self.terms.name.clone() });
+            self.tap.put(TrafficEvent::Stopped { endpoint: self.terms.name.clone() });
         }
         state.mode = mode;
         self.changed.send_replace(());
@@ -113,14 +119,14 @@
     /// A new process in the place of one that is gone: well, and cold.
     pub fn restart(&self) {
         let mut state = self.state();
-        (state.mode, state.started) = (Mode::Well, Some(self.tap.now()));
+        (state.mode, state.started) = (FaultMode::Well, Some(self.tap.now()));
         state.came.clear();
         let capacity = self.terms.cores as f64 * self.terms.speed;
-        self.tap.put(What::Started { endpoint: self.terms.name.clone(), capacity });
+        self.tap.put(TrafficEvent::Started { endpoint: self.terms.name.clone(), capacity });
         self.changed.send_replace(());
     }
 
-    pub fn mode(&self) -> Mode {
+    pub fn mode(&self) -> FaultMode {
         self.state().mode
     }
 
@@ -138,7 +144,7 @@
     async fn live(self, mut listener: TcpListener) {
         let mut changed = self.changed.subscribe();
         loop {
-            while self.mode() != Mode::Down {
+            while self.mode() != FaultMode::Down {
                 tokio::select! {
                     taken = listener.accept() => if let Ok((stream, _)) = taken {
                         let _ = stream.set_nodelay(true);
@@ -149,7 +155,7 @@
             }
             drop(listener);
             let Ok(held) = self.hold_port() else { return };
-            while self.mode() == Mode::Down {
+            while self.mode() == FaultMode::Down {
                 let _ = changed.changed().await;
             }
             match held.listen(1024) {
@@ -197,14 +203,21 @@
         let work = self.terms.work.get(&path).copied().unwrap_or(0.0);
         let name = || self.terms.name.clone();
         let table = crate::header(visit.headers(), "x-table").unwrap_or_default();
-        self.tap.put(What::Arrived { endpoint: name(), relay, visit: id, class: path.clone(), work, table });
+        self.tap.put(TrafficEvent::Arrived {
+            endpoint: name(),
+            relay,
+            visit: id,
+            class: path.clone(),
+            work,
+            table,
+        });
         let mode = self.take_in(work);
         let slower = match mode {
-            Mode::Hang | Mode::Down => return std::future::pending().await,
-            Mode::Errors => return Ok(answer(500)),
-            Mode::Refuse => return Ok(self.turn_away()),
-            Mode::Slow(times) => times,
-            Mode::Well => 1.0,
+            FaultMode::Hang | FaultMode::Down => return std::future::pending().await,
+            FaultMode::Errors => return Ok(answer(500)),
+            FaultMode::Refuse => return Ok(self.turn_away()),
+            FaultMode::Slow(times) => times,
+            FaultMode::Well => 1.0,
         };
         if self.state().waiting >= self.terms.queue {
             return Ok(self.turn_away());
@@ -212,7 +225,7 @@
         self.state().waiting += 1;
         let core = self.cores.acquire().await;
         self.state().waiting -= 1;
-        self.tap.put(What::Ran { endpoint: name(), visit: id, class: path });
+        self.tap.put(TrafficEvent::Ran { endpoint: name(), visit: id, class: path });
         let work = work + std::mem::take(&mut self.state().owed).min(MOST_OWED * work);
         let speed = self.warmth(&self.state()) * self.terms.speed / slower;
         tokio::time::sleep(Duration::from_secs_f64(work / speed.max(1e-3))).await;
@@ -228,7 +241,7 @@
     }
 
     /// Counts work against what a cold process can bear; past it, the process falls and stays down.
-    fn take_in(&self, work: f64) -> Mode {
+    fn take_in(&self, work: f64) -> FaultMode {
         let mut state = self.state();
         let warmth = self.warmth(&state);
         if warmth < 1.0 {
@@ -240,8 +253,8 @@
             let capacity = warmth * self.terms.cores as f64 * self.terms.speed;
             let most = self.terms.cold_multiple * capacity * self.terms.cold_span.as_secs_f64();
             if state.came.iter().map(|(_, work)| work).sum::<f64>() > most {
-                (state.mode, state.life) = (Mode::Down, state.life + 1);
-                self.tap.put(What::Fell { endpoint: self.terms.name.clone() });
+                (state.mode, state.life) = (FaultMode::Down, state.life + 1);
+                self.tap.put(TrafficEvent::Fell { endpoint: self.terms.name.clone() });
                 self.changed.send_replace(());
             }
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,9 +5,9 @@
 mod endpoint;
 mod tap;
 
-pub use callers::{Caller, ClassTerms, call_on};
-pub use endpoint::{Endpoint, EndpointTerms, Mode};
-pub use tap::{Record, Tap, What};
+pub use callers::{ClassLoad, LoadGenerator, call_on};
+pub use endpoint::{EndpointConfig, FakeEndpoint, FaultMode};
+pub use tap::{TrafficEvent, TrafficRecord, TrafficRecorder};
 
 /// A header's value, where it has one that reads as this type.
 fn header<T: std::str::FromStr>(headers: &hyper::HeaderMap, name: &str) -> Option<T> {
--- a/crates/testbed/src/tap.rs
+++ b/crates/testbed/src/tap.rs
@@ -7,13 +7,13 @@
 
 /// One thing that passed, with its time since the start of the day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Record {
+pub struct TrafficRecord {
     pub at: Duration,
-    pub what: What,
+    pub what: TrafficEvent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum What {
+pub enum TrafficEvent {
     /// A visit's bytes reached an endpoint; `work` is in seconds of one core at full speed.
     Arrived {
         endpoint: String,
@@ -60,30 +60,30 @@
 
 /// Where all stand-ins of a day write.
 #[derive(Clone)]
-pub struct Tap {
+pub struct TrafficRecorder {
     start: Instant,
-    records: Arc<Mutex<Vec<Record>>>,
+    records: Arc<Mutex<Vec<TrafficRecord>>>,
 }
 
-impl Default for Tap {
+impl Default for TrafficRecorder {
     fn default() -> Self {
-        Tap { start: Instant::now(), records: Arc::default() }
+        TrafficRecorder { start: Instant::now(), records: Arc::default() }
     }
 }
 
-impl Tap {
+impl TrafficRecorder {
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn put(&self, what: What) {
+    pub fn put(&self, what: TrafficEvent) {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         // The time is taken under the lock, so that the record is in order.
-        records.push(Record { at: self.start.elapsed(), what });
+        records.push(TrafficRecord { at: self.start.elapsed(), what });
     }
 
     /// All that was recorded so far.
-    pub fn records(&self) -> Vec<Record> {
+    pub fn records(&self) -> Vec<TrafficRecord> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{ClassId, EndpointStatus, EndpointRecord, ProxyId, EndpointId, TableId, Settings, ZoneId};
+use crate::{ClassId, EndpointId, EndpointRecord, EndpointStatus, ProxyId, Settings, TableId, ZoneId};
 
 /// Tries that ended, and how.
 #[derive(Clone, Copy, Default)]
