--- a/src/logic.rs
+++ b/src/logic.rs
@@ -20,8 +20,11 @@
 use std::time::Duration;
 
 use crate::chance::Chance;
-use crate::ledger::{Channel, ClassAdmission, Joined, EndpointState, RoutingTable, Tally, Whom};
-use crate::{ClassId, Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, ProxyId, EndpointId, TableId, Settings, ZoneId};
+use crate::ledger::{Channel, ClassAdmission, EndpointState, Joined, RoutingTable, Tally, Whom};
+use crate::{
+    Action, ClassId, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, ProxyId, Settings,
+    TableId, ZoneId,
+};
 
 // The design's figures, from its page.
 const RISE: u32 = 2;
@@ -202,7 +205,12 @@
                 let alike = |table: &RoutingTable| table.part == part && table.only == *only;
                 let table = self.tables.iter().position(alike).unwrap_or(self.tables.len());
                 if table == self.tables.len() {
-                    self.tables.push(RoutingTable { part, only: only.clone(), kept: 1.0, ..RoutingTable::default() });
+                    self.tables.push(RoutingTable {
+                        part,
+                        only: only.clone(),
+                        kept: 1.0,
+                        ..RoutingTable::default()
+                    });
                 }
                 self.gates.push(ClassAdmission::read(terms, class, table));
             }
@@ -239,13 +247,20 @@
             }
             let near = (0..self.parts).filter(|part| part % self.places == listing.zone % self.places);
             let part = near.min_by_key(|part| dealt[*part]).unwrap_or(0);
-            let new = EndpointState { part, listing, relief: 1.0, probe_at: Duration::MAX, ..EndpointState::default() };
+            let new = EndpointState {
+                part,
+                listing,
+                relief: 1.0,
+                probe_at: Duration::MAX,
+                ..EndpointState::default()
+            };
             self.servers.insert(listing.server, new);
         }
         let (within, settle, probes) =
             (self.terms.span("rules.warm_within_us"), self.settle(), self.terms.flag("allowed.probes"));
         for entry in entries {
-            let known = self.servers.get_mut(&entry.server).filter(|_| binds || entry.state != EndpointStatus::Gone);
+            let known =
+                self.servers.get_mut(&entry.server).filter(|_| binds || entry.state != EndpointStatus::Gone);
             let Some(known) = known else { continue };
             let fresh = known.probe_at == Duration::MAX || known.barred();
             known.listing = *entry;
@@ -342,7 +357,13 @@
         let part = (0..self.parts).find(near).unwrap_or(0);
         let Some(known) = self.servers.get_mut(&listing.server) else {
             if listing.state == EndpointStatus::Gone && self.parts > 0 {
-                let gone = EndpointState { part, listing, relief: 1.0, probe_at: Duration::MAX, ..EndpointState::default() };
+                let gone = EndpointState {
+                    part,
+                    listing,
+                    relief: 1.0,
+                    probe_at: Duration::MAX,
+                    ..EndpointState::default()
+                };
                 self.servers.insert(listing.server, gone);
                 self.news = true;
             }
@@ -578,7 +599,8 @@
             let lines = table.lines.iter().map(|(server, weight)| (&self.servers[server], weight));
             let told = lines.filter(|(known, _)| known.recent.tries >= 1.0 && !known.withdrawn);
             // Lateness beyond what a server's own load accounts for is not mended by refusing visits.
-            let room = |known: &EndpointState| known.load.filter(|load| *load < BUSY).map(|load| load / COMFORT);
+            let room =
+                |known: &EndpointState| known.load.filter(|load| *load < BUSY).map(|load| load / COMFORT);
             let most = |known: &EndpointState| room(known).map_or(LATE_MOST, |part| part * LATE);
             let late = |known: &EndpointState| known.late(contract).min(most(known));
             let part = |(known, weight): (&EndpointState, &f64)| (weight * late(known), *weight);
@@ -687,8 +709,9 @@
             true => known.heard < newest,
             false => known.withdrawn && newest == 0 && !held(server),
         });
-        let order =
-            |(server, known): (&EndpointId, &EndpointState)| Order::Withdraw(*server, known.kept_out(now, holding));
+        let order = |(server, known): (&EndpointId, &EndpointState)| {
+            Order::Withdraw(*server, known.kept_out(now, holding))
+        };
         due.map(|at| Step(DRAINING, order(at))).collect()
     }
 
@@ -815,11 +838,12 @@
             (false, true) => table.held(*server).min(full(known)),
             (false, false) => listed(known, share),
         };
-        let share = |alone: bool, (server, known): &(&EndpointId, &EndpointState)| match table.shares.get(*server) {
-            _ if !alone => 1.0,
-            Some(planned) => *planned,
-            None => f64::from(table.shares.is_empty() && known.part == table.part),
-        };
+        let share =
+            |alone: bool, (server, known): &(&EndpointId, &EndpointState)| match table.shares.get(*server) {
+                _ if !alone => 1.0,
+                Some(planned) => *planned,
+                None => f64::from(table.shares.is_empty() && known.part == table.part),
+            };
         // A part that is lost, cold or has no server of the kind looks to those beside it. Cold servers of
         // an uneasy part count little: alone they would get the visits of all that it lost.
         let strength = |alone: bool| {
--- a/tests/pilot/design.rs
+++ b/tests/pilot/design.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
 
 #[test]
 fn counter_life_sets_probe_intervals_and_weight() {
--- a/tests/pilot/failures.rs
+++ b/tests/pilot/failures.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
 
 const WELL: (u32, u32, u64) = (20, 0, 200);
 
@@ -51,7 +51,11 @@
 #[test]
 fn table_laid_early_holds_all_that_are_not_known_to_be_down() {
     let mut stage = Stage::new(8);
-    stage.list(&[0, 2, 4, 6].map(|server| state(server, EndpointStatus::Gone))).join(0).health.fill(HealthCheckOutcome::Failed);
+    stage
+        .list(&[0, 2, 4, 6].map(|server| state(server, EndpointStatus::Gone)))
+        .join(0)
+        .health
+        .fill(HealthCheckOutcome::Failed);
     let trace = stage.run_to(100).said(&["table 0"]);
     expect![[r#"
         0.0 table 0: server 1 1
@@ -517,7 +521,11 @@
 #[test]
 fn all_that_drained_in_the_hold_come_back() {
     let mut stage = Stage::new(3);
-    stage.join(0).run_to(4000).list(&[0, 1, 2].map(|server| state(server, EndpointStatus::Draining))).run_to(4100);
+    stage
+        .join(0)
+        .run_to(4000)
+        .list(&[0, 1, 2].map(|server| state(server, EndpointStatus::Draining)))
+        .run_to(4100);
     stage.quiet().list(&[0, 1, 2].map(ready));
     let trace = stage.run_to(6000).said(&["table", "withdraw"]);
     expect![[r#"
--- a/tests/pilot/herds.rs
+++ b/tests/pilot/herds.rs
@@ -1,6 +1,6 @@
 //! Many proxies that join within moments.
 
-use lockcroft::{Action, HealthCheckOutcome, EndpointStatus};
+use lockcroft::{Action, EndpointStatus, HealthCheckOutcome};
 
 use crate::stage::{Stage, ms, state};
 
--- a/tests/pilot/probes.rs
+++ b/tests/pilot/probes.rs
@@ -1,6 +1,6 @@
 //! Probes that end at the instant of their answer, or after it.
 
-use lockcroft::{HealthCheckOutcome, EndpointId};
+use lockcroft::{EndpointId, HealthCheckOutcome};
 
 use crate::stage::{Stage, ms};
 
--- a/tests/pilot/recorded.rs
+++ b/tests/pilot/recorded.rs
@@ -4,7 +4,7 @@
 
 use crate::stage::*;
 use expect_test::expect_file;
-use lockcroft::{HealthCheckOutcome, EndpointStatus};
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
 
 /// A fixed sequence of numbers, the same at every run on every machine.
 struct Script(u64);
--- a/tests/pilot/stage.rs
+++ b/tests/pilot/stage.rs
@@ -3,7 +3,10 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lockcroft::{Action, HealthCheckOutcome, EndpointStatus, EndpointRecord, Controller, EndpointId, SettingValue, Settings};
+use lockcroft::{
+    Action, Controller, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, SettingValue,
+    Settings,
+};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
