--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -102,7 +102,7 @@
     }
     let state = match node.attribute("state") {
         Some("draining") => EndpointStatus::Draining,
-        Some("gone") => EndpointStatus::Gone,
+        Some("gone") => EndpointStatus::Removed,
         _ => EndpointStatus::Ready,
     };
     let started = node.attribute("started").map(humantime::parse_rfc3339).transpose();
--- a/crates/daemon/tests/probes.rs
+++ b/crates/daemon/tests/probes.rs
@@ -38,7 +38,7 @@
             ),
             (Some("HTTP/1.1 204 No Content\r\n\r\n"), soon, HealthCheckOutcome::Passed(None)),
             (Some("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::Failed),
-            (Some("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::TurnedAway),
+            (Some("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::Rejected),
             (Some("no such thing\r\n\r\n"), soon, HealthCheckOutcome::Refused),
             (None, soon, HealthCheckOutcome::Refused),
             (None, PROBE_WAIT * 2, HealthCheckOutcome::Failed),
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -37,7 +37,7 @@
         zone: i % 4,
         kind: 0,
         address: format!("127.0.0.1:{}", 20_000 + i).parse().expect("an address"),
-        state: if Some(i % 4) == lost { EndpointStatus::Gone } else { EndpointStatus::Ready },
+        state: if Some(i % 4) == lost { EndpointStatus::Removed } else { EndpointStatus::Ready },
         weight: 1.0,
         started: None,
     };
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime};
 
 use hdrhistogram::Histogram;
-use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, TableId};
+use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, Snapshot, TableId};
 use lockcroft_config::{DaemonConfig, EndpointListConfig};
 use lockcroft_host::{NameIndex, PublishedTables};
 use lockcroft_runtime_api::tables::read_stat;
@@ -185,7 +185,7 @@
 
     fn tell_list(&mut self, now: Duration) {
         let listings = self.list.listings(now);
-        self.pilot.listed(now, true, self.list.version, &listings);
+        self.pilot.update_endpoints(now, true, self.list.version, &listings);
     }
 
     /// An operator's word on a server of the list.
@@ -205,7 +205,7 @@
         if let (Some(planner), HealthCheckOutcome::Passed(Some(load))) = (&mut self.planner, finding) {
             planner.probed(server, load);
         }
-        self.pilot.probed(now, server, finding, took);
+        self.pilot.health_check_finished(now, server, finding, took);
     }
 
     /// The answer to the task that is out; none if it was no sound problem. Weights that it changes are the list's
@@ -214,19 +214,19 @@
         self.now = now;
         let Some(planner) = &mut self.planner else { return };
         let joined = self.berths.iter().filter(|berth| berth.stage == Stage::Joined).count();
-        let (_, tables, gates) = self.pilot.beliefs();
+        let Snapshot { tables, admissions: gates, .. } = self.pilot.snapshot();
         let Plan { lines, tables } = planner.answered(answer, joined, tables, gates);
         for (server, steps) in &lines {
             // Somewhere to go if all others fail.
             self.list.plan(*server, self.scale.weight(f64::from((*steps).max(1))));
         }
         for (class, share) in planner.let_in().iter().enumerate() {
-            self.pilot.planned(class, *share);
+            self.pilot.set_planned_fraction(class, *share);
         }
         for (table, shares) in tables {
             let text = format!("plan: t{table} by {} servers", shares.len());
             self.events.add(now, self.wave, &text);
-            self.pilot.apportioned(table, shares);
+            self.pilot.set_planned_weights(table, shares);
         }
         if !lines.is_empty() {
             info!(target: "lockcroft::input", wave = self.wave, lines = lines.len(), "planned");
@@ -278,7 +278,7 @@
             for proxies in self.on.values_mut() {
                 proxies.remove(&proxy);
             }
-            self.pilot.left(proxy);
+            self.pilot.detach_proxy(proxy);
         }
         self.effects.push_back(Effect::Close { proxy });
         self.effects.push_back(Effect::Dial { proxy, stream: self.berths[proxy].stream, after });
@@ -363,7 +363,7 @@
             self.touched.insert(proxy);
         }
         let (zone, rate) = (berth.at.zone, berth.at.rate);
-        self.pilot.joined(proxy, zone, rate, fresh);
+        self.pilot.attach_proxy(proxy, zone, rate, fresh);
     }
 
     fn told(&mut self, now: Duration, proxy: ProxyId, told: CounterDelta) {
@@ -379,7 +379,7 @@
                 if let Some(planner) = &mut self.planner {
                     planner.reported(server, tries, failed, took);
                 }
-                self.pilot.reported(now, server, tries, failed, took);
+                self.pilot.record_attempts(now, server, tries, failed, took);
             }
             CounterDelta::Class { name, visits } => {
                 if let Ok(class) = self.places.class(&name) {
@@ -387,7 +387,7 @@
                     if let Some(planner) = &mut self.planner {
                         planner.counted(self.berths[proxy].at.zone, class, visits);
                     }
-                    self.pilot.counted(proxy, class, visits);
+                    self.pilot.record_requests(proxy, class, visits);
                 }
             }
         }
@@ -420,12 +420,12 @@
     pub fn decide(&mut self, now: Duration) -> Vec<Effect> {
         self.now = now;
         self.pass_time(now);
-        let servers = self.pilot.beliefs().0;
+        let servers = self.pilot.snapshot().endpoints;
         let task = self.planner.as_mut().and_then(|planner| planner.task(now, servers));
         self.effects.extend(task.map(Effect::Solve));
-        self.pilot.queued(self.lines_waiting());
+        self.pilot.set_queued_entries(self.lines_waiting());
         let before = self.sums.decisions;
-        while let Some(decision) = self.pilot.next_decision(now) {
+        while let Some(decision) = self.pilot.next_action(now) {
             self.sums.decisions += 1;
             self.carry_out(now, decision);
         }
@@ -480,19 +480,19 @@
     fn carry_out(&mut self, now: Duration, decision: Action) {
         let wave = self.wave;
         match decision {
-            Action::Probe(server) => {
+            Action::CheckHealth(server) => {
                 self.sums.probes += 1;
                 if let Some(address) = self.list.address(server) {
                     self.effects.push_back(Effect::Probe { server, address });
                 }
             }
-            Action::Weigh { table, server, weight } => {
+            Action::SetWeight { table, endpoint: server, weight } => {
                 self.published.weigh(table, server, weight);
                 self.say_decided(now, &format!("t{table}: {} weighs {weight}", self.list.name(server)));
                 self.files.weigh(now, table, server);
                 self.each_on(table, |book| book.weigh(table, server, now, wave));
             }
-            Action::Bind { table, classes, proxy } => {
+            Action::AssignTable { table, classes, proxy } => {
                 self.say_decided(now, &format!("t{table}: bind proxy {}", self.berths[proxy].at.name));
                 let ProxySession { stage, book, .. } = &mut self.berths[proxy];
                 if *stage == Stage::Joined {
@@ -505,13 +505,9 @@
                     }
                 }
             }
-            Action::Withdraw { server, withdrawn } => {
-                self.published.withdraw(server, withdrawn);
-                self.say_decided(now, &format!("withdraw {}: {withdrawn}", self.list.name(server)));
-                self.files.withdraw(now, server);
-                self.each(|book| book.withdraw(server, now, wave));
-            }
-            Action::Admit { table, class, share, second_try } => {
+            Action::Eject { endpoint } => self.set_ejected(now, endpoint, true),
+            Action::Restore { endpoint } => self.set_ejected(now, endpoint, false),
+            Action::SetAdmission { table, class, fraction: share, retry: second_try } => {
                 self.published.admit(table, class, share, second_try);
                 let name = &self.places.classes[class];
                 let again = if second_try { ", second tries" } else { "" };
@@ -519,7 +515,7 @@
                 self.files.admit(now, table, class);
                 self.each_on(table, |book| book.admit(table, class, now, wave));
             }
-            Action::Note { about, text } => {
+            Action::RaiseEvent { endpoint: about, text } => {
                 let text = about.map_or(text.clone(), |server| format!("{} {text}", self.list.name(server)));
                 info!(target: "lockcroft::note", wave, "{text}");
                 self.events.add(now, wave, &format!("note: {text}"));
@@ -527,6 +523,14 @@
         }
     }
 
+    fn set_ejected(&mut self, now: Duration, endpoint: EndpointId, ejected: bool) {
+        let wave = self.wave;
+        self.published.withdraw(endpoint, ejected);
+        self.say_decided(now, &format!("withdraw {}: {ejected}", self.list.name(endpoint)));
+        self.files.withdraw(now, endpoint);
+        self.each(|book| book.withdraw(endpoint, now, wave));
+    }
+
     fn say_decided(&mut self, now: Duration, text: &str) {
         debug!(target: "lockcroft::decision", wave = self.wave, "{text}");
         self.events.add(now, self.wave, text);
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{EndpointRecord, EndpointStatus, TableId};
+use lockcroft::{EndpointRecord, EndpointStatus, Snapshot, TableId};
 use lockcroft_state_store::RecoveredState;
 use lockcroft_table_store::WrittenSnapshot;
 use tracing::{debug, info, warn};
@@ -71,13 +71,20 @@
                 continue;
             };
             let number = self.list.met(&server.name);
-            let state = if server.out { EndpointStatus::Gone } else { EndpointStatus::Ready };
-            let listing = EndpointRecord { server: number, zone, kind, state, weight: 0.0, age: None };
-            self.pilot.recalled(now, listing, server.relief, server.warming, server.doubted);
+            let state = if server.out { EndpointStatus::Removed } else { EndpointStatus::Ready };
+            let listing = EndpointRecord {
+                endpoint: number,
+                zone,
+                machine_type: kind,
+                status: state,
+                weight: 0.0,
+                age: None,
+            };
+            self.pilot.recover_endpoint(now, listing, server.relief, server.warming, server.doubted);
         }
         for (class, table, level) in recalled.levels {
             if let Ok(class) = self.places.class(&class) {
-                self.pilot.recalled_level(class, table as TableId, level);
+                self.pilot.recover_admission(class, table as TableId, level);
             }
         }
         if let Some(planner) = &mut self.planner {
@@ -92,7 +99,7 @@
 
     pub(crate) fn take_notes(&mut self, now: Duration) {
         let Some(notes) = &mut self.notes else { return };
-        let (servers, _, gates) = self.pilot.beliefs();
+        let Snapshot { endpoints: servers, admissions: gates, .. } = self.pilot.snapshot();
         let mut entries = notes.slice(now, servers, gates, &self.list, &self.places);
         if let Some(planner) = &mut self.planner {
             entries.extend(notes.sizes(now, planner.sizes(now, servers), &self.list));
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -65,7 +65,14 @@
         let planned = self.planned.get(&server).copied();
         let weight = word.weight.or(planned).unwrap_or(line.entry.weight);
         let age = line.age.map(|(age, seen)| age + (now - seen));
-        EndpointRecord { server, zone: line.entry.zone, kind: line.entry.kind, state, weight, age }
+        EndpointRecord {
+            endpoint: server,
+            zone: line.entry.zone,
+            machine_type: line.entry.kind,
+            status: state,
+            weight,
+            age,
+        }
     }
 
     /// Changes an operator's word.
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -57,7 +57,7 @@
         if self.after.is_none() {
             for gate in gates {
                 let key = Key::Level(gate.name.clone(), gate.table as u32);
-                self.tell(now, key, EntryValue::Level(step(gate.level)), &mut entries);
+                self.tell(now, key, EntryValue::Level(step(gate.rate)), &mut entries);
             }
         }
         let from = self.after.map_or(Unbounded, Excluded);
@@ -93,15 +93,15 @@
         let later = |time: Duration| if time > now { self.wall(time) } else { 0 };
         let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
         EndpointNote {
-            zone: name(&places.zones, known.listing.zone),
-            kind: name(&places.kinds, known.listing.kind),
-            gone: known.listing.state == EndpointStatus::Gone,
-            draining: known.listing.state == EndpointStatus::Draining,
-            counter: known.counter,
-            doubted_until_ms: later(known.doubted_until),
-            started_ms: if known.cold(now) { self.wall(known.started) } else { 0 },
-            warm_ms: later(known.warm_at),
-            relief: step(known.relief),
+            zone: name(&places.zones, known.record.zone),
+            kind: name(&places.kinds, known.record.machine_type),
+            gone: known.record.status == EndpointStatus::Removed,
+            draining: known.record.status == EndpointStatus::Draining,
+            counter: known.health_counter,
+            doubted_until_ms: later(known.outlier_until),
+            started_ms: if known.is_warming_up(now) { self.wall(known.started_at) } else { 0 },
+            warm_ms: later(known.warmed_up_at),
+            relief: step(known.weight_factor),
         }
     }
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -54,7 +54,7 @@
 fn lanes(zones: usize, tables: &[RoutingTable], gates: &[ClassAdmission]) -> Vec<TableScope> {
     let classes = |number| gates.iter().filter(move |gate| gate.table == number).map(|gate| gate.class);
     let lane = |(number, table): (usize, &RoutingTable)| TableScope {
-        zone: table.part % zones.max(1),
+        zone: table.subset % zones.max(1),
         classes: classes(number).collect(),
     };
     tables.iter().enumerate().map(lane).collect()
@@ -243,7 +243,7 @@
         for (server, seen) in std::mem::take(&mut self.seen) {
             let Some(known) = servers.get(&server) else { continue };
             // A cold server shows what a cold one can do, and not what it can do.
-            if known.cold(now) || seen.tries <= 0.0 {
+            if known.is_warming_up(now) || seen.tries <= 0.0 {
                 continue;
             }
             let fulfilled = seen.tries - seen.failed;
@@ -268,7 +268,7 @@
     ) -> BTreeMap<MachineTypeId, f64> {
         let mut kinds: BTreeMap<MachineTypeId, Vec<EndpointId>> = BTreeMap::new();
         for (server, known) in servers {
-            kinds.entry(known.listing.kind).or_default().push(*server);
+            kinds.entry(known.record.machine_type).or_default().push(*server);
         }
         let cores = |(kind, servers): (MachineTypeId, Vec<EndpointId>)| {
             Some((kind, self.learner.alike(now, servers.into_iter())?))
@@ -277,8 +277,8 @@
     }
 
     fn prior(&self, alike: &BTreeMap<MachineTypeId, f64>, known: &EndpointState) -> CapacityPrior {
-        let kind = &known.listing.kind;
-        let shown = || self.recalled.get(&known.listing.server).or_else(|| alike.get(kind));
+        let kind = &known.record.machine_type;
+        let shown = || self.recalled.get(&known.record.endpoint).or_else(|| alike.get(kind));
         match (self.kinds.get(kind), shown()) {
             (Some(stated), _) => CapacityPrior::stated(*stated),
             (None, Some(shown)) => CapacityPrior::alike(*shown),
@@ -290,14 +290,14 @@
         let mut task = SolverTask { problem: Problem::default(), servers: Vec::new() };
         let (mut kinds, alike) = (Vec::new(), self.alike(now, servers));
         for (server, known) in servers {
-            if known.barred() || !known.up() || known.doubted_until > now {
+            if known.is_not_ready() || !known.is_up() || known.outlier_until > now {
                 continue;
             }
             let capacity = self.learner.estimate(now, *server, self.prior(&alike, known)).capacity;
-            let warmth = known.warmth(now, self.cold_share);
+            let warmth = known.slow_start_factor(now, self.cold_share);
             task.servers.push(*server);
-            kinds.push(known.listing.kind);
-            let zone = known.listing.zone;
+            kinds.push(known.record.machine_type);
+            let zone = known.record.zone;
             task.problem.servers.push(lockcroft_solver::Endpoint {
                 zone,
                 capacity,
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use lockcroft::{EndpointId, EndpointState, EndpointStatus, TableId};
+use lockcroft::{EndpointId, EndpointState, EndpointStatus, Snapshot, TableId};
 use lockcroft_host::NameIndex;
 use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
@@ -19,9 +19,9 @@
     /// `Name: value` lines, as the guide's `show info`.
     pub fn show_info(&self) -> String {
         let joined = self.berths.iter().filter(|berth| berth.stage == Stage::Joined).count();
-        let (servers, tables, _) = self.pilot.beliefs();
+        let Snapshot { endpoints: servers, tables, .. } = self.pilot.snapshot();
         let held = tables.iter().filter(|table| !table.released).count();
-        let up = servers.values().filter(|known| known.up()).count();
+        let up = servers.values().filter(|known| known.is_up()).count();
         let micros = |quantile: f64| self.landed.value_at_quantile(quantile) as f64 / 1e3;
         let lines = [
             ("Name", "lockcroft".to_string()),
@@ -140,10 +140,10 @@
 
     /// Counters as the guide's `show stat`: a row for each class and for each server of a table.
     pub fn show_stat(&self) -> String {
-        let (servers, tables, _) = self.pilot.beliefs();
+        let Snapshot { endpoints: servers, tables, .. } = self.pilot.snapshot();
         let mut rows: Vec<StatRow> = self.places.classes.iter().zip(&self.visits).map(front).collect();
         for (number, table) in tables.iter().enumerate() {
-            for (server, weight) in &table.lines {
+            for (server, weight) in &table.published {
                 let met = self.met.get(server).copied().unwrap_or_default();
                 rows.push(StatRow {
                     name: format!("t{number}"),
@@ -164,7 +164,7 @@
     /// What is believed of servers, in the guide's form, of one table or of all servers as `servers`;
     /// behind it, as comments, what that form has no room for.
     pub fn show_servers(&self, backend: Option<&str>) -> Result<String, String> {
-        let (servers, tables, _) = self.pilot.beliefs();
+        let Snapshot { endpoints: servers, tables, .. } = self.pilot.snapshot();
         let mut rows = Vec::new();
         let pick = |name: &str| backend.is_none_or(|wanted| wanted == name);
         if pick("servers") {
@@ -172,7 +172,7 @@
         }
         for (number, table) in tables.iter().enumerate().filter(|(number, _)| pick(&format!("t{number}"))) {
             let name = format!("t{number}");
-            for (server, weight) in &table.lines {
+            for (server, weight) in &table.published {
                 let weight = self.scale.units(*weight);
                 rows.push(StateRow { weight, ..self.state(&name, *server, &servers[server]) });
             }
@@ -189,56 +189,56 @@
 
     fn state(&self, backend: &str, server: EndpointId, known: &EndpointState) -> StateRow {
         let address = self.list.address(server);
-        let drains = if known.listing.state == EndpointStatus::Draining { FORCED_DRAIN } else { 0 };
-        let gone = known.listing.state == EndpointStatus::Gone || known.withdrawn;
+        let drains = if known.record.status == EndpointStatus::Draining { FORCED_DRAIN } else { 0 };
+        let gone = known.record.status == EndpointStatus::Removed || known.ejected;
         StateRow {
             backend: backend.into(),
             server: self.list.name(server).into(),
             address: address.map_or("-".into(), |address| address.ip().to_string()),
             port: address.map_or(0, |address| address.port()),
-            running: known.up(),
+            running: known.is_up(),
             admin: drains | if gone { FORCED_MAINT } else { 0 },
-            weight: self.scale.units(known.listing.weight),
-            health: known.counter.unwrap_or(0),
+            weight: self.scale.units(known.record.weight),
+            health: known.health_counter.unwrap_or(0),
         }
     }
 
     fn belief(&self, server: EndpointId, known: &EndpointState) -> String {
-        let counter = known.counter.map_or("unknown".into(), |counter| counter.to_string());
-        let warm = known.warm_at.saturating_sub(self.now);
-        let doubted = known.doubted_until.saturating_sub(self.now);
-        let listed = match known.listing.state {
+        let counter = known.health_counter.map_or("unknown".into(), |counter| counter.to_string());
+        let warm = known.warmed_up_at.saturating_sub(self.now);
+        let doubted = known.outlier_until.saturating_sub(self.now);
+        let listed = match known.record.status {
             EndpointStatus::Ready => "ready",
             EndpointStatus::Draining => "draining",
-            EndpointStatus::Gone => "gone",
+            EndpointStatus::Removed => "gone",
         };
         let load = known.load.map_or("-".into(), |load| format!("{load:.2}"));
         format!(
             "{}: counter={counter} listed={listed} weight={} relief={:.2} part={} cold_for={:.1}s doubted_for={:.1}s \
              withdrawn={} load={load}",
             self.list.name(server),
-            known.listing.weight,
-            known.relief,
-            known.part,
+            known.record.weight,
+            known.weight_factor,
+            known.subset,
             warm.as_secs_f64(),
             doubted.as_secs_f64(),
-            known.withdrawn,
+            known.ejected,
         )
     }
 
     /// One line a table: who is on it, what is published and what is wanted.
     pub fn show_backend(&self) -> String {
-        let (_, tables, _) = self.pilot.beliefs();
+        let tables = self.pilot.snapshot().tables;
         let mut text = "# name part released proxies lines published wanted late kept\n".to_string();
         for (number, table) in tables.iter().enumerate() {
-            let lines = table.lines.values().filter(|weight| **weight > 0.0).count();
+            let lines = table.published.values().filter(|weight| **weight > 0.0).count();
             let sum = |weights: &mut dyn Iterator<Item = &f64>| weights.sum::<f64>();
-            let (published, wanted) = (sum(&mut table.lines.values()), sum(&mut table.wanted.values()));
+            let (published, wanted) = (sum(&mut table.published.values()), sum(&mut table.desired.values()));
             let proxies = self.joined_on(number);
             let _ = writeln!(
                 text,
                 "t{number} {} {} {proxies} {lines} {published:.2} {wanted:.2} {:.2} {:.2}",
-                table.part, table.released, table.late, table.kept
+                table.subset, table.released, table.latency_ratio, table.flexible_fraction
             );
         }
         text
@@ -278,14 +278,14 @@
 
     /// One line a class and table: the share let in, wanted and published, and what comes.
     pub fn show_levels(&self) -> String {
-        let (_, _, gates) = self.pilot.beliefs();
+        let gates = self.pilot.snapshot().admissions;
         let mut text = "# class table wanted published demand\n".to_string();
         for gate in gates {
-            let published = gate.admitted.map_or("-".into(), |share| share.to_string());
+            let published = gate.published.map_or("-".into(), |share| share.to_string());
             let _ = writeln!(
                 text,
                 "{} t{} {:.2} {published} {:.1}",
-                gate.name, gate.table, gate.level, gate.demand
+                gate.name, gate.table, gate.rate, gate.demand
             );
         }
         text
@@ -305,7 +305,7 @@
     /// In the guide's words.
     pub fn server_of(&self, place: &str) -> Result<EndpointId, String> {
         let (backend, server) = place.split_once('/').ok_or("Require 'backend/server'.")?;
-        let tables = self.pilot.beliefs().1.len();
+        let tables = self.pilot.snapshot().tables.len();
         let number = backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
         if backend != "servers" && number.is_none_or(|number| number >= tables) {
             return Err("No such backend.".into());
@@ -351,11 +351,11 @@
 }
 
 fn status(known: &EndpointState) -> &'static str {
-    match known.listing.state {
+    match known.record.status {
         EndpointStatus::Draining => "DRAIN",
-        EndpointStatus::Gone => "MAINT",
-        EndpointStatus::Ready if known.counter.is_none() => "no check",
-        EndpointStatus::Ready if known.up() => "UP",
+        EndpointStatus::Removed => "MAINT",
+        EndpointStatus::Ready if known.health_counter.is_none() => "no check",
+        EndpointStatus::Ready if known.is_up() => "UP",
         EndpointStatus::Ready => "DOWN",
     }
 }
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/orders/memory.rs
@@ -41,7 +41,7 @@
 #[test]
 fn a_server_that_went_meanwhile_is_named_at_once() {
     let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
-    before.run_to(7000).state(1, EndpointStatus::Gone);
+    before.run_to(7000).state(1, EndpointStatus::Removed);
     before.run_to(8000);
     let state = kept(&before);
     let after = |recalled: RecoveredState| {
@@ -105,7 +105,7 @@
 fn a_clock_that_was_set_back_makes_nothing_worse() {
     let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
     before.findings.insert(0, HealthCheckOutcome::Refused);
-    before.run_to(9000).state(1, EndpointStatus::Gone);
+    before.run_to(9000).state(1, EndpointStatus::Removed);
     before.run_to(10_000);
     let state = kept(&before);
     let ahead = recalled(&state, 1);
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -88,7 +88,7 @@
 pub fn outcome_of_status(status: StatusCode, load: Option<f64>) -> HealthCheckOutcome {
     match status {
         status if status.is_success() => HealthCheckOutcome::Passed(load),
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::TurnedAway,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::Rejected,
         _ => HealthCheckOutcome::Failed,
     }
 }
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -109,14 +109,14 @@
         }
         for entry in &told.listings {
             let (name, age_ms) =
-                (self.roster.name(entry.server), entry.age.map(|age| age.as_millis() as u64));
-            debug!(target: "lockcroft::list", name, state = ?entry.state, age_ms, "listed");
+                (self.roster.name(entry.endpoint), entry.age.map(|age| age.as_millis() as u64));
+            debug!(target: "lockcroft::list", name, state = ?entry.status, age_ms, "listed");
         }
         let (version, whole, entries) = (told.version, told.whole, told.listings.len());
         if entries > 0 {
             info!(target: "lockcroft::list", version, whole, entries);
         }
-        self.pilot.listed(now, told.whole, told.version, &told.listings);
+        self.pilot.update_endpoints(now, told.whole, told.version, &told.listings);
         Ok(())
     }
 
@@ -137,9 +137,9 @@
         let name = self.roster.name(server);
         // What a former address says is nothing about the server that has moved on.
         let still = self.roster.address(server) == Some(address);
-        let finding = if still { finding } else { HealthCheckOutcome::Moved };
+        let finding = if still { finding } else { HealthCheckOutcome::AddressChanged };
         debug!(target: "lockcroft::probe", name, ?finding, us = took.as_micros() as u64);
-        self.pilot.probed(now, server, finding, took);
+        self.pilot.health_check_finished(now, server, finding, took);
     }
 
     pub fn acceptance(&self, now: Duration) -> Acceptance {
@@ -199,18 +199,18 @@
                 self.sums.reports += 1;
                 let (name, ms) = (self.roster.name(server), took.as_millis() as u64);
                 debug!(target: "lockcroft::report", name, tries, failed, ms, "met");
-                self.pilot.reported(now, server, tries, failed, took);
+                self.pilot.record_attempts(now, server, tries, failed, took);
             }
             (Ok(Message::Came { proxy, class, visits }), role)
                 if matches!(role, Role::Collector(_)) || role == Role::Proxy(proxy) =>
             {
                 self.sums.reports += 1;
                 debug!(target: "lockcroft::report", proxy, class, visits, "came");
-                self.pilot.counted(proxy, class, visits);
+                self.pilot.record_requests(proxy, class, visits);
             }
             (Ok(Message::Applied { proxy, mark }), Role::Proxy(own)) if proxy == own => {
                 match self.streams.get_mut(&proxy).and_then(|stream| stream.applied(mark)) {
-                    Some((mark, lines)) => self.pilot.applied(mark, lines),
+                    Some((mark, lines)) => self.pilot.record_acknowledged(mark, lines),
                     None => self.spoilt(connection, "a mark that was not asked for"),
                 }
             }
@@ -253,7 +253,7 @@
         self.connections.insert(connection, Role::Proxy(proxy));
         self.admission.joined(connection);
         self.streams.insert(proxy, ProxyStream::new(connection, fresh));
-        self.pilot.joined(proxy, zone, rate, fresh);
+        self.pilot.attach_proxy(proxy, zone, rate, fresh);
     }
 
     fn drop_connection(&mut self, connection: ConnectionId) {
@@ -276,7 +276,7 @@
         if let Role::Proxy(proxy) = role {
             info!(target: "lockcroft::input", connection, proxy, "left");
             self.streams.remove(&proxy);
-            self.pilot.left(proxy);
+            self.pilot.detach_proxy(proxy);
         }
     }
 
@@ -302,7 +302,7 @@
             let effect = self.last_call(connection);
             self.effects.push_back(effect);
         }
-        while let Some(decision) = self.pilot.next_decision(now) {
+        while let Some(decision) = self.pilot.next_action(now) {
             self.carry_out(decision);
         }
         self.send();
@@ -316,43 +316,46 @@
 
     fn carry_out(&mut self, decision: Action) {
         match decision {
-            Action::Probe(server) => {
+            Action::CheckHealth(server) => {
                 let address = self.roster.address(server);
                 self.effects.extend(address.map(|address| Effect::Probe { server, address }));
             }
-            Action::Weigh { table, server, weight } => {
+            Action::SetWeight { table, endpoint: server, weight } => {
                 let name = self.roster.name(server);
                 debug!(target: "lockcroft::decision", table, name, weight, "weigh");
                 self.published.weigh(table, server, weight);
                 self.touch(|stream| stream.on(table));
             }
-            Action::Bind { table, classes, proxy } => {
+            Action::AssignTable { table, classes, proxy } => {
                 debug!(target: "lockcroft::decision", table, proxy, "bind");
                 if let Some(stream) = self.streams.get_mut(&proxy) {
                     stream.bind(table, classes);
                     self.touched.insert(proxy);
                 }
             }
-            Action::Withdraw { server, withdrawn } => {
-                let name = self.roster.name(server);
-                debug!(target: "lockcroft::decision", name, withdrawn, "withdraw");
-                self.published.withdraw(server, withdrawn);
-                let classes = self.places.classes.len();
-                self.streams.values_mut().for_each(|stream| stream.withdraw(server, withdrawn, classes));
-                self.touch(|_| true);
-            }
-            Action::Admit { table, class, share, second_try } => {
+            Action::Eject { endpoint } => self.set_ejected(endpoint, true),
+            Action::Restore { endpoint } => self.set_ejected(endpoint, false),
+            Action::SetAdmission { table, class, fraction: share, retry: second_try } => {
                 debug!(target: "lockcroft::decision", table, class, share, second_try, "admit");
                 self.published.admit(table, class, share, second_try);
                 self.touch(|stream| stream.on(table));
             }
-            Action::Note { about, text } => {
+            Action::RaiseEvent { endpoint: about, text } => {
                 let about = about.map(|server| self.roster.name(server));
                 info!(target: "lockcroft::note", about, "{text}");
             }
         }
     }
 
+    fn set_ejected(&mut self, endpoint: EndpointId, ejected: bool) {
+        let name = self.roster.name(endpoint);
+        debug!(target: "lockcroft::decision", name, withdrawn = ejected, "withdraw");
+        self.published.withdraw(endpoint, ejected);
+        let classes = self.places.classes.len();
+        self.streams.values_mut().for_each(|stream| stream.withdraw(endpoint, ejected, classes));
+        self.touch(|_| true);
+    }
+
     fn touch(&mut self, meant: impl Fn(&ProxyStream) -> bool) {
         let meant = self.streams.iter().filter(|(_, stream)| meant(stream));
         self.touched.extend(meant.map(|(proxy, _)| *proxy));
@@ -384,7 +387,7 @@
             }
         }
         let all = due.iter().map(|(_, parts)| lines(parts)).sum();
-        let mark = if due.is_empty() { 0.0 } else { self.pilot.sent(due.len(), all) };
+        let mark = if due.is_empty() { 0.0 } else { self.pilot.record_sent(due.len(), all) };
         for (proxy, number, lines) in asked {
             let stream = self.streams.get_mut(&proxy);
             stream.into_iter().for_each(|stream| stream.marked(number, (mark, lines)));
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -105,12 +105,12 @@
             return Err(format!("a whole list without a usable entry, {} faults", faults.len()));
         }
         if whole {
-            let all: BTreeSet<EndpointId> = listings.iter().map(|listing| listing.server).collect();
+            let all: BTreeSet<EndpointId> = listings.iter().map(|listing| listing.endpoint).collect();
             self.moved.extend(self.here.difference(&all));
             self.here.clear();
         }
-        for EndpointRecord { server, state, .. } in &listings {
-            if *state == EndpointStatus::Gone {
+        for EndpointRecord { endpoint: server, status: state, .. } in &listings {
+            if *state == EndpointStatus::Removed {
                 self.here.remove(server);
             } else {
                 self.here.insert(*server);
@@ -135,7 +135,7 @@
         let state = match word("status")? {
             "up" => EndpointStatus::Ready,
             "draining" => EndpointStatus::Draining,
-            "removed" => EndpointStatus::Gone,
+            "removed" => EndpointStatus::Removed,
             other => return Err(format!("status of {name}: {other:?}; allowed: up, draining, removed")),
         };
         let (zone, kind) = (places.zone(word("zone")?)?, places.kind(word("type")?)?);
@@ -148,7 +148,7 @@
         let server = self.names.index(name);
         self.addresses.insert(server, address);
         let age = self.age(now, wall, server, entry["since_ms"].as_u64().unwrap_or(0));
-        Ok(EndpointRecord { server, zone, kind, state, weight, age })
+        Ok(EndpointRecord { endpoint: server, zone, machine_type: kind, status: state, weight, age })
     }
 
     /// How long ago it started. A start that was heard of keeps its age on the pilot's clock, so that two
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -174,7 +174,7 @@
                 line.time("period")?;
                 let server = instance.servers.index(line.word("server")?);
                 line.word("load report")?;
-                instance.guard(|pilot| pilot.reported(now, server, tries, failed, wait));
+                instance.guard(|pilot| pilot.record_attempts(now, server, tries, failed, wait));
             }
             "PROXY_STATS" => {
                 line.number::<u64>("unanswered")?;
@@ -182,7 +182,7 @@
                 let class = instance.places.class(line.word("class")?)?;
                 let proxy = line.number("proxy")?;
                 let visits = line.number("visits")?;
-                instance.guard(|pilot| pilot.counted(proxy, class, visits));
+                instance.guard(|pilot| pilot.record_requests(proxy, class, visits));
             }
             "HEALTH_RESULT" => {
                 let server = instance.servers.index(line.word("server")?);
@@ -193,21 +193,21 @@
                     "done" => HealthCheckOutcome::Passed(load),
                     "err" | "etimedout" => HealthCheckOutcome::Failed,
                     "econnrefused" | "econnreset" => HealthCheckOutcome::Refused,
-                    "busy" | "ecanceled" | "skipped" => HealthCheckOutcome::TurnedAway,
+                    "busy" | "ecanceled" | "skipped" => HealthCheckOutcome::Rejected,
                     other => return Err(format!("unknown verdict {other:?}")),
                 };
-                instance.guard(|pilot| pilot.probed(now, server, finding, wait));
+                instance.guard(|pilot| pilot.health_check_finished(now, server, finding, wait));
             }
             "ENROLLED" => {
                 let fresh = line.flag("fresh")?;
                 let proxy = line.number("proxy")?;
                 let rate = line.amount("rate")?;
                 let zone = instance.places.zone(line.word("zone")?)?;
-                instance.guard(|pilot| pilot.joined(proxy, zone, rate, fresh));
+                instance.guard(|pilot| pilot.attach_proxy(proxy, zone, rate, fresh));
             }
             "DETACHED" => {
                 let proxy = line.number("proxy")?;
-                instance.guard(|pilot| pilot.left(proxy));
+                instance.guard(|pilot| pilot.detach_proxy(proxy));
             }
             "REMINDER" => {
                 line.number::<u64>("tag")?;
@@ -273,7 +273,7 @@
         let clock = self.clock;
         if let Some(instance) = self.instances.get_mut(&number) {
             let now = clock.saturating_sub(instance.born);
-            instance.guard(|pilot| pilot.listed(now, full, version, entries));
+            instance.guard(|pilot| pilot.update_endpoints(now, full, version, entries));
         }
     }
 
@@ -308,14 +308,14 @@
         let state = match line.word("state")? {
             "U" => EndpointStatus::Ready,
             "L" => EndpointStatus::Draining,
-            "D" => EndpointStatus::Gone,
+            "D" => EndpointStatus::Removed,
             other => return Err(format!("unknown state {other:?}")),
         };
         let weight = line.amount("weight")?;
         let started = line.time_or_none("start")?.filter(|started| !started.is_zero());
         line.end()?;
         let age = started.map(|started| clock.saturating_sub(started));
-        Ok(EndpointRecord { server, zone, kind, state, weight, age })
+        Ok(EndpointRecord { endpoint: server, zone, machine_type: kind, status: state, weight, age })
     }
 
     /// Calls the pilot; if that fails, the instance has failed and no other.
@@ -332,7 +332,7 @@
     fn decide(&mut self, number: u32, clock: Duration, reply: &mut String) {
         let now = clock.saturating_sub(self.born);
         while self.idle.is_none() {
-            match self.guard(|pilot| pilot.next_decision(now)) {
+            match self.guard(|pilot| pilot.next_action(now)) {
                 Some(Some(decision)) => self.encode(number, decision, reply),
                 _ => break,
             }
@@ -355,28 +355,29 @@
     fn encode(&self, number: u32, decision: Action, reply: &mut String) {
         let name = |server: usize| self.servers.name(server);
         match decision {
-            Action::Probe(server) => line(reply, format_args!("POLL {number} {}", name(server))),
-            Action::Weigh { table, server, weight } => {
+            Action::CheckHealth(server) => line(reply, format_args!("POLL {number} {}", name(server))),
+            Action::SetWeight { table, endpoint: server, weight } => {
                 line(reply, format_args!("SET_LINE {number} {weight} {table} {}", name(server)))
             }
-            Action::Bind { table, classes, proxy } => {
+            Action::AssignTable { table, classes, proxy } => {
                 let bits = classes.iter().fold(0u64, |bits, class| bits | 1 << class);
                 line(reply, format_args!("HAND_TABLE {number} {proxy} {table} {bits}"))
             }
-            Action::Withdraw { server, withdrawn } => {
-                line(reply, format_args!("BENCH {number} {} {}", u8::from(withdrawn), name(server)))
-            }
-            Action::Admit { table, class, share, second_try } => {
+            Action::Eject { endpoint } => line(reply, format_args!("BENCH {number} 1 {}", name(endpoint))),
+            Action::Restore { endpoint } => line(reply, format_args!("BENCH {number} 0 {}", name(endpoint))),
+            Action::SetAdmission { table, class, fraction: share, retry: second_try } => {
                 let second_try = u8::from(second_try);
                 line(
                     reply,
                     format_args!("GATE_CLASS {number} {table} {} {share} {second_try}", 1u64 << class),
                 )
             }
-            Action::Note { about: Some(server), text } => {
+            Action::RaiseEvent { endpoint: Some(server), text } => {
                 line(reply, format_args!("NOTE_DOWN {number} {} {text}", name(server)))
             }
-            Action::Note { about: None, text } => line(reply, format_args!("NOTE_DOWN {number} {text}")),
+            Action::RaiseEvent { endpoint: None, text } => {
+                line(reply, format_args!("NOTE_DOWN {number} {text}"))
+            }
         }
     }
 }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -7,24 +7,28 @@
 
 /// Tries that ended, and how.
 #[derive(Clone, Copy, Default)]
-pub struct Tally {
+pub struct AttemptStats {
     pub tries: f64,
     pub failed: f64,
     /// Seconds spent on tries that were answered.
     pub answered: f64,
 }
 
-impl Tally {
+impl AttemptStats {
     pub fn new(tries: u32, failed: u32, took: Duration) -> Self {
         let (tries, failed) = (f64::from(tries), f64::from(failed.min(tries)));
-        Tally { tries, failed, answered: (tries - failed) * took.as_secs_f64() }
+        AttemptStats { tries, failed, answered: (tries - failed) * took.as_secs_f64() }
     }
 
     /// This, and `keep` of what was before.
-    pub fn over(self, before: Tally, keep: f64) -> Tally {
+    pub fn over(self, before: AttemptStats, keep: f64) -> AttemptStats {
         let sum = |new: f64, old: f64| new + old * keep;
         let answered = sum(self.answered, before.answered);
-        Tally { tries: sum(self.tries, before.tries), failed: sum(self.failed, before.failed), answered }
+        AttemptStats {
+            tries: sum(self.tries, before.tries),
+            failed: sum(self.failed, before.failed),
+            answered,
+        }
     }
 
     pub fn failing(&self) -> f64 {
@@ -37,10 +41,10 @@
     }
 }
 
-/// Whom an order is for: proxies on fewer tables than this whose joining had a later number, those on a
+/// Recipients an order is for: proxies on fewer tables than this whose joining had a later number, those on a
 /// table, or one.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Whom {
+pub enum Recipients {
     Unbound(usize, u64),
     On(TableId),
     One(ProxyId),
@@ -49,62 +53,62 @@
 /// What is known of a server.
 #[derive(Default)]
 pub struct EndpointState {
-    pub listing: EndpointRecord,
-    pub part: usize,
+    pub record: EndpointRecord,
+    pub subset: usize,
     /// `None` until the first result.
-    pub counter: Option<u32>,
-    pub probe_at: Duration,
-    pub probe_sent: Option<Duration>,
+    pub health_counter: Option<u32>,
+    pub next_check_at: Duration,
+    pub check_started_at: Option<Duration>,
     /// Its process started at the one time, and is warm by the other.
-    pub started: Duration,
-    pub warm_at: Duration,
-    pub relief: f64,
+    pub started_at: Duration,
+    pub warmed_up_at: Duration,
+    pub weight_factor: f64,
     /// Reports before this time tell of the server as it was before it started or came back.
-    pub heed_from: Duration,
+    pub reports_valid_from: Duration,
     /// Condemned by reports: passing probes don't count before this time.
-    pub doubted_until: Duration,
+    pub outlier_until: Duration,
     /// What reports told since the last review, and of late.
-    pub fresh: Tally,
-    pub recent: Tally,
+    pub unevaluated: AttemptStats,
+    pub recent: AttemptStats,
     /// Share of its cores in use, where it tells.
     pub load: Option<f64>,
-    pub withdrawn: bool,
+    pub ejected: bool,
     /// The withdrawal reached the proxies whose joining had this number or a lower one.
-    pub heard: u64,
+    pub ejected_up_to_generation: u64,
 }
 
 impl EndpointState {
-    pub fn barred(&self) -> bool {
-        self.listing.state != EndpointStatus::Ready
+    pub fn is_not_ready(&self) -> bool {
+        self.record.status != EndpointStatus::Ready
     }
 
-    pub fn cold(&self, now: Duration) -> bool {
-        now < self.warm_at
+    pub fn is_warming_up(&self, now: Duration) -> bool {
+        now < self.warmed_up_at
     }
 }
 
 /// A table that proxies share.
 #[derive(Default)]
 pub struct RoutingTable {
-    pub part: usize,
-    /// Zones and kinds that its classes are bound to.
+    pub subset: usize,
+    /// Zones and machine types that its classes are bound to.
     pub only: [Option<Vec<usize>>; 2],
     pub released: bool,
     /// Weights as they should be by the last plan, and as they were published.
-    pub wanted: BTreeMap<EndpointId, f64>,
-    pub lines: BTreeMap<EndpointId, f64>,
+    pub desired: BTreeMap<EndpointId, f64>,
+    pub published: BTreeMap<EndpointId, f64>,
     /// How late its servers are, by their part in it, and which share of their tries fails, where told.
-    pub late: f64,
-    pub failing: Option<f64>,
+    pub latency_ratio: f64,
+    pub failure_ratio: Option<f64>,
     /// What each server has of its listed weight here by a plan made ahead; none: all of its part's.
-    pub shares: BTreeMap<EndpointId, f64>,
+    pub planned_weights: BTreeMap<EndpointId, f64>,
     /// What it keeps of its part at servers that classes with less choice need.
-    pub kept: f64,
+    pub flexible_fraction: f64,
 }
 
 impl RoutingTable {
     pub fn allows(&self, listing: &EndpointRecord) -> bool {
-        let place = [listing.zone, listing.kind];
+        let place = [listing.zone, listing.machine_type];
         self.only.iter().zip(place).all(|(only, at)| only.as_ref().is_none_or(|only| only.contains(&at)))
     }
 
@@ -113,16 +117,16 @@
     }
 
     pub fn wants(&self, server: EndpointId) -> f64 {
-        self.wanted.get(&server).copied().unwrap_or(0.0)
+        self.desired.get(&server).copied().unwrap_or(0.0)
     }
 
     pub fn held(&self, server: EndpointId) -> f64 {
-        self.lines.get(&server).copied().unwrap_or(0.0)
+        self.published.get(&server).copied().unwrap_or(0.0)
     }
 
     /// Lines that a proxy gets with the whole table.
     pub fn laid(&self) -> usize {
-        self.lines.values().filter(|weight| **weight > 0.0).count()
+        self.published.values().filter(|weight| **weight > 0.0).count()
     }
 }
 
@@ -131,15 +135,15 @@
     pub class: ClassId,
     pub table: TableId,
     pub name: String,
-    pub contract: f64,
-    pub earnings: f64,
+    pub latency_objective: f64,
+    pub value: f64,
     /// Visits that came of late, and the share that should be let in.
     pub demand: f64,
-    pub level: f64,
+    pub rate: f64,
     /// The share that a plan made ahead has room for.
-    pub planned: f64,
+    pub planned_rate: f64,
     /// As it was published.
-    pub admitted: Option<f64>,
+    pub published: Option<f64>,
 }
 
 impl ClassAdmission {
@@ -149,45 +153,57 @@
             class,
             table,
             name: terms.text(&name("name")).unwrap_or("a class without a name").to_string(),
-            contract: terms.time(&name("contract_time_us")).unwrap_or_default().as_secs_f64().max(1e-3),
-            earnings: terms.number(&name("earnings")).unwrap_or(1.0),
+            latency_objective: terms
+                .time(&name("contract_time_us"))
+                .unwrap_or_default()
+                .as_secs_f64()
+                .max(1e-3),
+            value: terms.number(&name("earnings")).unwrap_or(1.0),
             demand: 0.0,
-            level: 1.0,
-            planned: 1.0,
-            admitted: None,
+            rate: 1.0,
+            planned_rate: 1.0,
+            published: None,
         }
     }
 }
 
+/// What the decisions believe, want and have published, to be shown and persisted.
+#[derive(Clone, Copy)]
+pub struct Snapshot<'a> {
+    pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
+    pub tables: &'a [RoutingTable],
+    pub admissions: &'a [ClassAdmission],
+}
+
 /// A proxy whose stream stands.
 #[derive(Default)]
-pub struct Joined {
+pub struct ProxyState {
     /// Joinings are numbered from 1.
-    pub number: u64,
+    pub generation: u64,
     pub zone: ZoneId,
     /// Visits a second that it usually has.
-    pub rate: f64,
-    pub fresh: bool,
-    pub part: Option<usize>,
+    pub request_rate: f64,
+    pub has_no_table: bool,
+    pub subset: Option<usize>,
     pub tables: Vec<TableId>,
     pub messages: VecDeque<Duration>,
 }
 
-impl Joined {
-    fn meant(&self, whom: Whom) -> bool {
+impl ProxyState {
+    fn meant(&self, whom: Recipients) -> bool {
         match whom {
-            Whom::On(table) => self.tables.contains(&table),
-            Whom::Unbound(tables, number) => self.tables.len() < tables && self.number > number,
-            Whom::One(_) => true,
+            Recipients::On(table) => self.tables.contains(&table),
+            Recipients::Unbound(tables, number) => self.tables.len() < tables && self.generation > number,
+            Recipients::One(_) => true,
         }
     }
 }
 
-/// Joined proxies, the tables they are on, and the messages that went to them. What goes out at one
+/// ProxyState proxies, the tables they are on, and the messages that went to them. What goes out at one
 /// time travels together, as one message to each.
 #[derive(Default)]
-pub struct Channel {
-    pub proxies: BTreeMap<ProxyId, Joined>,
+pub struct UpdateChannel {
+    pub proxies: BTreeMap<ProxyId, ProxyState>,
     /// How many joinings there were.
     pub joinings: u64,
     on: BTreeMap<TableId, usize>,
@@ -203,15 +219,15 @@
     /// Lines sent up to the last mark.
     marked: f64,
     as_of: Duration,
-    /// Whom the orders of this time went to.
-    begun: Vec<Whom>,
+    /// Recipients the orders of this time went to.
+    begun: Vec<Recipients>,
 }
 
-impl Channel {
-    pub fn join(&mut self, proxy: ProxyId, joined: Joined) {
+impl UpdateChannel {
+    pub fn join(&mut self, proxy: ProxyId, joined: ProxyState) {
         self.leave(proxy);
         self.joinings += 1;
-        self.proxies.insert(proxy, Joined { number: self.joinings, ..joined });
+        self.proxies.insert(proxy, ProxyState { generation: self.joinings, ..joined });
     }
 
     pub fn leave(&mut self, proxy: ProxyId) {
@@ -232,38 +248,38 @@
     pub fn carried(&self, parts: usize) -> Vec<f64> {
         let mut carried = vec![0.0; parts];
         for joined in self.proxies.values() {
-            if let Some(part) = joined.part {
-                carried[part] += joined.rate;
+            if let Some(part) = joined.subset {
+                carried[part] += joined.request_rate;
             }
         }
         carried
     }
 
     pub fn mean_rate(&self) -> f64 {
-        let rates: f64 = self.proxies.values().map(|joined| joined.rate).sum();
+        let rates: f64 = self.proxies.values().map(|joined| joined.request_rate).sum();
         rates / self.proxies.len().max(1) as f64
     }
 
     /// Proxies on fewer tables than this, those with most visits first.
-    pub fn unbound(&mut self, tables: usize) -> Vec<(ProxyId, &mut Joined)> {
+    pub fn unbound(&mut self, tables: usize) -> Vec<(ProxyId, &mut ProxyState)> {
         let proxies = self.proxies.iter_mut().map(|(proxy, joined)| (*proxy, joined));
         let mut unbound: Vec<_> = proxies.filter(|(_, joined)| joined.tables.len() < tables).collect();
-        unbound.sort_by(|(_, a), (_, b)| b.rate.total_cmp(&a.rate));
+        unbound.sort_by(|(_, a), (_, b)| b.request_rate.total_cmp(&a.request_rate));
         unbound
     }
 
-    pub fn count(&self, whom: Whom) -> usize {
+    pub fn count(&self, whom: Recipients) -> usize {
         match whom {
-            Whom::Unbound(..) => self.proxies.values().filter(|joined| joined.meant(whom)).count(),
-            Whom::On(table) => self.on.get(&table).copied().unwrap_or(0),
-            Whom::One(_) => 1,
+            Recipients::Unbound(..) => self.proxies.values().filter(|joined| joined.meant(whom)).count(),
+            Recipients::On(table) => self.on.get(&table).copied().unwrap_or(0),
+            Recipients::One(_) => 1,
         }
     }
 
     /// The number of the newest joining among these; 0 if there is none.
-    pub fn newest(&self, whom: Whom) -> u64 {
+    pub fn newest(&self, whom: Recipients) -> u64 {
         let meant = self.proxies.values().filter(|joined| joined.meant(whom));
-        meant.map(|joined| joined.number).max().unwrap_or(0)
+        meant.map(|joined| joined.generation).max().unwrap_or(0)
     }
 
     /// Lines that still wait, where the channel has sent so many a second.
@@ -309,7 +325,7 @@
 
     /// How many messages an order of this time would begin, and how many the proxy among them with the
     /// most has had within this span.
-    pub fn begins(&mut self, whom: Whom, span: Duration) -> (usize, usize) {
+    pub fn begins(&mut self, whom: Recipients, span: Duration) -> (usize, usize) {
         let now = self.as_of;
         if self.begun.contains(&whom) {
             return (0, 0);
@@ -321,18 +337,21 @@
         })
     }
 
-    pub fn send(&mut self, whom: Whom, cost: f64) {
+    pub fn send(&mut self, whom: Recipients, cost: f64) {
         let now = self.as_of;
         self.cost(cost);
         if !self.begun.contains(&whom) {
             let new = reached(&mut self.proxies, whom).filter(|joined| joined.messages.back() != Some(&now));
             new.for_each(|joined| joined.messages.push_back(now));
-            self.begun.extend((!matches!(whom, Whom::One(_))).then_some(whom));
+            self.begun.extend((!matches!(whom, Recipients::One(_))).then_some(whom));
         }
     }
 }
 
-fn reached(proxies: &mut BTreeMap<ProxyId, Joined>, whom: Whom) -> impl Iterator<Item = &mut Joined> {
-    let (first, last) = if let Whom::One(proxy) = whom { (proxy, proxy) } else { (0, ProxyId::MAX) };
+fn reached(
+    proxies: &mut BTreeMap<ProxyId, ProxyState>,
+    whom: Recipients,
+) -> impl Iterator<Item = &mut ProxyState> {
+    let (first, last) = if let Recipients::One(proxy) = whom { (proxy, proxy) } else { (0, ProxyId::MAX) };
     proxies.range_mut(first..=last).map(|(_, joined)| joined).filter(move |joined| joined.meant(whom))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod logic;
 mod terms;
 
-pub use ledger::{ClassAdmission, EndpointState, RoutingTable};
+pub use ledger::{ClassAdmission, EndpointState, RoutingTable, Snapshot};
 pub use logic::Controller;
 pub use terms::{SettingValue, Settings};
 
@@ -24,10 +24,10 @@
 /// What the list of servers says of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointRecord {
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     pub zone: ZoneId,
-    pub kind: MachineTypeId,
-    pub state: EndpointStatus,
+    pub machine_type: MachineTypeId,
+    pub status: EndpointStatus,
     /// The listed weight; 1 where the list gives none.
     pub weight: f64,
     /// How long ago its process started; `None` if that was long ago.
@@ -39,7 +39,7 @@
     #[default]
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// How one probe ended.
@@ -52,9 +52,9 @@
     /// Nothing listens there, or the connection broke.
     Refused,
     /// Turned away, which says nothing of the server's health.
-    TurnedAway,
+    Rejected,
     /// It ended at an address that the server has left since, which says nothing at all.
-    Moved,
+    AddressChanged,
 }
 
 /// One decision, to be carried out by the host before it asks for the next. All decisions given
@@ -62,16 +62,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Look at a server and tell [`Controller::probed`].
-    Probe(EndpointId),
+    CheckHealth(EndpointId),
     /// Give a server this weight in a table; 0 takes it out.
-    Weigh { table: TableId, server: EndpointId, weight: f64 },
+    SetWeight { table: TableId, endpoint: EndpointId, weight: f64 },
     /// Put a proxy on a table, for these classes.
-    Bind { table: TableId, classes: Vec<ClassId>, proxy: ProxyId },
+    AssignTable { table: TableId, classes: Vec<ClassId>, proxy: ProxyId },
     /// Keep every joined proxy from a server, whatever tables it holds, or end that.
-    Withdraw { server: EndpointId, withdrawn: bool },
+    Eject { endpoint: EndpointId },
+    /// End an ejection.
+    Restore { endpoint: EndpointId },
     /// Let in this share of a class's visits at a table, and say whether proxies try once more after proof
     /// that a try never ran.
-    Admit { table: TableId, class: ClassId, share: f64, second_try: bool },
+    SetAdmission { table: TableId, class: ClassId, fraction: f64, retry: bool },
     /// Tell the people on call, of one server or in general.
-    Note { about: Option<EndpointId>, text: String },
+    RaiseEvent { endpoint: Option<EndpointId>, text: String },
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -20,7 +20,10 @@
 use std::time::Duration;
 
 use crate::chance::Chance;
-use crate::ledger::{Channel, ClassAdmission, EndpointState, Joined, RoutingTable, Tally, Whom};
+use crate::ledger::{
+    AttemptStats, ClassAdmission, EndpointState, ProxyState, Recipients, RoutingTable, Snapshot,
+    UpdateChannel,
+};
 use crate::{
     Action, ClassId, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, ProxyId, Settings,
     TableId, ZoneId,
@@ -104,13 +107,13 @@
         self.recent.lateness(contract).max(if busy { WORSE * LATE } else { 0.0 })
     }
 
-    pub fn up(&self) -> bool {
-        self.counter.is_some_and(|counter| counter >= RISE)
+    pub fn is_up(&self) -> bool {
+        self.health_counter.is_some_and(|counter| counter >= RISE)
     }
 
     /// So many results come in at once; the first one decides directly.
     fn moved(&mut self, by: i32) {
-        self.counter = match self.counter {
+        self.health_counter = match self.health_counter {
             None if by == 0 => None,
             None => Some(if by > 0 { TOP } else { 0 }),
             Some(counter) => Some(counter.saturating_add_signed(by).min(TOP)),
@@ -120,13 +123,13 @@
     /// Whether proxies must not send to it, whatever tables they hold. While some hold tables of before,
     /// a cold server would get all of its weight there: the hold keeps it out.
     fn kept_out(&self, now: Duration, holding: bool) -> bool {
-        self.barred() || holding && self.cold(now)
+        self.is_not_ready() || holding && self.is_warming_up(now)
     }
 
     /// The share of its work that it can surely do, growing evenly from the cold share.
-    pub fn warmth(&self, now: Duration, cold_share: f64) -> f64 {
-        let left = self.warm_at.saturating_sub(now).as_secs_f64();
-        let all = (self.warm_at - self.started).as_secs_f64().max(1e-6);
+    pub fn slow_start_factor(&self, now: Duration, cold_share: f64) -> f64 {
+        let left = self.warmed_up_at.saturating_sub(now).as_secs_f64();
+        let all = (self.warmed_up_at - self.started_at).as_secs_f64().max(1e-6);
         1.0 - (1.0 - cold_share) * left / all
     }
 }
@@ -156,7 +159,7 @@
     gates: Vec<ClassAdmission>,
     outdated: bool,
     servers: BTreeMap<EndpointId, EndpointState>,
-    channel: Channel,
+    channel: UpdateChannel,
     /// Times at which a probe is due or lost; those that others took the place of are passed over.
     due: BTreeSet<(Duration, EndpointId)>,
     ready: VecDeque<Action>,
@@ -202,13 +205,13 @@
         for part in 0..self.parts {
             for (class, only) in classes.iter().enumerate() {
                 // Classes that may use the same servers share a table: each line and binding costs once.
-                let alike = |table: &RoutingTable| table.part == part && table.only == *only;
+                let alike = |table: &RoutingTable| table.subset == part && table.only == *only;
                 let table = self.tables.iter().position(alike).unwrap_or(self.tables.len());
                 if table == self.tables.len() {
                     self.tables.push(RoutingTable {
-                        part,
+                        subset: part,
                         only: only.clone(),
-                        kept: 1.0,
+                        flexible_fraction: 1.0,
                         ..RoutingTable::default()
                     });
                 }
@@ -216,136 +219,161 @@
             }
         }
         self.each = self.tables.len() / self.parts;
-        self.gates.sort_by(|a, b| (a.earnings / a.contract).total_cmp(&(b.earnings / b.contract)));
+        self.gates
+            .sort_by(|a, b| (a.value / a.latency_objective).total_cmp(&(b.value / b.latency_objective)));
     }
 
     /// The list of servers is at this version; `full` says that the entries are all of it.
-    pub fn listed(&mut self, now: Duration, full: bool, version: u64, entries: &[EndpointRecord]) {
+    pub fn update_endpoints(&mut self, now: Duration, full: bool, version: u64, entries: &[EndpointRecord]) {
         self.outdated |= self.servers.is_empty() && version > 0;
         self.news = true;
         // Where only draining binds, a list that calls servers gone takes nothing from them.
         let binds = !self.terms.flag("rules.only_draining_binds");
-        let here: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.server).collect();
+        let here: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         let gone = |server: &EndpointId| full && binds && !here.contains(server);
         for (_, known) in self.servers.iter_mut().filter(|(server, _)| gone(server)) {
-            known.listing.state = EndpointStatus::Gone;
+            known.record.status = EndpointStatus::Removed;
         }
         if self.tables.is_empty() && !entries.is_empty() {
             self.lay_out(entries.len());
         }
         // Dealt to the parts of their zone like cards, so that each has its share of every kind.
-        let known = |entry: &&EndpointRecord| self.servers.contains_key(&entry.server);
-        let unknown = |entry: &&EndpointRecord| entry.state != EndpointStatus::Gone && !known(entry);
+        let known = |entry: &&EndpointRecord| self.servers.contains_key(&entry.endpoint);
+        let unknown = |entry: &&EndpointRecord| entry.status != EndpointStatus::Removed && !known(entry);
         let mut new: Vec<EndpointRecord> = entries.iter().filter(unknown).copied().collect();
-        let place = |listing: &EndpointRecord| (listing.kind, listing.zone);
-        new.sort_by_key(|entry| (place(entry), entry.server));
+        let place = |listing: &EndpointRecord| (listing.machine_type, listing.zone);
+        new.sort_by_key(|entry| (place(entry), entry.endpoint));
         for listing in new {
             let mut dealt = vec![(0, 0); self.parts];
-            for known in self.servers.values().filter(|known| !known.barred()) {
-                let (alike, all) = &mut dealt[known.part];
-                (*alike, *all) = (*alike + usize::from(place(&known.listing) == place(&listing)), *all + 1);
+            for known in self.servers.values().filter(|known| !known.is_not_ready()) {
+                let (alike, all) = &mut dealt[known.subset];
+                (*alike, *all) = (*alike + usize::from(place(&known.record) == place(&listing)), *all + 1);
             }
             let near = (0..self.parts).filter(|part| part % self.places == listing.zone % self.places);
             let part = near.min_by_key(|part| dealt[*part]).unwrap_or(0);
             let new = EndpointState {
-                part,
-                listing,
-                relief: 1.0,
-                probe_at: Duration::MAX,
+                subset: part,
+                record: listing,
+                weight_factor: 1.0,
+                next_check_at: Duration::MAX,
                 ..EndpointState::default()
             };
-            self.servers.insert(listing.server, new);
+            self.servers.insert(listing.endpoint, new);
         }
         let (within, settle, probes) =
             (self.terms.span("rules.warm_within_us"), self.settle(), self.terms.flag("allowed.probes"));
         for entry in entries {
-            let known =
-                self.servers.get_mut(&entry.server).filter(|_| binds || entry.state != EndpointStatus::Gone);
+            let known = self
+                .servers
+                .get_mut(&entry.endpoint)
+                .filter(|_| binds || entry.status != EndpointStatus::Removed);
             let Some(known) = known else { continue };
-            let fresh = known.probe_at == Duration::MAX || known.barred();
-            known.listing = *entry;
+            let fresh = known.next_check_at == Duration::MAX || known.is_not_ready();
+            known.record = *entry;
             let age = entry.age.unwrap_or(within);
             let warm_at = (now + within).saturating_sub(age);
             // Repeated or older news of a start changes nothing.
-            let started = warm_at > now && warm_at > known.warm_at;
+            let started = warm_at > now && warm_at > known.warmed_up_at;
             if started {
-                (known.started, known.warm_at) = (now.saturating_sub(age), warm_at);
+                (known.started_at, known.warmed_up_at) = (now.saturating_sub(age), warm_at);
             }
             // A new process has a health of its own. Where probes are not allowed, all have passed one.
-            if started || fresh && !known.barred() {
-                known.counter = (!probes).then_some(TOP);
-                (known.fresh, known.recent) = (Tally::default(), Tally::default());
-                (known.heed_from, known.doubted_until) = (now + settle, Duration::ZERO);
-                known.probe_at = now + GATHER.mul_f64(1.0 - self.chance.draw());
-                self.due.extend(probes.then_some((known.probe_at, entry.server)));
+            if started || fresh && !known.is_not_ready() {
+                known.health_counter = (!probes).then_some(TOP);
+                (known.unevaluated, known.recent) = (AttemptStats::default(), AttemptStats::default());
+                (known.reports_valid_from, known.outlier_until) = (now + settle, Duration::ZERO);
+                known.next_check_at = now + GATHER.mul_f64(1.0 - self.chance.draw());
+                self.due.extend(probes.then_some((known.next_check_at, entry.endpoint)));
             }
         }
     }
 
-    pub fn probed(&mut self, now: Duration, server: EndpointId, finding: HealthCheckOutcome, took: Duration) {
+    pub fn health_check_finished(
+        &mut self,
+        now: Duration,
+        server: EndpointId,
+        finding: HealthCheckOutcome,
+        took: Duration,
+    ) {
         let Some(known) = self.servers.get_mut(&server) else { return };
         let by = match finding {
             HealthCheckOutcome::Passed(load) => {
                 known.load = load;
-                i32::from(now >= known.doubted_until)
+                i32::from(now >= known.outlier_until)
             }
             // It is too full to tell: what it told before would look like room.
-            HealthCheckOutcome::TurnedAway => {
+            HealthCheckOutcome::Rejected => {
                 known.load = known.load.map(|_| 1.0);
                 0
             }
-            HealthCheckOutcome::Moved => 0,
+            HealthCheckOutcome::AddressChanged => 0,
             HealthCheckOutcome::Failed | HealthCheckOutcome::Refused => -1,
         };
         // It ends the probe that is out, not one before, within the wait: what comes later was lost then.
         let out = |sent: Duration| sent + took <= now && now < sent + PROBE_WAIT;
-        if known.probe_sent.is_some_and(out) {
+        if known.check_started_at.is_some_and(out) {
             self.probe_ended(now, server, by);
         }
     }
 
     /// What proxies met at a server: `took` is the mean time of the tries that were answered.
-    pub fn reported(&mut self, now: Duration, server: EndpointId, tries: u32, failed: u32, took: Duration) {
+    pub fn record_attempts(
+        &mut self,
+        now: Duration,
+        server: EndpointId,
+        tries: u32,
+        failed: u32,
+        took: Duration,
+    ) {
         let Some(known) = self.servers.get_mut(&server) else { return };
-        if now >= known.heed_from {
-            known.fresh = Tally::new(tries, failed, took).over(known.fresh, 1.0);
+        if now >= known.reports_valid_from {
+            known.unevaluated = AttemptStats::new(tries, failed, took).over(known.unevaluated, 1.0);
         }
     }
 
-    pub fn counted(&mut self, proxy: ProxyId, class: ClassId, visits: u32) {
-        let part = self.channel.proxies.get(&proxy).and_then(|joined| joined.part);
+    pub fn record_requests(&mut self, proxy: ProxyId, class: ClassId, visits: u32) {
+        let part = self.channel.proxies.get(&proxy).and_then(|joined| joined.subset);
         for gate in self.gates.iter_mut().filter(|gate| gate.class == class) {
-            gate.demand += if part == Some(self.tables[gate.table].part) { f64::from(visits) } else { 0.0 };
+            gate.demand += if part == Some(self.tables[gate.table].subset) { f64::from(visits) } else { 0.0 };
         }
     }
 
     /// A proxy's stream stands. Its tables are of before; unless `fresh`, it may shun what failed it.
-    pub fn joined(&mut self, proxy: ProxyId, zone: ZoneId, rate: f64, fresh: bool) {
+    pub fn attach_proxy(&mut self, proxy: ProxyId, zone: ZoneId, rate: f64, fresh: bool) {
         let part = (self.parts == 1).then_some(0);
-        self.channel.join(proxy, Joined { zone, rate, fresh, part, ..Joined::default() });
+        self.channel.join(
+            proxy,
+            ProxyState {
+                zone,
+                request_rate: rate,
+                has_no_table: fresh,
+                subset: part,
+                ..ProxyState::default()
+            },
+        );
         self.news = true;
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn detach_proxy(&mut self, proxy: ProxyId) {
         self.channel.leave(proxy);
     }
 
     /// A plan made ahead has room for this share of a class's visits: no more is let in, whatever is late.
-    pub fn planned(&mut self, class: ClassId, share: f64) {
-        self.gates.iter_mut().filter(|gate| gate.class == class).for_each(|gate| gate.planned = share);
+    pub fn set_planned_fraction(&mut self, class: ClassId, share: f64) {
+        self.gates.iter_mut().filter(|gate| gate.class == class).for_each(|gate| gate.planned_rate = share);
     }
 
     /// A plan made ahead for one table: what each server has there of its listed weight, none for those not
     /// named. Where too few of them are well, all beside it stand in, as listed.
-    pub fn apportioned(&mut self, table: TableId, shares: BTreeMap<EndpointId, f64>) {
+    pub fn set_planned_weights(&mut self, table: TableId, shares: BTreeMap<EndpointId, f64>) {
         if let Some(table) = self.tables.get_mut(table) {
-            table.shares = shares;
+            table.planned_weights = shares;
         }
     }
 
     /// What was known of a server before this start and is still good: relief, how long ago it was started,
     /// what is left of its warm-up and of a doubt. One that is gone is named: proxies may still hold it.
-    pub fn recalled(
+    pub fn recover_endpoint(
         &mut self,
         now: Duration,
         listing: EndpointRecord,
@@ -355,67 +383,67 @@
     ) {
         let near = |part: &usize| part % self.places.max(1) == listing.zone % self.places.max(1);
         let part = (0..self.parts).find(near).unwrap_or(0);
-        let Some(known) = self.servers.get_mut(&listing.server) else {
-            if listing.state == EndpointStatus::Gone && self.parts > 0 {
+        let Some(known) = self.servers.get_mut(&listing.endpoint) else {
+            if listing.status == EndpointStatus::Removed && self.parts > 0 {
                 let gone = EndpointState {
-                    part,
-                    listing,
-                    relief: 1.0,
-                    probe_at: Duration::MAX,
+                    subset: part,
+                    record: listing,
+                    weight_factor: 1.0,
+                    next_check_at: Duration::MAX,
                     ..EndpointState::default()
                 };
-                self.servers.insert(listing.server, gone);
+                self.servers.insert(listing.endpoint, gone);
                 self.news = true;
             }
             return;
         };
-        known.relief = known.relief.min(relief.max(RELIEF_LEAST));
-        known.doubted_until = known.doubted_until.max(now + doubted);
-        if let Some((since, left)) = warming.filter(|(_, left)| now + *left > known.warm_at) {
-            (known.started, known.warm_at) = (now.saturating_sub(since), now + left);
+        known.weight_factor = known.weight_factor.min(relief.max(RELIEF_LEAST));
+        known.outlier_until = known.outlier_until.max(now + doubted);
+        if let Some((since, left)) = warming.filter(|(_, left)| now + *left > known.warmed_up_at) {
+            (known.started_at, known.warmed_up_at) = (now.saturating_sub(since), now + left);
         }
     }
 
     /// A level of before this start that is still to be believed.
-    pub fn recalled_level(&mut self, class: ClassId, table: TableId, level: f64) {
+    pub fn recover_admission(&mut self, class: ClassId, table: TableId, level: f64) {
         let meant = |gate: &&mut ClassAdmission| gate.class == class && gate.table == table;
         self.gates
             .iter_mut()
             .filter(meant)
-            .for_each(|gate| gate.level = gate.level.min(level.max(ALWAYS_LEFT)));
+            .for_each(|gate| gate.rate = gate.rate.min(level.max(ALWAYS_LEFT)));
     }
 
     /// So many lines really wait, where the host can tell: proxies that stall take none.
-    pub fn queued(&mut self, lines: usize) {
+    pub fn set_queued_entries(&mut self, lines: usize) {
         self.channel.queued = Some(lines as f64);
     }
 
     /// So many messages with so many lines went out, where the host can tell; marks among them are this one.
-    pub fn sent(&mut self, messages: usize, lines: usize) -> f64 {
+    pub fn record_sent(&mut self, messages: usize, lines: usize) -> f64 {
         let head = self.terms.number("fleet.message_head_lines").unwrap_or(0.0);
         self.channel.mark(lines as f64 + messages as f64 * head)
     }
 
-    pub fn applied(&mut self, mark: f64, lines: usize) {
+    pub fn record_acknowledged(&mut self, mark: f64, lines: usize) {
         self.channel.applied(mark, lines as f64);
     }
 
     /// What is believed of each server, the tables as wanted and published, and what is let in, to be shown.
-    pub fn beliefs(&self) -> (&BTreeMap<EndpointId, EndpointState>, &[RoutingTable], &[ClassAdmission]) {
-        (&self.servers, &self.tables, &self.gates)
+    pub fn snapshot(&self) -> Snapshot<'_> {
+        Snapshot { endpoints: &self.servers, tables: &self.tables, admissions: &self.gates }
     }
 
     pub fn next_due(&self) -> Duration {
         self.due.first().map_or(self.next_beat, |(time, _)| self.next_beat.min(*time))
     }
 
-    pub fn next_decision(&mut self, now: Duration) -> Option<Action> {
+    pub fn next_action(&mut self, now: Duration) -> Option<Action> {
         self.pass_time(now);
         if std::mem::take(&mut self.news) {
             self.plan(now);
         }
         while let Some(Step(part, order)) = self.steps.pop_front() {
-            let heard = |server: &EndpointId| self.servers[server].heard >= self.newest();
+            let heard = |server: &EndpointId| self.servers[server].ejected_up_to_generation >= self.newest();
             if matches!(&order, Order::Withdraw(server, true) if heard(server)) {
                 continue;
             }
@@ -434,11 +462,12 @@
         while let Some((time, server)) = self.due.first().copied().filter(|(time, _)| *time <= now) {
             self.due.remove(&(time, server));
             let Some(known) = self.servers.get_mut(&server) else { continue };
-            if known.probe_sent.is_some_and(|sent| sent + PROBE_WAIT == time) {
+            if known.check_started_at.is_some_and(|sent| sent + PROBE_WAIT == time) {
                 self.probe_ended(now, server, -1);
-            } else if known.probe_sent.is_none() && known.probe_at == time && !known.barred() {
-                known.probe_sent = Some(now);
-                self.ready.push_back(Action::Probe(server));
+            } else if known.check_started_at.is_none() && known.next_check_at == time && !known.is_not_ready()
+            {
+                known.check_started_at = Some(now);
+                self.ready.push_back(Action::CheckHealth(server));
                 self.due.insert((now + PROBE_WAIT, server));
             }
         }
@@ -457,52 +486,52 @@
     /// The result of the probe that is out, if one is, moves the counter and sets the next probe.
     fn probe_ended(&mut self, now: Duration, server: EndpointId, by: i32) {
         let Some(known) = self.servers.get_mut(&server) else { return };
-        let Some(sent) = known.probe_sent.take() else { return };
+        let Some(sent) = known.check_started_at.take() else { return };
         known.moved(by);
-        let interval = match known.counter {
+        let interval = match known.health_counter {
             Some(0) => PROBE_DOWN,
             Some(TOP) => PROBE_STEADY,
             _ => PROBE_BETWEEN,
         };
-        known.probe_at = now.max(sent + interval.mul_f64(1.0 - JITTER * self.chance.draw()));
-        self.due.insert((known.probe_at, server));
+        known.next_check_at = now.max(sent + interval.mul_f64(1.0 - JITTER * self.chance.draw()));
+        self.due.insert((known.next_check_at, server));
     }
 
     /// Once a report period: what proxies met moves counters, relief and levels.
     fn review(&mut self, now: Duration) {
         let (contract, settle, probes) = (self.contract(), self.settle(), self.terms.flag("allowed.probes"));
-        let mut all = vec![Tally::default(); self.parts];
-        for known in self.servers.values().filter(|known| known.up()) {
-            all[known.part] = known.fresh.over(all[known.part], 1.0);
+        let mut all = vec![AttemptStats::default(); self.parts];
+        for known in self.servers.values().filter(|known| known.is_up()) {
+            all[known.subset] = known.unevaluated.over(all[known.subset], 1.0);
         }
         self.gates.iter_mut().for_each(|gate| gate.demand *= KEEP);
         for (server, known) in &mut self.servers {
-            let seen = std::mem::take(&mut known.fresh);
+            let seen = std::mem::take(&mut known.unevaluated);
             known.recent = seen.over(known.recent, FADE);
-            let fresh = all[known.part];
+            let fresh = all[known.subset];
             let bearable = LATE.max(WORSE * fresh.lateness(contract));
             // Evidence, against the rest of its part: a general slump condemns nobody.
             let others = (fresh.failed - seen.failed) / (fresh.tries - seen.tries).max(1.0);
             let sound = seen.tries >= f64::from(RISE) && seen.failing() < SOUND;
             let fails = seen.failed >= f64::from(FALL) && seen.failing() > FAILING;
-            if fails && known.up() && !known.barred() && others < SOUND {
+            if fails && known.is_up() && !known.is_not_ready() && others < SOUND {
                 known.moved(-(FALL as i32));
-                known.doubted_until = now + RESEND;
+                known.outlier_until = now + RESEND;
                 // It comes back, on passing probes or where none are allowed in a while, with a small part.
-                known.relief = RELIEF_LEAST;
-                known.heed_from = known.doubted_until + settle;
+                known.weight_factor = RELIEF_LEAST;
+                known.reports_valid_from = known.outlier_until + settle;
                 let text = format!("fails {:.0} of {:.0} tries", seen.failed, seen.tries);
-                self.ready.push_back(Action::Note { about: Some(*server), text });
-            } else if known.counter.is_some() && (sound || !probes && now >= known.doubted_until) {
+                self.ready.push_back(Action::RaiseEvent { endpoint: Some(*server), text });
+            } else if known.health_counter.is_some() && (sound || !probes && now >= known.outlier_until) {
                 known.moved(RISE as i32);
             }
             // Relief: a slow server keeps a part that it can do, and regains the rest bit by bit.
-            let (late, was) = (known.late(contract), known.relief);
+            let (late, was) = (known.late(contract), known.weight_factor);
             let told = known.recent.tries >= f64::from(FALL);
             if told && late > bearable {
-                known.relief = (was * (bearable / late).max(RELIEF_DROP)).max(RELIEF_LEAST);
+                known.weight_factor = (was * (bearable / late).max(RELIEF_DROP)).max(RELIEF_LEAST);
             } else if told && late < ROOM {
-                known.relief = (was + RELIEF_BACK).min(1.0);
+                known.weight_factor = (was + RELIEF_BACK).min(1.0);
             }
         }
         let step = now >= self.next_step;
@@ -512,7 +541,7 @@
             if step {
                 self.shed(part);
             }
-            let shedding = self.gates.iter().any(|g| g.level < 1.0 && self.tables[g.table].part == part);
+            let shedding = self.gates.iter().any(|g| g.rate < 1.0 && self.tables[g.table].subset == part);
             self.next_step = if shedding && step { now + settle } else { self.next_step };
             let well = fresh.tries >= 1.0 && fresh.failing() <= SOUND;
             if shedding || !well || fresh.lateness(contract) > LATE {
@@ -525,27 +554,31 @@
     /// and come back as their servers find time again.
     fn shed(&mut self, part: usize) {
         let own = self.lanes(part);
-        let late = |gate: &&ClassAdmission| own.contains(&gate.table) && self.tables[gate.table].late > LATE;
-        let work = |gate: &ClassAdmission| gate.contract * gate.demand.max(1e-9);
-        let let_in: f64 = self.gates.iter().filter(late).map(|gate| work(gate) * gate.level).sum();
-        let worst = self.tables[own.clone()].iter().fold(LATE, |worst, table| worst.max(table.late));
+        let late = |gate: &&ClassAdmission| {
+            own.contains(&gate.table) && self.tables[gate.table].latency_ratio > LATE
+        };
+        let work = |gate: &ClassAdmission| gate.latency_objective * gate.demand.max(1e-9);
+        let let_in: f64 = self.gates.iter().filter(late).map(|gate| work(gate) * gate.rate).sum();
+        let worst = self.tables[own.clone()].iter().fold(LATE, |worst, table| worst.max(table.latency_ratio));
         let mut out = let_in * (1.0 - (LATE / worst).max(SHED_STEP));
         // A class that may go elsewhere makes room where one that may not is late.
-        let narrow = self.tables[own.clone()].iter().filter(|table| table.narrow()).map(|table| table.late);
+        let narrow =
+            self.tables[own.clone()].iter().filter(|table| table.narrow()).map(|table| table.latency_ratio);
         let pressed = narrow.fold(0.0, f64::max);
         for table in &mut self.tables[own.clone()] {
             let back = if pressed < ROOM { RELIEF_BACK } else { 0.0 };
-            let made = pressed > LATE.max(table.late);
-            table.kept = if made { ALWAYS_LEFT } else { (table.kept + back).min(1.0) };
+            let made = pressed > LATE.max(table.latency_ratio);
+            table.flexible_fraction =
+                if made { ALWAYS_LEFT } else { (table.flexible_fraction + back).min(1.0) };
         }
         for gate in self.gates.iter_mut().filter(|gate| own.contains(&gate.table)) {
-            let (late, was, work) = (self.tables[gate.table].late, gate.level, work(gate));
+            let (late, was, work) = (self.tables[gate.table].latency_ratio, gate.rate, work(gate));
             if late > LATE {
                 let cut = out.min(work * (was - ALWAYS_LEFT).max(0.0));
                 out -= cut;
-                gate.level = was - cut / work;
+                gate.rate = was - cut / work;
             } else if late < LATE {
-                gate.level = (was * (LATE / late.max(1e-9)).min(SHED_BACK)).min(1.0);
+                gate.rate = (was * (LATE / late.max(1e-9)).min(SHED_BACK)).min(1.0);
             }
         }
     }
@@ -557,9 +590,9 @@
     fn lean(&mut self, now: Duration) {
         let mut told = vec![(0.0, 1e-9); self.parts];
         let cold_share = self.terms.number("rules.cold_share").unwrap_or(1.0);
-        for known in self.servers.values().filter(|known| known.up() && !known.barred()) {
-            let weight = known.listing.weight * known.relief * known.warmth(now, cold_share);
-            let (sum, all) = &mut told[known.part];
+        for known in self.servers.values().filter(|known| known.is_up() && !known.is_not_ready()) {
+            let weight = known.record.weight * known.weight_factor * known.slow_start_factor(now, cold_share);
+            let (sum, all) = &mut told[known.subset];
             (*sum, *all) = (*sum + weight * known.load.unwrap_or(0.0).min(1.0), *all + weight);
         }
         let full = |(sum, all): (f64, f64)| if all > 1e-6 { sum / all } else { 1.0 };
@@ -581,7 +614,7 @@
 
     /// Whether a server may be used for a table, being in its part or one beside it.
     fn beside(&self, table: &RoutingTable, known: &EndpointState) -> bool {
-        self.row_of(known.part) == self.row_of(table.part) && table.allows(&known.listing)
+        self.row_of(known.subset) == self.row_of(table.subset) && table.allows(&known.record)
     }
 
     /// Parts beyond the last whole row lie in it: alone, one that is lost would have nobody beside it.
@@ -596,8 +629,8 @@
     fn measure(&mut self) {
         let contract = self.contract();
         for table in &mut self.tables {
-            let lines = table.lines.iter().map(|(server, weight)| (&self.servers[server], weight));
-            let told = lines.filter(|(known, _)| known.recent.tries >= 1.0 && !known.withdrawn);
+            let lines = table.published.iter().map(|(server, weight)| (&self.servers[server], weight));
+            let told = lines.filter(|(known, _)| known.recent.tries >= 1.0 && !known.ejected);
             // Lateness beyond what a server's own load accounts for is not mended by refusing visits.
             let room =
                 |known: &EndpointState| known.load.filter(|load| *load < BUSY).map(|load| load / COMFORT);
@@ -607,8 +640,8 @@
             let failing = |(known, weight): (&EndpointState, &f64)| weight * known.recent.failing();
             let failing: f64 = told.clone().map(failing).sum();
             let (sum, all) = told.map(part).fold((0.0, 1e-9), |(a, b), (c, d)| (a + c, b + d));
-            table.late = sum / all;
-            table.failing = (all > 1e-6).then_some(failing / all);
+            table.latency_ratio = sum / all;
+            table.failure_ratio = (all > 1e-6).then_some(failing / all);
         }
     }
 
@@ -617,12 +650,12 @@
     fn plan(&mut self, now: Duration) {
         self.release(now);
         for index in 0..self.tables.len() {
-            self.tables[index].wanted = self.desired(now, index);
+            self.tables[index].desired = self.desired(now, index);
         }
         let (pushing, mut steps) = (std::mem::take(&mut self.pushing), Vec::new());
         for (index, gate) in self.gates.iter().enumerate().filter(|_| pushing) {
-            let level = grid(gate.level.min(gate.planned));
-            if self.tables[gate.table].released && gate.admitted != Some(level) {
+            let level = grid(gate.rate.min(gate.planned_rate));
+            if self.tables[gate.table].released && gate.published != Some(level) {
                 steps.push(Step(COMMON, Order::Admit(index, level)));
             }
         }
@@ -636,25 +669,30 @@
     fn bindings(&mut self) -> Vec<Step> {
         let (mut steps, mut carried) = (Vec::new(), self.channel.carried(self.parts));
         let mut room = vec![1e-9; self.parts];
-        self.servers.values().for_each(|known| room[known.part] += known.listing.weight);
+        self.servers.values().for_each(|known| room[known.subset] += known.record.weight);
         let all = self.channel.mean_rate() * self.terms.number("fleet.proxies").unwrap_or(0.0);
         let fair = SPILL * all / room.iter().sum::<f64>();
         // What is barred is off a proxy with its first table: due like drains where that is the shorter word.
         // In a release, those who join one by one would else wait while the longer word fills the queue.
-        let owed = |number| self.servers.values().filter(|of| of.barred() && of.heard < number).count();
+        let owed = |number| {
+            self.servers
+                .values()
+                .filter(|of| of.is_not_ready() && of.ejected_up_to_generation < number)
+                .count()
+        };
         let shorter = |table: TableId, number| (1..owed(number)).contains(&self.tables[table].laid());
         for (proxy, joined) in self.channel.unbound(self.each) {
-            let load = |part: usize| (carried[part] + joined.rate) / room[part];
+            let load = |part: usize| (carried[part] + joined.request_rate) / room[part];
             let rank = |part: usize, other: usize| load(part).total_cmp(&load(other));
             let away = |part: usize| part % self.places != joined.zone % self.places;
             let far = |part: &usize| away(*part) || load(*part) >= fair;
             let least = (0..self.parts).min_by(|a, b| far(a).cmp(&far(b)).then(rank(*a, *b)));
-            let (new, part) = (joined.part.is_none(), joined.part.or(least).unwrap_or(0));
-            joined.part = Some(part);
-            carried[part] += if new { joined.rate } else { 0.0 };
+            let (new, part) = (joined.subset.is_none(), joined.subset.or(least).unwrap_or(0));
+            joined.subset = Some(part);
+            carried[part] += if new { joined.request_rate } else { 0.0 };
             let tables = part * self.each..(part + 1) * self.each;
             let free = tables.filter(|table| self.tables[*table].released && !joined.tables.contains(table));
-            let due = |table| if shorter(table, joined.number) { DRAINING } else { BINDING };
+            let due = |table| if shorter(table, joined.generation) { DRAINING } else { BINDING };
             steps.extend(free.map(|table| Step(due(table), Order::Bind(table, proxy))));
         }
         steps
@@ -672,7 +710,7 @@
             let mut serving = self.servers.values().filter(|known| self.beside(table, known));
             let why = match () {
                 _ if table.released => continue,
-                _ if now >= HOLD_LEAST.min(most) && serving.all(|known| known.counter.is_some()) => {
+                _ if now >= HOLD_LEAST.min(most) && serving.all(|known| known.health_counter.is_some()) => {
                     "all its servers have a result"
                 }
                 _ if now >= most => "the hold is over",
@@ -681,7 +719,7 @@
             };
             let names: Vec<&str> = self.gates_of(index).map(|gate| gate.name.as_str()).collect();
             let text = format!("{}: table released, {why}", names.join(", "));
-            self.ready.push_back(Action::Note { about: None, text });
+            self.ready.push_back(Action::RaiseEvent { endpoint: None, text });
             (self.tables[index].released, self.pushing) = (true, true);
         }
     }
@@ -697,7 +735,7 @@
     /// The newest joining of a proxy that still holds tables of before; 0 if none does. Only those that have
     /// not heard of a withdrawal count: where many join one by one, each would else be told for all.
     fn newest(&self) -> u64 {
-        self.channel.newest(Whom::Unbound(self.each, 0))
+        self.channel.newest(Recipients::Unbound(self.each, 0))
     }
 
     /// Servers that are kept out leave the tables of before, hold or not: no proxy may send there past
@@ -706,8 +744,8 @@
         let (holding, newest) = (self.holding(), self.newest());
         let held = |server: &EndpointId| self.tables.iter().any(|t| t.held(*server) > t.wants(*server));
         let due = self.servers.iter().filter(|(server, known)| match known.kept_out(now, holding) {
-            true => known.heard < newest,
-            false => known.withdrawn && newest == 0 && !held(server),
+            true => known.ejected_up_to_generation < newest,
+            false => known.ejected && newest == 0 && !held(server),
         });
         let order = |(server, known): (&EndpointId, &EndpointState)| {
             Order::Withdraw(*server, known.kept_out(now, holding))
@@ -720,19 +758,20 @@
     fn changes(&mut self, now: Duration, pushing: bool) -> Vec<Step> {
         let (holding, mut ranked) = (self.holding(), Vec::<(f64, Step)>::new());
         for (index, table) in self.tables.iter().enumerate().filter(|(_, table)| table.released) {
-            let total: f64 = table.wanted.values().sum();
+            let total: f64 = table.desired.values().sum();
             let demand: f64 = self.gates_of(index).map(|gate| gate.demand).sum();
             // What is left of it must not run out while what takes its place waits in the queue.
-            let left: f64 = table.wanted.iter().map(|(server, want)| want.min(table.held(*server))).sum();
+            let left: f64 = table.desired.iter().map(|(server, want)| want.min(table.held(*server))).sum();
             let bare = left < WEAK * total;
-            for (server, weight) in &table.wanted {
+            for (server, weight) in &table.desired {
                 let (held, known) = (table.held(*server), &self.servers[server]);
-                let out = known.barred() && *weight < held || known.cold(now) && *weight < WARY * held;
+                let out = known.is_not_ready() && *weight < held
+                    || known.is_warming_up(now) && *weight < WARY * held;
                 // A withdrawal ends once all are bound, and a table without a line binds nobody: where
                 // all were withdrawn, lines of those that are back go first.
-                let back = !known.withdrawn || !known.kept_out(now, holding);
+                let back = !known.ejected || !known.kept_out(now, holding);
                 let fills = bare && *weight > held && back;
-                if out || fills || pushing && *weight != held && !known.withdrawn {
+                if out || fills || pushing && *weight != held && !known.ejected {
                     // Filling a table takes many lines: the room for drains is not for them.
                     let part = if fills { BINDING } else { COMMON };
                     let part = if out { DRAINING } else { part };
@@ -754,42 +793,52 @@
     fn take(&mut self, now: Duration, part: f64, order: Order) -> Option<Action> {
         match order {
             Order::Withdraw(server, withdrawn) => {
-                let unheard = Whom::Unbound(self.each, self.servers[&server].heard);
-                self.spend(now, 1, if withdrawn { unheard } else { Whom::Unbound(usize::MAX, 0) }, part)?;
+                let unheard = Recipients::Unbound(self.each, self.servers[&server].ejected_up_to_generation);
+                self.spend(
+                    now,
+                    1,
+                    if withdrawn { unheard } else { Recipients::Unbound(usize::MAX, 0) },
+                    part,
+                )?;
                 let (known, all) = (self.servers.get_mut(&server)?, self.channel.joinings);
-                (known.withdrawn, known.heard) = (withdrawn, if withdrawn { all } else { 0 });
-                Some(Action::Withdraw { server, withdrawn })
+                (known.ejected, known.ejected_up_to_generation) =
+                    (withdrawn, if withdrawn { all } else { 0 });
+                Some(if withdrawn {
+                    Action::Eject { endpoint: server }
+                } else {
+                    Action::Restore { endpoint: server }
+                })
             }
             Order::Weigh(index, server) => {
-                self.spend(now, 1, Whom::On(index), part)?;
+                self.spend(now, 1, Recipients::On(index), part)?;
                 let weight = self.tables[index].wants(server);
-                self.tables[index].lines.insert(server, weight);
-                Some(Action::Weigh { table: index, server, weight })
+                self.tables[index].published.insert(server, weight);
+                Some(Action::SetWeight { table: index, endpoint: server, weight })
             }
             Order::Admit(index, share) => {
                 let (table, class) = (self.gates[index].table, self.gates[index].class);
-                self.spend(now, 1, Whom::On(table), part)?;
-                let (gate, late) = (&mut self.gates[index], self.tables[table].late);
-                if gate.admitted.replace(share).is_some_and(|before| before != share) {
+                self.spend(now, 1, Recipients::On(table), part)?;
+                let (gate, late) = (&mut self.gates[index], self.tables[table].latency_ratio);
+                if gate.published.replace(share).is_some_and(|before| before != share) {
                     let share = share * 100.0;
                     let text = format!("{}: {share:.0}% in, late by {late:.1} contract times", gate.name);
-                    self.ready.push_back(Action::Note { about: None, text });
+                    self.ready.push_back(Action::RaiseEvent { endpoint: None, text });
                 }
-                Some(Action::Admit { table, class, share, second_try: share >= 1.0 })
+                Some(Action::SetAdmission { table, class, fraction: share, retry: share >= 1.0 })
             }
             Order::Bind(index, proxy) => {
                 let lines = Some(self.tables[index].laid()).filter(|lines| *lines > 0)?;
                 let classes: Vec<ClassId> = self.gates_of(index).map(|gate| gate.class).collect();
-                let fresh = self.channel.proxies.get(&proxy).is_some_and(|joined| joined.fresh);
+                let fresh = self.channel.proxies.get(&proxy).is_some_and(|joined| joined.has_no_table);
                 // What others withdrew at it, and it keeps to, goes with a line that lets it back.
                 let back = if fresh || !self.terms.flag("fleet.keeps_withdrawals") { 0 } else { lines };
-                self.spend(now, 1 + classes.len() + lines + back, Whom::One(proxy), part)?;
+                self.spend(now, 1 + classes.len() + lines + back, Recipients::One(proxy), part)?;
                 self.channel.bind(proxy, index);
                 if !fresh && self.terms.number("fleet.shuns_after").is_some_and(|tries| tries > 0.0) {
-                    let part = self.tables[index].part;
+                    let part = self.tables[index].subset;
                     self.uneasy_until[part] = now + self.terms.span("rules.warm_within_us").mul_f64(UNEASY);
                 }
-                Some(Action::Bind { table: index, classes, proxy })
+                Some(Action::AssignTable { table: index, classes, proxy })
             }
         }
     }
@@ -798,52 +847,58 @@
     fn desired(&self, now: Duration, index: TableId) -> BTreeMap<EndpointId, f64> {
         let table = &self.tables[index];
         // A cold server gets nothing while the fleet is uneasy or a probe of its own fails.
-        let uneasy = now < self.uneasy_until[table.part];
+        let uneasy = now < self.uneasy_until[table.subset];
         let cold_share = self.terms.number("rules.cold_share").unwrap_or(1.0);
-        let safe = |known: &EndpointState| !uneasy && known.counter.unwrap_or(TOP) == TOP;
-        let warmth = |known: &EndpointState| known.warmth(now, cold_share);
-        let listed = |known: &EndpointState, part: f64| known.listing.weight * grid(warmth(known) * part);
-        let carries = |known: &EndpointState| !known.cold(now) || safe(known);
-        let lanes = &self.tables[self.lanes(table.part)];
-        let needed = |known: &EndpointState| lanes.iter().any(|t| t.narrow() && t.allows(&known.listing));
-        let kept = |known: &EndpointState| if !table.narrow() && needed(known) { table.kept } else { 1.0 };
+        let safe = |known: &EndpointState| !uneasy && known.health_counter.unwrap_or(TOP) == TOP;
+        let warmth = |known: &EndpointState| known.slow_start_factor(now, cold_share);
+        let listed = |known: &EndpointState, part: f64| known.record.weight * grid(warmth(known) * part);
+        let carries = |known: &EndpointState| !known.is_warming_up(now) || safe(known);
+        let lanes = &self.tables[self.lanes(table.subset)];
+        let needed = |known: &EndpointState| lanes.iter().any(|t| t.narrow() && t.allows(&known.record));
+        let kept = |known: &EndpointState| {
+            if !table.narrow() && needed(known) { table.flexible_fraction } else { 1.0 }
+        };
         // Where weights are fixed by the terms, relief only learns what it would do.
         let fixed = self.terms.flag("rules.fixed_weights");
-        let eased = |known: &EndpointState| if fixed { 1.0 } else { known.relief * kept(known) };
+        let eased = |known: &EndpointState| if fixed { 1.0 } else { known.weight_factor * kept(known) };
         // A table that had to be laid early counts on all that are not known to be down.
-        let up = |known: &EndpointState| known.up() || known.counter.is_none() && now < HOLD_LEAST;
+        let up = |known: &EndpointState| known.is_up() || known.health_counter.is_none() && now < HOLD_LEAST;
         let members: Vec<_> = self.servers.iter().filter(|(_, known)| self.beside(table, known)).collect();
         // Where many tries fail, or nothing is known of them yet, all may come again at once: a cold one
         // would be pushed over before it tells that it is full.
-        let calm = table.failing.is_some_and(|failing| failing <= SOUND);
+        let calm = table.failure_ratio.is_some_and(|failing| failing <= SOUND);
         // One that tells that it has room takes its share all the same, half where all are late or it is less
         // empty: a part that is uneasy for want of servers would else keep out those that it needs.
-        let grown = |known: &EndpointState| table.failing.is_none() && known.warmth(now, 0.0) >= GROWN;
-        let wary = |known: &EndpointState| match known.load.filter(|_| known.counter == Some(TOP)) {
-            Some(load) if calm && load < COMFORT && table.late <= LATE => 1.0,
+        let grown = |known: &EndpointState| {
+            table.failure_ratio.is_none() && known.slow_start_factor(now, 0.0) >= GROWN
+        };
+        let wary = |known: &EndpointState| match known.load.filter(|_| known.health_counter == Some(TOP)) {
+            Some(load) if calm && load < COMFORT && table.latency_ratio <= LATE => 1.0,
             Some(load) if (calm || grown(known)) && load < BUSY => WARY,
             _ => 0.0,
         };
         let part = |known: &EndpointState| eased(known) * if carries(known) { 1.0 } else { wary(known) };
         let full = |known: &EndpointState| listed(known, part(known));
-        let good = || members.iter().filter(|(_, known)| !known.barred() && full(known) > 0.0);
+        let good = || members.iter().filter(|(_, known)| !known.is_not_ready() && full(known) > 0.0);
         let any_up = good().any(|(_, known)| up(known));
-        let laid = self.channel.count(Whom::On(index)) > 0;
+        let laid = self.channel.count(Recipients::On(index)) > 0;
         let any_held = laid && good().any(|(server, _)| table.held(**server) > 0.0);
         let weight = |server: &EndpointId, known: &EndpointState, share: f64| match (any_up, any_held) {
-            _ if known.barred() => 0.0,
+            _ if known.is_not_ready() => 0.0,
             (true, _) if up(known) => listed(known, part(known) * share),
             (true, _) => 0.0,
             // All look down: the last table stays, but for what is cold now.
             (false, true) => table.held(*server).min(full(known)),
             (false, false) => listed(known, share),
         };
-        let share =
-            |alone: bool, (server, known): &(&EndpointId, &EndpointState)| match table.shares.get(*server) {
-                _ if !alone => 1.0,
-                Some(planned) => *planned,
-                None => f64::from(table.shares.is_empty() && known.part == table.part),
-            };
+        let share = |alone: bool, (server, known): &(&EndpointId, &EndpointState)| match table
+            .planned_weights
+            .get(*server)
+        {
+            _ if !alone => 1.0,
+            Some(planned) => *planned,
+            None => f64::from(table.planned_weights.is_empty() && known.subset == table.subset),
+        };
         // A part that is lost, cold or has no server of the kind looks to those beside it. Cold servers of
         // an uneasy part count little: alone they would get the visits of all that it lost.
         let strength = |alone: bool| {
@@ -851,17 +906,17 @@
             let able = of.clone().filter(|(at, share)| weight(at.0, at.1, *share) > 0.0);
             let counts = |known: &EndpointState| if carries(known) { 1.0 } else { WARY };
             let sum: f64 = able.map(|(at, share)| listed(at.1, counts(at.1)) * share).sum();
-            sum / of.map(|(at, share)| at.1.listing.weight * share).sum::<f64>().max(1e-9)
+            sum / of.map(|(at, share)| at.1.record.weight * share).sum::<f64>().max(1e-9)
         };
         let alone = strength(true) >= WEAK * strength(false);
         // What a full part gives away goes to one beside it.
-        let (home, helper) = self.home[table.part];
-        let leans = alone && home < 1.0 && table.shares.is_empty();
-        let of = |part: usize| members.iter().filter(move |at| at.1.part == part);
+        let (home, helper) = self.home[table.subset];
+        let leans = alone && home < 1.0 && table.planned_weights.is_empty();
+        let of = |part: usize| members.iter().filter(move |at| at.1.subset == part);
         let sum = |part: usize| of(part).map(|at| weight(at.0, at.1, 1.0)).sum::<f64>();
-        let away = if leans { (1.0 / home - 1.0) * sum(table.part) / sum(helper).max(1e-9) } else { 0.0 };
+        let away = if leans { (1.0 / home - 1.0) * sum(table.subset) / sum(helper).max(1e-9) } else { 0.0 };
         let part = |at: &(&EndpointId, &EndpointState)| match share(alone, at) {
-            0.0 if leans && at.1.part == helper => weight(at.0, at.1, away.min(1.0)),
+            0.0 if leans && at.1.subset == helper => weight(at.0, at.1, away.min(1.0)),
             0.0 => 0.0,
             share => weight(at.0, at.1, share),
         };
@@ -870,7 +925,7 @@
 
     /// Pace: takes lines off the budget for each of these proxies; none if the queue or a proxy's
     /// messages would then fill more than this part of the limits.
-    fn spend(&mut self, now: Duration, lines: usize, whom: Whom, part: f64) -> Option<()> {
+    fn spend(&mut self, now: Duration, lines: usize, whom: Recipients, part: f64) -> Option<()> {
         let head = self.terms.number("fleet.message_head_lines").unwrap_or(0.0);
         // Messages are short of room sooner than the queue: those of urgent changes leave some to all others.
         let most = self.terms.limit("fleet.messages_most") * part.max(BINDING);
@@ -895,7 +950,7 @@
     /// The mean contract time of what comes, in seconds.
     fn contract(&self) -> f64 {
         let visits = |gate: &ClassAdmission| gate.demand + 1e-3;
-        let sum: f64 = self.gates.iter().map(|gate| visits(gate) * gate.contract).sum();
+        let sum: f64 = self.gates.iter().map(|gate| visits(gate) * gate.latency_objective).sum();
         sum / self.gates.iter().map(visits).sum::<f64>()
     }
 }
--- a/tests/pilot/design.rs
+++ b/tests/pilot/design.rs
@@ -44,7 +44,7 @@
 #[test]
 fn reconnections_do_not_renew_the_hold() {
     let mut stage = Stage::new(2);
-    stage.join(0).run_to(4000).pilot.left(0);
+    stage.join(0).run_to(4000).pilot.detach_proxy(0);
     let trace = stage.run_to(4900).join(0).run_to(5300).said(&["bind", "released"]);
     expect![[r#"
         5.0 table 0: bind proxy 0
@@ -70,7 +70,7 @@
 #[test]
 fn standing_tables_that_may_be_all_withdrawn_are_replaced_early() {
     let mut stage = Stage::new(8);
-    stage.join(0).run_to(1000).list(&[0, 2, 4].map(|server| state(server, EndpointStatus::Gone)));
+    stage.join(0).run_to(1000).list(&[0, 2, 4].map(|server| state(server, EndpointStatus::Removed)));
     let trace = stage.run_to(1100).said(&["withdraw", "released", "table 0"]);
     expect![[r#"
         1.0 table 0: server 1 1
@@ -115,7 +115,7 @@
 #[test]
 fn hold_gives_way_to_the_grace_when_the_list_had_changed_before() {
     let mut stage = Stage::with(0, &[("rules.drain_grace_us", 2e6)]);
-    stage.pilot.listed(ms(0), true, 3, &[ready(0)]);
+    stage.pilot.update_endpoints(ms(0), true, 3, &[ready(0)]);
     stage.health = vec![HealthCheckOutcome::Passed(None)];
     let trace = stage.join(0).run_to(2000).said(&["table 0"]);
     expect![[r#"
--- a/tests/pilot/failures.rs
+++ b/tests/pilot/failures.rs
@@ -24,7 +24,7 @@
 #[test]
 fn started_server_gets_nothing_while_failures_are_common() {
     let mut stage = Stage::new(3);
-    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Gone)]);
+    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Removed)]);
     stage.report_to(12_000, &[(20, 9, 900), (0, 0, 0), (20, 9, 900)]).quiet().list(&[started(1, 500)]);
     let jam = [(20, 9, 900), (0, 0, 0), (20, 9, 900)];
     let trace = stage.report_to(18_000, &jam).said(&["table 0: server 1", "withdraw"]);
@@ -36,7 +36,12 @@
 #[test]
 fn no_withdrawal_ends_before_all_proxies_are_bound() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(1000).list(&[state(1, EndpointStatus::Gone)]).run_to(2000).list(&[started(1, 500)]);
+    stage
+        .join(0)
+        .run_to(1000)
+        .list(&[state(1, EndpointStatus::Removed)])
+        .run_to(2000)
+        .list(&[started(1, 500)]);
     let trace = stage.run_to(5400).said(&["withdraw", "table 0: bind", "table 0: server 1"]);
     expect![[r#"
         1.0 withdraw 1 true
@@ -52,7 +57,7 @@
 fn table_laid_early_holds_all_that_are_not_known_to_be_down() {
     let mut stage = Stage::new(8);
     stage
-        .list(&[0, 2, 4, 6].map(|server| state(server, EndpointStatus::Gone)))
+        .list(&[0, 2, 4, 6].map(|server| state(server, EndpointStatus::Removed)))
         .join(0)
         .health
         .fill(HealthCheckOutcome::Failed);
@@ -166,7 +171,14 @@
 #[test]
 fn stream_that_breaks_during_a_drain_is_told_again() {
     let mut stage = Stage::new(4);
-    stage.join(0).run_to(6000).quiet().list(&[state(2, EndpointStatus::Draining)]).run_to(6010).pilot.left(0);
+    stage
+        .join(0)
+        .run_to(6000)
+        .quiet()
+        .list(&[state(2, EndpointStatus::Draining)])
+        .run_to(6010)
+        .pilot
+        .detach_proxy(0);
     let trace = stage.run_to(7000).join(0).run_to(7500).said(&["withdraw", "bind", "server 2"]);
     expect![[r#"
         6.0 table 0: server 2 0
@@ -180,16 +192,16 @@
 #[test]
 fn odd_news_changes_nothing() {
     let mut stage = Stage::new(2);
-    stage.join(0).run_to(6000).list(&[state(1, EndpointStatus::Gone)]).run_to(7000).quiet();
+    stage.join(0).run_to(6000).list(&[state(1, EndpointStatus::Removed)]).run_to(7000).quiet();
     let now = stage.now;
-    stage.pilot.reported(now, 9, 5, 5, ms(10));
-    stage.pilot.reported(now, 1, 5, 9, ms(10));
-    stage.pilot.probed(now, 9, HealthCheckOutcome::Refused, ms(1));
-    stage.pilot.probed(now, 1, HealthCheckOutcome::Refused, ms(1));
-    stage.pilot.probed(now, 0, HealthCheckOutcome::Refused, ms(900));
-    stage.pilot.counted(9, 9, 5);
-    stage.pilot.left(9);
-    let trace = stage.list(&[ready(0), ready(0), state(1, EndpointStatus::Gone)]).run_to(8000).said(&[""]);
+    stage.pilot.record_attempts(now, 9, 5, 5, ms(10));
+    stage.pilot.record_attempts(now, 1, 5, 9, ms(10));
+    stage.pilot.health_check_finished(now, 9, HealthCheckOutcome::Refused, ms(1));
+    stage.pilot.health_check_finished(now, 1, HealthCheckOutcome::Refused, ms(1));
+    stage.pilot.health_check_finished(now, 0, HealthCheckOutcome::Refused, ms(900));
+    stage.pilot.record_requests(9, 9, 5);
+    stage.pilot.detach_proxy(9);
+    let trace = stage.list(&[ready(0), ready(0), state(1, EndpointStatus::Removed)]).run_to(8000).said(&[""]);
     expect![""].assert_eq(&trace);
 }
 
@@ -321,7 +333,7 @@
     let jam = [(20, failed, 900), (0, 0, 0), (20, failed, 900)];
     stage.health.fill(HealthCheckOutcome::Passed(Some(0.99)));
     stage.health[1] = HealthCheckOutcome::Passed(Some(0.4));
-    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Gone)]);
+    stage.join(0).report_to(8000, &[WELL; 3]).list(&[state(1, EndpointStatus::Removed)]);
     stage.report_to(12_000, &jam).quiet().health[1] = HealthCheckOutcome::Passed(load);
     let trace = stage.list(&[started(1, 0)]).report_to(12_700, &jam).said(&["table 0: server 1"]);
     (stage, trace)
@@ -385,7 +397,7 @@
 fn cold_server_stays_out_where_tries_fail_or_probes_are_turned_away() {
     assert_eq!(replaced(Some(0.1), 10).1, "");
     let mut stage = replaced(Some(0.1), 0).0;
-    stage.quiet().health[1] = HealthCheckOutcome::TurnedAway;
+    stage.quiet().health[1] = HealthCheckOutcome::Rejected;
     let trace = stage.run_to(13_500).said(&["table 0: server 1"]);
     expect![[r#"
         12.8 table 0: server 1 0.15
@@ -458,7 +470,10 @@
     for proxy in 0..9 {
         stage.join(2 * proxy);
     }
-    stage.run_to(8000).quiet().list(&[0, 2, 4, 6, 8, 10].map(|server| state(server, EndpointStatus::Gone)));
+    stage
+        .run_to(8000)
+        .quiet()
+        .list(&[0, 2, 4, 6, 8, 10].map(|server| state(server, EndpointStatus::Removed)));
     let trace = stage.run_to(8100).said(&["table 2"]);
     expect![[r#"
         8.0 table 2: server 2 0
@@ -486,7 +501,7 @@
     stage.report_to(9000, &[WELL; 24]);
     let late: Vec<_> = (0..24).map(|server| if server % 2 == 0 { (20, 0, 900) } else { WELL }).collect();
     stage.report_to(16_000, &late).quiet();
-    let gone: Vec<_> = (12..24).map(|server| state(server, EndpointStatus::Gone)).collect();
+    let gone: Vec<_> = (12..24).map(|server| state(server, EndpointStatus::Removed)).collect();
     let trace = stage.list(&gone).run_to(16_300).said(&["server"]);
     assert_eq!(trace.lines().filter(|line| line.ends_with(" 0")).count(), 12, "{trace}");
 }
--- a/tests/pilot/herds.rs
+++ b/tests/pilot/herds.rs
@@ -17,7 +17,7 @@
     stage.run_to(8000).health.resize(110, HealthCheckOutcome::Passed(None));
     // 50 are replaced by as many new ones.
     let new: Vec<_> = (60..110).map(|server| state(server, EndpointStatus::Ready)).collect();
-    let gone: Vec<_> = (0..50).map(|server| state(server, EndpointStatus::Gone)).collect();
+    let gone: Vec<_> = (0..50).map(|server| state(server, EndpointStatus::Removed)).collect();
     stage.list(&new).run_to(12_000).list(&gone).run_to(16_000).quiet();
     let mut bound = Vec::new();
     for proxy in 100..160 {
@@ -46,8 +46,8 @@
     stage.run_to(2400);
     let told = |stage: &mut Stage| {
         let mut told = 0;
-        while let Some(decision) = stage.pilot.next_decision(stage.now) {
-            told += usize::from(matches!(decision, Action::Withdraw { .. }));
+        while let Some(decision) = stage.pilot.next_action(stage.now) {
+            told += usize::from(matches!(decision, Action::Eject { .. } | Action::Restore { .. }));
         }
         told
     };
--- a/tests/pilot/plans.rs
+++ b/tests/pilot/plans.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_plan_brings_in_servers_of_another_zone_for_what_is_too_much() {
     let mut stage = by_zone();
-    stage.quiet().pilot.apportioned(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
+    stage.quiet().pilot.set_planned_weights(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
     let trace = stage.run_to(7000).said(&["table"]);
     expect![[r#"
         6.2 table 0: server 1 0.25
@@ -45,7 +45,7 @@
 #[test]
 fn where_a_plan_has_lost_its_servers_all_beside_it_stand_in() {
     let mut stage = by_zone();
-    stage.pilot.apportioned(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
+    stage.pilot.set_planned_weights(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
     stage.run_to(7000).quiet();
     (stage.health[0], stage.health[2]) = (HealthCheckOutcome::Refused, HealthCheckOutcome::Refused);
     let trace = stage.run_to(10_000).said(&["table 0"]);
@@ -71,7 +71,7 @@
 #[test]
 fn a_share_below_the_grid_leaves_no_proxy_without_an_endpoint() {
     let mut stage = by_zone();
-    stage.pilot.apportioned(0, BTreeMap::from([(0, 1.0), (2, 0.02)]));
+    stage.pilot.set_planned_weights(0, BTreeMap::from([(0, 1.0), (2, 0.02)]));
     stage.run_to(7000).quiet();
     stage.health[0] = HealthCheckOutcome::Refused;
     let trace = stage.run_to(10_000).said(&["table 0"]);
--- a/tests/pilot/probes.rs
+++ b/tests/pilot/probes.rs
@@ -19,11 +19,11 @@
 
 /// When the probe that is out went.
 fn out(stage: &Stage) -> Option<std::time::Duration> {
-    stage.pilot.beliefs().0[&(0 as EndpointId)].probe_sent
+    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].check_started_at
 }
 
 fn counter(stage: &Stage) -> Option<u32> {
-    stage.pilot.beliefs().0[&(0 as EndpointId)].counter
+    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].health_counter
 }
 
 /// A probe that is lost may be followed by the next at once. An answer to the first that comes then, in time
@@ -42,7 +42,7 @@
         second = out(&stage);
     }
     let before = counter(&stage);
-    stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Refused, ms(499));
+    stage.pilot.health_check_finished(stage.now, 0, HealthCheckOutcome::Refused, ms(499));
     assert_eq!((out(&stage), counter(&stage)), (second, before));
 }
 
@@ -54,11 +54,11 @@
             let mut stage = sent();
             stage.now = out(&stage).expect("one is out") + ms(500);
             if answer_first {
-                stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
+                stage.pilot.health_check_finished(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
             }
-            let decisions = std::iter::from_fn(|| stage.pilot.next_decision(stage.now)).count();
+            let decisions = std::iter::from_fn(|| stage.pilot.next_action(stage.now)).count();
             if !answer_first {
-                stage.pilot.probed(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
+                stage.pilot.health_check_finished(stage.now, 0, HealthCheckOutcome::Passed(None), ms(took));
             }
             (counter(&stage), out(&stage), decisions)
         });
--- a/tests/pilot/recorded.rs
+++ b/tests/pilot/recorded.rs
@@ -33,7 +33,7 @@
         match script.below(12) {
             0 => stage.health[server] = HealthCheckOutcome::Refused,
             1 => stage.health[server] = HealthCheckOutcome::Failed,
-            2 => stage.health[server] = HealthCheckOutcome::TurnedAway,
+            2 => stage.health[server] = HealthCheckOutcome::Rejected,
             3..6 => stage.health[server] = HealthCheckOutcome::Passed(Some(script.below(100) as f64 / 100.0)),
             _ => {}
         }
@@ -43,7 +43,7 @@
                 stage.list(&[state(server, EndpointStatus::Draining)]);
             }
             1 => {
-                stage.list(&[state(server, EndpointStatus::Gone)]);
+                stage.list(&[state(server, EndpointStatus::Removed)]);
             }
             2 => {
                 stage.list(&[started(server, script.below(2000))]);
@@ -53,14 +53,16 @@
             }
             4 => {
                 let all: Vec<_> = (0..servers).map(ready).collect();
-                stage.pilot.listed(stage.now, true, step, &all);
+                stage.pilot.update_endpoints(stage.now, true, step, &all);
             }
             _ => {}
         }
         let proxy = script.below(proxies) as usize;
         match script.below(5) {
-            0 | 1 => stage.pilot.joined(proxy, proxy % 2, 1.0 + (proxy % 3) as f64, script.below(2) == 0),
-            2 if script.below(3) == 0 => stage.pilot.left(proxy),
+            0 | 1 => {
+                stage.pilot.attach_proxy(proxy, proxy % 2, 1.0 + (proxy % 3) as f64, script.below(2) == 0)
+            }
+            2 if script.below(3) == 0 => stage.pilot.detach_proxy(proxy),
             _ => {}
         }
         if step % 4 == 0 {
@@ -68,17 +70,20 @@
             for server in 0..servers {
                 let failed = if script.below(9) == 0 { 20 } else { script.below(3) as u32 };
                 let took = if slump { 700 } else { 100 } + script.below(400);
-                stage.pilot.reported(stage.now, server, 20, failed, ms(took));
+                stage.pilot.record_attempts(stage.now, server, 20, failed, ms(took));
             }
             for proxy in 0..proxies as usize {
-                (0..2).for_each(|class| stage.pilot.counted(proxy, class, 5 + script.below(10) as u32));
+                (0..2)
+                    .for_each(|class| stage.pilot.record_requests(proxy, class, 5 + script.below(10) as u32));
             }
         }
         match script.below(6) {
-            0 => mark = Some((stage.pilot.sent(2, 30), 12)),
-            1 => mark.take().into_iter().for_each(|(mark, lines)| stage.pilot.applied(mark, lines)),
-            2 => stage.pilot.queued(script.below(40) as usize),
-            3 => stage.pilot.planned(script.server(2), 0.5 + script.below(6) as f64 / 10.0),
+            0 => mark = Some((stage.pilot.record_sent(2, 30), 12)),
+            1 => {
+                mark.take().into_iter().for_each(|(mark, lines)| stage.pilot.record_acknowledged(mark, lines))
+            }
+            2 => stage.pilot.set_queued_entries(script.below(40) as usize),
+            3 => stage.pilot.set_planned_fraction(script.server(2), 0.5 + script.below(6) as f64 / 10.0),
             _ => {}
         }
     }
--- a/tests/pilot/stage.rs
+++ b/tests/pilot/stage.rs
@@ -13,11 +13,11 @@
 }
 
 pub fn ready(server: EndpointId) -> EndpointRecord {
-    EndpointRecord { server, zone: server % 2, weight: 1.0, ..EndpointRecord::default() }
+    EndpointRecord { endpoint: server, zone: server % 2, weight: 1.0, ..EndpointRecord::default() }
 }
 
 pub fn state(server: EndpointId, state: EndpointStatus) -> EndpointRecord {
-    EndpointRecord { state, ..ready(server) }
+    EndpointRecord { status: state, ..ready(server) }
 }
 
 pub fn started(server: EndpointId, millis_ago: u64) -> EndpointRecord {
@@ -86,7 +86,7 @@
         }
         let mut pilot = Controller::new(terms, 7);
         let listings: Vec<_> = (0..servers).map(ready).collect();
-        pilot.listed(ms(0), true, 0, &listings);
+        pilot.update_endpoints(ms(0), true, 0, &listings);
         let health = vec![HealthCheckOutcome::Passed(None); servers];
         Stage { pilot, now: ms(0), health, print_probes: false, trace: String::new(), answers_after: 5 }
     }
@@ -95,25 +95,26 @@
     /// a failed one by not ending at all.
     fn pull(&mut self) -> Vec<EndpointId> {
         let mut probes = Vec::new();
-        while let Some(decision) = self.pilot.next_decision(self.now) {
+        while let Some(decision) = self.pilot.next_action(self.now) {
             let at = self.now.as_secs_f64();
             let text = match &decision {
-                Action::Probe(server) => format!("probe {server}"),
-                Action::Weigh { table, server, weight } => {
+                Action::CheckHealth(server) => format!("probe {server}"),
+                Action::SetWeight { table, endpoint: server, weight } => {
                     format!("table {table}: server {server} {weight}")
                 }
-                Action::Bind { table, proxy, .. } => format!("table {table}: bind proxy {proxy}"),
-                Action::Withdraw { server, withdrawn } => format!("withdraw {server} {withdrawn}"),
-                Action::Admit { class, share, second_try, .. } => {
+                Action::AssignTable { table, proxy, .. } => format!("table {table}: bind proxy {proxy}"),
+                Action::Eject { endpoint } => format!("withdraw {endpoint} true"),
+                Action::Restore { endpoint } => format!("withdraw {endpoint} false"),
+                Action::SetAdmission { class, fraction: share, retry: second_try, .. } => {
                     format!("class {class}: admit {share}{}", if *second_try { " twice" } else { "" })
                 }
-                Action::Note { about: Some(server), text } => format!("# {server} {text}"),
-                Action::Note { about: None, text } => format!("# {text}"),
+                Action::RaiseEvent { endpoint: Some(server), text } => format!("# {server} {text}"),
+                Action::RaiseEvent { endpoint: None, text } => format!("# {text}"),
             };
-            if let Action::Probe(server) = decision {
+            if let Action::CheckHealth(server) = decision {
                 probes.push(server);
             }
-            if self.print_probes || !matches!(decision, Action::Probe(_)) {
+            if self.print_probes || !matches!(decision, Action::CheckHealth(_)) {
                 writeln!(self.trace, "{at:.1} {text}").expect("a string takes all");
             }
         }
@@ -135,7 +136,12 @@
             while ends.first().is_some_and(|(time, _)| *time <= next) {
                 let (_, server) = ends.remove(0);
                 if self.health[server] != HealthCheckOutcome::Failed {
-                    self.pilot.probed(next, server, self.health[server], ms(self.answers_after));
+                    self.pilot.health_check_finished(
+                        next,
+                        server,
+                        self.health[server],
+                        ms(self.answers_after),
+                    );
                 }
             }
         }
@@ -144,12 +150,12 @@
     }
 
     pub fn join(&mut self, proxy: usize) -> &mut Self {
-        self.pilot.joined(proxy, proxy % 2, 1.0, true);
+        self.pilot.attach_proxy(proxy, proxy % 2, 1.0, true);
         self
     }
 
     pub fn list(&mut self, entries: &[EndpointRecord]) -> &mut Self {
-        self.pilot.listed(self.now, false, 1, entries);
+        self.pilot.update_endpoints(self.now, false, 1, entries);
         self
     }
 
@@ -159,10 +165,10 @@
             let next = self.now + ms(1000);
             self.run_to(next.as_millis() as u64);
             for (server, (tries, failed, took)) in told.iter().enumerate() {
-                self.pilot.reported(next, server, *tries, *failed, ms(*took));
+                self.pilot.record_attempts(next, server, *tries, *failed, ms(*took));
             }
             for class in 0..2 {
-                self.pilot.counted(0, class, 20);
+                self.pilot.record_requests(0, class, 20);
             }
         }
         self.run_to(millis)
