--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use lockcroft::{SettingValue, Settings, ZoneId};
-use lockcroft_host::NameIndex;
+use lockcroft::{Settings, ZoneId};
+use lockcroft_host::{NameIndex, SettingValue, SettingValues};
 use lockcroft_runtime_api::{Address, Level};
 use roxmltree::Node;
 
@@ -19,8 +19,7 @@
     pub file: PathBuf,
     pub name: String,
     pub seed: u64,
-    /// Under the names that the decisions read, times in microseconds.
-    pub terms: Settings,
+    pub settings: Settings,
     pub places: NameIndex,
     pub doors: Vec<ListenerConfig>,
     pub proxies: Vec<ProxyConfig>,
@@ -117,23 +116,19 @@
             let allowed = Some("the root element lockcroft");
             return Err(ConfigErrors(vec![document.fault(root, "is no settings file", allowed)]));
         }
-        let mut reader = Reader { document, terms: Settings::default(), faults: Vec::new() };
+        let mut reader = Reader { document, values: SettingValues::default(), faults: Vec::new() };
         let post = reader.post(root);
         if reader.faults.is_empty() { Ok(post) } else { Err(ConfigErrors(reader.faults)) }
     }
 
     pub fn weight_most(&self) -> f64 {
-        weight_most(&self.terms)
+        self.settings.fleet.max_weight
     }
 }
 
-fn weight_most(terms: &Settings) -> f64 {
-    terms.number("fleet.weight_most").unwrap_or(1.0)
-}
-
 struct Reader<'a> {
     document: &'a Document,
-    terms: Settings,
+    values: SettingValues,
     faults: Vec<ConfigError>,
 }
 
@@ -158,14 +153,15 @@
         for name in ["fleet", "rules", "allowed", "solver"] {
             part(name).into_iter().for_each(|node| self.attributes(name, node));
         }
-        self.terms.0.entry("allowed.probes".into()).or_insert(SettingValue::Flag(true));
+        self.values.0.entry("allowed.probes".into()).or_insert(SettingValue::Flag(true));
         let proxies = members(part("proxies"));
         // As many as are listed here times the pilots, unless it is stated.
-        let pilots = self.terms.number("fleet.pilots").unwrap_or(1.0);
+        let pilots = self.values.number("fleet.pilots").unwrap_or(1.0);
         self.put("pilots", SettingValue::Number(pilots));
         let count = SettingValue::Number(proxies.len() as f64 * pilots.max(1.0));
-        self.terms.0.entry("fleet.proxies".into()).or_insert(count);
-        let places = NameIndex::read(&self.terms);
+        self.values.0.entry("fleet.proxies".into()).or_insert(count);
+        let settings = self.values.to_settings();
+        let places = NameIndex::new(&settings);
         self.once(part("proxies"));
         let proxies: Vec<_> = proxies.into_iter().filter_map(|node| self.proxy(node, &places)).collect();
         let time =
@@ -177,11 +173,11 @@
                 .map_or_else(|| "pilot".into(), |node| node.attribute("name").unwrap_or("pilot").into()),
             seed: pilot.and_then(|node| node.attribute("seed")?.parse().ok()).unwrap_or(0),
             doors: self.doors(part("runtime")),
-            roster: self.roster(part("roster-file"), part("roster"), &places),
+            roster: self.roster(part("roster-file"), part("roster"), &places, settings.fleet.max_weight),
             log: LogConfig::read(part("log")),
             files: self.files(part("files"), &proxies),
             memory: part("memory").map(|node| self.base().join(text(node, "folder"))),
-            terms: std::mem::take(&mut self.terms),
+            settings,
             places,
             proxies,
             answer_within: time("answer-within").unwrap_or(ANSWER_WITHIN),
@@ -194,8 +190,8 @@
         self.document.file().parent().unwrap_or(Path::new("."))
     }
 
-    fn put(&mut self, name: &str, term: SettingValue) {
-        self.terms.0.insert(name.into(), term);
+    fn put(&mut self, name: &str, value: SettingValue) {
+        self.values.0.insert(name.into(), value);
     }
 
     /// Attributes become terms by their own names; those that the schema calls times, in microseconds.
@@ -229,7 +225,7 @@
     /// `only-zones` and `only-kinds` name what the lists of zones and kinds hold.
     fn listed(&mut self, node: Node, attribute: &str, word: &str) {
         let list = attribute.trim_start_matches("only-");
-        let known = self.terms.texts(list);
+        let known = self.values.texts(list);
         if !known.contains(&word) {
             let (known, wrong) = (known.join(", "), format!("{attribute}: {word:?} is not listed"));
             self.faults.push(self.document.fault(node, wrong, Some(&known)));
@@ -314,17 +310,22 @@
         doors
     }
 
-    fn roster(&mut self, file: Option<Node>, here: Option<Node>, places: &NameIndex) -> EndpointListSource {
-        let most = weight_most(&self.terms);
+    fn roster(
+        &mut self,
+        file: Option<Node>,
+        here: Option<Node>,
+        places: &NameIndex,
+        max_weight: f64,
+    ) -> EndpointListSource {
         if let Some(node) = file {
             let path = self.base().join(text(node, "path"));
-            if let Err(faults) = EndpointListConfig::open(&path, places, most) {
+            if let Err(faults) = EndpointListConfig::open(&path, places, max_weight) {
                 self.faults.extend(faults.0);
             }
             let every = node.attribute("look-every").and_then(|time| parse_duration(time).ok());
             return EndpointListSource::File(path, every.unwrap_or(LOOK_EVERY));
         }
-        let read = here.map(|node| EndpointListConfig::read(self.document, node, places, most));
+        let read = here.map(|node| EndpointListConfig::read(self.document, node, places, max_weight));
         let read = read.transpose().unwrap_or_else(|faults| {
             self.faults.extend(faults.0);
             None
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -90,9 +90,9 @@
 ) -> Result<EndpointEntry, ConfigError> {
     let text = |name: &str| node.attribute(name).unwrap_or_default();
     let zones = places.zones.join(", ");
-    let kinds = places.kinds.join(", ");
+    let kinds = places.machine_types.join(", ");
     let zone = places.zone(text("zone")).map_err(|e| document.fault(node, e, Some(&zones)))?;
-    let kind = places.kind(text("kind")).map_err(|e| document.fault(node, e, Some(&kinds)))?;
+    let kind = places.machine_type(text("kind")).map_err(|e| document.fault(node, e, Some(&kinds)))?;
     let wrong = |_| document.fault(node, format!("{:?} is no address", text("address")), Some("IP:PORT"));
     let address = text("address").parse().map_err(wrong)?;
     let weight = node.attribute("weight").map_or(1.0, |weight| weight.parse().unwrap_or(1.0));
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -3,7 +3,6 @@
 use std::path::Path;
 
 use expect_test::{Expect, expect};
-use lockcroft::SettingValue;
 use lockcroft_config::{DaemonConfig, Document, SCHEMA};
 
 const SOUND: &str = r#"<lockcroft>
@@ -32,19 +31,20 @@
 fn attributes_become_the_terms_that_decisions_read() {
     let post = read(SOUND).expect("sound");
     assert_eq!((post.name.as_str(), post.seed, post.proxies[0].rate), ("p1", 9, 6.5));
-    for (name, value) in [
-        ("fleet.report_period_us", 1e6),
-        ("fleet.queue_most_lines", 12_000.0),
-        ("fleet.proxies", 1.0),
-        ("classes.0.contract_time_us", 6e5),
-        ("classes.0.earnings", 3.0),
-        ("rules.cold_share", 0.25),
-        ("rules.unserved_most_us", 2e6),
+    let settings = &post.settings;
+    for (name, read, value) in [
+        ("report-period", settings.fleet.report_period.as_secs_f64(), 1.0),
+        ("queue-most-lines", settings.fleet.max_queued_entries, 12_000.0),
+        ("proxies", settings.fleet.proxies.unwrap_or(0.0), 1.0),
+        ("contract-time", settings.classes[0].latency_objective.as_secs_f64(), 0.6),
+        ("earnings", settings.classes[0].value, 3.0),
+        ("cold-share", settings.rules.initial_weight_fraction, 0.25),
+        ("unserved-most", settings.rules.max_unserved.as_secs_f64(), 2.0),
     ] {
-        assert_eq!(post.terms.number(name), Some(value), "{name}");
+        assert_eq!(read, value, "{name}");
     }
-    assert_eq!(post.terms.positions("classes.0.only_zones", "zones"), Some(vec![1]));
-    assert_eq!(post.terms.0.get("allowed.probes"), Some(&SettingValue::Flag(true)));
+    assert_eq!(settings.classes[0].only_zones, Some(vec![1]));
+    assert!(settings.health_checks_allowed);
 }
 
 /// Puts one text in place of another and compares what is said.
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -41,7 +41,7 @@
     remarks.iter().for_each(|remark| warn!(target: "lockcroft::memory", "{remark}"));
     let wall =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let recalled = age(&state, wall, &rules(&post.terms));
+    let recalled = age(&state, wall, &rules(&post.settings));
     info!(target: "lockcroft::memory", entries = state.len(), from, bytes, servers = recalled.servers.len(),
         levels = recalled.levels.len(), ahead = recalled.ahead, us = begun.elapsed().as_micros() as u64, "recalled");
     let (sender, inbox) = channel();
@@ -52,16 +52,16 @@
 
 /// Whose memory it is.
 pub fn owner(post: &DaemonConfig) -> StoreIdentity {
-    let names = [&post.places.zones, &post.places.kinds, &post.places.classes];
+    let names = [&post.places.zones, &post.places.machine_types, &post.places.classes];
     // A blank between the lists: none of the names has one.
     let names = names.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
     StoreIdentity::of(&post.name, names)
 }
 
-fn rules(terms: &Settings) -> AgeingRules {
+fn rules(settings: &Settings) -> AgeingRules {
     AgeingRules {
-        report_period: terms.span("fleet.report_period_us").max(Duration::from_millis(100)),
-        warm_within: terms.span("rules.warm_within_us"),
+        report_period: settings.fleet.report_period.max(Duration::from_millis(100)),
+        warm_within: settings.rules.slow_start_window,
     }
 }
 
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -137,7 +137,7 @@
         let readers = readers.map(|(proxy, at)| (proxy, at.name.clone()));
         let dial = |proxy| Effect::Dial { proxy, stream: 0, after: Duration::ZERO };
         FleetController {
-            pilot: Controller::new(post.terms.clone(), post.seed),
+            pilot: Controller::new(post.settings.clone(), post.seed),
             places: post.places.clone(),
             list: EndpointList::default(),
             published: PublishedTables::default(),
@@ -155,14 +155,14 @@
             visits: vec![0; post.places.classes.len()],
             sums: Sums::default(),
             landed: Histogram::new_with_bounds(1, 600_000_000, 2).expect("bounds are in order"),
-            queue_most: post.terms.limit("fleet.queue_most_lines"),
+            queue_most: post.settings.fleet.max_queued_entries,
             wave: 1,
-            planner: Planner::read(&post.terms, post.places.zones.len()),
+            planner: Planner::new(&post.settings, post.places.zones.len()),
             touched: BTreeSet::new(),
             on: BTreeMap::new(),
             due: BTreeSet::new(),
             chance: WyRand::new_seed(post.seed),
-            report_period: post.terms.span("fleet.report_period_us").max(Duration::from_millis(100)),
+            report_period: post.settings.fleet.report_period.max(Duration::from_millis(100)),
             answer_within: post.answer_within,
             redial: post.redial,
             epoch,
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -66,7 +66,8 @@
     pub(crate) fn recall(&mut self, now: Duration, recalled: RecoveredState) {
         let (servers, levels) = (recalled.servers.len(), recalled.levels.len());
         for server in recalled.servers {
-            let (Ok(zone), Ok(kind)) = (self.places.zone(&server.zone), self.places.kind(&server.kind))
+            let (Ok(zone), Ok(kind)) =
+                (self.places.zone(&server.zone), self.places.machine_type(&server.kind))
             else {
                 continue;
             };
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -94,7 +94,7 @@
         let name = |names: &[String], place: usize| names.get(place).cloned().unwrap_or_default();
         EndpointNote {
             zone: name(&places.zones, known.record.zone),
-            kind: name(&places.kinds, known.record.machine_type),
+            kind: name(&places.machine_types, known.record.machine_type),
             gone: known.record.status == EndpointStatus::Removed,
             draining: known.record.status == EndpointStatus::Draining,
             counter: known.health_counter,
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use lockcroft::{
-    ClassAdmission, ClassId, EndpointId, EndpointState, MachineTypeId, RoutingTable, Settings, TableId,
-    ZoneId,
+    ClassAdmission, ClassId, ClassSettings, EndpointId, EndpointState, MachineTypeId, RoutingTable, Settings,
+    TableId, ZoneId,
 };
 use lockcroft_solver::{
     Answer, CapacityEstimator, CapacityPrior, ChangePrice, LoadSample, PlanStabilizer, Problem, Shares,
@@ -96,42 +96,34 @@
 
 impl Planner {
     /// None unless the terms ask for plans.
-    pub fn read(terms: &Settings, zones: usize) -> Option<Self> {
-        let every = terms.time("solver.every_us").filter(|every| !every.is_zero())?;
-        let cores = terms.number("solver.cores").unwrap_or(1.0);
-        let stated = |class: ClassId| {
-            let name = |what: &str| format!("classes.{class}.{what}");
-            let seconds = |what: &str| terms.time(&name(what)).unwrap_or_default().as_secs_f64();
-            let contract_time = seconds("contract_time_us");
-            let class = lockcroft_solver::Class {
-                // What is not stated is taken for a tenth of the contract time.
-                work: terms
-                    .time(&name("work_us"))
-                    .map_or(contract_time / 10.0, |work| work.as_secs_f64())
-                    .max(1e-6),
+    pub fn new(settings: &Settings, zones: usize) -> Option<Self> {
+        let every = settings.solver.interval.filter(|every| !every.is_zero())?;
+        let stated = |class: &ClassSettings| {
+            let contract_time = class.latency_objective.as_secs_f64();
+            let stated = lockcroft_solver::Class {
+                // What is not stated is taken for a tenth of the latency objective.
+                work: class.work.map_or(contract_time / 10.0, |work| work.as_secs_f64()).max(1e-6),
                 contract_time: contract_time.max(1e-6),
-                earnings: terms.number(&name("earnings")).unwrap_or(1.0),
-                zones: terms.positions(&name("only_zones"), "zones").unwrap_or_default(),
+                earnings: class.value,
+                zones: class.only_zones.clone().unwrap_or_default(),
                 servers: None,
                 demand: Vec::new(),
             };
-            (class, terms.positions(&name("only_kinds"), "kinds"))
+            (stated, class.only_machine_types.clone())
         };
-        let classes: Vec<_> = (0..terms.count("classes")).map(stated).collect();
-        let by_zone = terms.flag("solver.by_zone");
+        let classes: Vec<_> = settings.classes.iter().map(stated).collect();
+        let by_zone = settings.solver.by_zone;
         let none = vec![vec![0.0; zones]; classes.len()];
         Some(Planner {
             every,
-            cores,
-            kinds: (0..terms.count("kinds"))
-                .filter_map(|kind| Some((kind, terms.number(&format!("solver.kind_cores.{kind}"))?)))
-                .collect(),
+            cores: settings.solver.cores,
+            kinds: settings.solver.cores_by_machine_type.clone(),
             // One table for all zones sends as many visits across as it does, whatever that costs: to plan
             // against it would only load one zone's servers more than the other's.
-            crossing: terms.number("solver.crossing").filter(|_| by_zone).unwrap_or(0.0),
-            cold_share: terms.number("rules.cold_share").unwrap_or(1.0),
-            pace: terms.limit("fleet.channel_lines_per_s"),
-            queue: terms.limit("fleet.queue_most_lines"),
+            crossing: if by_zone { settings.solver.crossing_cost } else { 0.0 },
+            cold_share: settings.rules.initial_weight_fraction,
+            pace: settings.fleet.max_entries_per_second,
+            queue: settings.fleet.max_queued_entries,
             classes,
             learner: CapacityEstimator::new(every.mul_f64(FADES_PLANS)),
             recalled: BTreeMap::new(),
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -2,10 +2,12 @@
 //! small indices that decisions are made on and back, the names of settings, and the tables published.
 
 mod published;
+mod setting_values;
 mod settings;
 
 pub use published::{PublishedTable, PublishedTables};
-pub use settings::{read_settings, settings};
+pub use setting_values::{SettingValue, SettingValues};
+pub use settings::{parse_settings, setting_values};
 
 use std::collections::BTreeMap;
 
@@ -51,16 +53,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     pub classes: Vec<String>,
 }
 
 impl NameIndex {
-    pub fn read(terms: &Settings) -> Self {
-        let texts = |list: &str| terms.texts(list).into_iter().map(String::from).collect();
-        let classes = (0..terms.count("classes")).map_while(|i| terms.text(&format!("classes.{i}.name")));
-        let classes = classes.map(String::from).collect();
-        NameIndex { zones: texts("zones"), kinds: texts("kinds"), classes }
+    /// The names that the settings state.
+    pub fn new(settings: &Settings) -> Self {
+        let classes = settings.classes.iter().map_while(|class| class.name.clone()).collect();
+        NameIndex { zones: settings.zones.clone(), machine_types: settings.machine_types.clone(), classes }
     }
 
     /// # Errors
@@ -69,8 +70,8 @@
         position(&self.zones, "zone", name)
     }
 
-    pub fn kind(&self, name: &str) -> Result<MachineTypeId, String> {
-        position(&self.kinds, "kind", name)
+    pub fn machine_type(&self, name: &str) -> Result<MachineTypeId, String> {
+        position(&self.machine_types, "kind", name)
     }
 
     pub fn class(&self, name: &str) -> Result<ClassId, String> {
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,9 +1,11 @@
 //! Settings as the users' platform states them, flattened and renamed to the house's words. They reach an
 //! instance of the simulator in its first message and a pilot on the platform in its configuration.
 
-use lockcroft::{SettingValue, Settings};
+use lockcroft::Settings;
 use serde_json::Value;
 
+use crate::{SettingValue, SettingValues};
+
 /// Wire name, house name. NameInterner that are not here pass as they are.
 const NAMES: [(&str, &str); 25] = [
     ("agents", "proxies"),
@@ -35,30 +37,30 @@
 
 /// # Errors
 /// Says what is wrong with the text; so does the one below.
-pub fn read_settings(text: &str) -> Result<Settings, String> {
+pub fn parse_settings(text: &str) -> Result<Settings, String> {
     let value: Value = serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?;
-    settings(&value)
+    Ok(setting_values(&value)?.to_settings())
 }
 
-pub fn settings(value: &Value) -> Result<Settings, String> {
+pub fn setting_values(value: &Value) -> Result<SettingValues, String> {
     if !value.is_object() {
         return Err("settings: not an object".into());
     }
-    let mut terms = Settings::default();
-    flatten(String::new(), value, &mut terms);
-    Ok(terms)
+    let mut values = SettingValues::default();
+    flatten(String::new(), value, &mut values);
+    Ok(values)
 }
 
-fn flatten(path: String, value: &Value, terms: &mut Settings) {
+fn flatten(path: String, value: &Value, values: &mut SettingValues) {
     let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
-    let term = match value {
+    let setting = match value {
         Value::Null => return,
         Value::Bool(flag) => SettingValue::Flag(*flag),
         Value::Number(number) => SettingValue::Number(number.as_f64().unwrap_or(f64::NAN)),
         Value::String(text) => SettingValue::Text(text.clone()),
         Value::Array(members) => {
             for (i, member) in members.iter().enumerate() {
-                flatten(below(&i.to_string()), member, terms);
+                flatten(below(&i.to_string()), member, values);
             }
             return;
         }
@@ -66,10 +68,10 @@
             for (name, member) in members {
                 let house =
                     NAMES.iter().find(|(wire, _)| wire == name).map_or(name.as_str(), |(_, house)| house);
-                flatten(below(house), member, terms);
+                flatten(below(house), member, values);
             }
             return;
         }
     };
-    terms.0.insert(path, term);
+    values.0.insert(path, setting);
 }
--- a/crates/platform/src/codec.rs
+++ b/crates/platform/src/codec.rs
@@ -72,11 +72,10 @@
 }
 
 impl Bounds {
-    pub fn read(terms: &Settings) -> Self {
-        let patience = |class| terms.time(&format!("classes.{class}.patience_us"));
-        let longest = (0..terms.count("classes")).filter_map(patience).max();
+    pub fn new(settings: &Settings) -> Self {
+        let longest = settings.classes.iter().filter_map(|class| class.client_timeout).max();
         let try_most = longest.map_or(Duration::from_secs(600), |patience| patience * 2);
-        let proxies = terms.number("fleet.proxies").map_or(usize::MAX, |proxies| proxies as usize);
+        let proxies = settings.fleet.proxies.map_or(usize::MAX, |proxies| proxies as usize);
         Bounds { proxies, try_most }
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use lockcroft::{SettingValue, Settings};
-use lockcroft_host::settings;
+use lockcroft::Settings;
+use lockcroft_host::setting_values;
 use serde_json::Value;
 
 pub struct Config {
@@ -15,7 +15,7 @@
     pub sockets: usize,
     /// The list as this pilot last held it.
     pub known: Option<Value>,
-    pub terms: Settings,
+    pub settings: Settings,
 }
 
 impl Config {
@@ -38,9 +38,9 @@
             .as_u64()
             .and_then(|sockets| usize::try_from(sockets).ok())
             .ok_or_else(|| format!("limits.sockets: {sockets}; allowed: a whole number"))?;
-        let mut terms = settings(&value["settings"])?;
+        let mut settings = setting_values(&value["settings"])?.to_settings();
         // On this wire, a proxy keeps over a change of streams whom it was told to shut out.
-        terms.0.insert("fleet.keeps_withdrawals".into(), SettingValue::Flag(true));
+        settings.fleet.keeps_ejections = true;
         Ok(Config {
             name: word("name")?.to_string(),
             listen: address("listen")?,
@@ -48,7 +48,7 @@
             seed,
             sockets,
             known: value.get("known").filter(|known| !known.is_null()).cloned(),
-            terms,
+            settings,
         })
     }
 }
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -80,11 +80,11 @@
 
 impl ControlPlane {
     pub fn new(config: &Config) -> Self {
-        let terms = config.terms.clone();
+        let settings = config.settings.clone();
         ControlPlane {
-            places: NameIndex::read(&terms),
-            bounds: Bounds::read(&terms),
-            asks_load: terms.text("report.how") == Some("on_probe"),
+            places: NameIndex::new(&settings),
+            bounds: Bounds::new(&settings),
+            asks_load: settings.load_on_health_checks,
             roster: Roster::default(),
             published: PublishedTables::default(),
             streams: BTreeMap::new(),
@@ -94,7 +94,7 @@
             effects: VecDeque::new(),
             marks: 0,
             sums: Sums::default(),
-            pilot: Controller::new(terms, config.seed),
+            pilot: Controller::new(settings, config.seed),
         }
     }
 
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -153,7 +153,7 @@
     spawn_local(discovery::follow(follows, shared.clone()));
     spawn_local(tell_sums(shared.clone()));
     info!(target: "lockcroft::platform", name = config.name, listen = %config.listen, "started");
-    let gather = config.terms.time("tick_us").unwrap_or(GATHER);
+    let gather = config.settings.decision_interval.unwrap_or(GATHER);
     loop {
         let due = shared.controller.borrow().next_due();
         tokio::select! {
@@ -191,7 +191,7 @@
 
 async fn bind(config: &Config) -> Result<TcpListener, String> {
     let (start, address) = (Instant::now(), config.listen);
-    let proxies = config.terms.number("fleet.proxies").unwrap_or(0.0) as u32;
+    let proxies = config.settings.fleet.proxies.unwrap_or(0.0) as u32;
     loop {
         match listen(address, proxies.saturating_add(OTHERS)) {
             Ok(listener) => return Ok(listener),
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -138,7 +138,7 @@
             "removed" => EndpointStatus::Removed,
             other => return Err(format!("status of {name}: {other:?}; allowed: up, draining, removed")),
         };
-        let (zone, kind) = (places.zone(word("zone")?)?, places.kind(word("type")?)?);
+        let (zone, kind) = (places.zone(word("zone")?)?, places.machine_type(word("type")?)?);
         let weight = entry["weight"].as_f64().unwrap_or(1.0);
         if !(weight >= 0.0 && weight.is_finite()) {
             return Err(format!("weight of {name}: {weight}; allowed: 0 or more"));
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -164,7 +164,7 @@
     let records = stage.tap.records();
     Ok(Report {
         verdicts: judge(&records, &stage.limits),
-        score: score(&records, &stage.post.terms, &stage.zones(), &restarts(day)),
+        score: score(&records, &stage.post.settings, &stage.zones(), &restarts(day)),
         pilot: info.lines().filter(|line| !line.is_empty()).map(String::from).collect(),
         load,
         exit,
@@ -184,16 +184,15 @@
 }
 
 fn patience(stage: &Stage) -> Duration {
-    let terms = &stage.post.terms;
-    let spans = (0..stage.limits.classes.len()).map(|i| terms.span(&format!("classes.{i}.patience_us")));
-    spans.max().unwrap_or_default()
+    let classes = &stage.post.settings.classes;
+    classes.iter().filter_map(|class| class.client_timeout).max().unwrap_or_default()
 }
 
 fn call(day: &Scenario, stage: &Stage, caller: &LoadGenerator) {
     let relays: Vec<_> = stage.relays.iter().map(|relay| relay.visits).collect();
     for (place, visits) in day.visits.iter().enumerate() {
         let number = stage.limits.classes.iter().position(|class| *class == visits.class).unwrap_or(0);
-        let patience = stage.post.terms.span(&format!("classes.{number}.patience_us"));
+        let patience = stage.post.settings.classes[number].client_timeout.unwrap_or_default();
         let class = ClassLoad {
             name: visits.class.clone(),
             patience,
--- a/crates/scenario/src/rules.rs
+++ b/crates/scenario/src/rules.rs
@@ -31,24 +31,22 @@
 }
 
 impl Limits {
-    pub fn read(terms: &Settings) -> Self {
-        let class = |i: usize, what: &str| terms.text(&format!("classes.{i}.{what}")).map(String::from);
-        let number = |name: &str| terms.number(name).unwrap_or(f64::INFINITY);
-        let classes: Vec<String> = (0..terms.count("classes")).filter_map(|i| class(i, "name")).collect();
-        let unsafe_ones = (0..classes.len()).filter(|i| class(*i, "effect").is_some_and(|e| e != "safe"));
+    pub fn new(settings: &Settings) -> Self {
+        let unsafe_ones =
+            settings.classes.iter().filter(|class| class.effect.as_ref().is_some_and(|e| e != "safe"));
         Limits {
-            once: unsafe_ones.map(|i| classes[i].clone()).collect(),
-            classes,
-            unserved_most: terms.span("rules.unserved_most_us"),
-            drain_grace: terms.span("rules.drain_grace_us"),
-            only_draining_binds: terms.flag("rules.only_draining_binds"),
-            cold_share: number("rules.cold_share"),
-            warm_within: terms.span("rules.warm_within_us"),
-            cold_multiple: number("rules.cold_multiple"),
-            cold_span: terms.span("rules.cold_span_us"),
-            queue_most: terms.limit("fleet.queue_most_lines"),
-            messages_most: terms.limit("fleet.messages_most"),
-            messages_span: terms.span("fleet.messages_span_us"),
+            once: unsafe_ones.filter_map(|class| class.name.clone()).collect(),
+            classes: settings.classes.iter().filter_map(|class| class.name.clone()).collect(),
+            unserved_most: settings.rules.max_unserved,
+            drain_grace: settings.rules.drain_grace.unwrap_or_default(),
+            only_draining_binds: settings.rules.only_draining_binds,
+            cold_share: settings.rules.initial_weight_fraction,
+            warm_within: settings.rules.slow_start_window,
+            cold_multiple: settings.rules.warming_overload_factor,
+            cold_span: settings.rules.warming_overload_window,
+            queue_most: settings.fleet.max_queued_entries,
+            messages_most: settings.fleet.max_messages,
+            messages_span: settings.fleet.message_window,
             even: true,
         }
     }
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -50,14 +50,12 @@
 }
 
 /// An answer in contract time earns in full, one within patience what the terms state for it.
-pub fn score(records: &[TrafficRecord], terms: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
-    let figure = |i: usize, what: &str| terms.number(&format!("classes.{i}.{what}"));
-    let classes = 0..terms.count("classes");
+pub fn score(records: &[TrafficRecord], settings: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
+    let classes = settings.classes.iter();
     let earns: BTreeMap<&str, (f64, f64, f64)> = classes
-        .filter_map(|i| {
-            let name = terms.text(&format!("classes.{i}.name"))?;
-            let contract = figure(i, "contract_time_us")? / 1e6;
-            Some((name, (contract, figure(i, "earnings")?, figure(i, "late_earnings").unwrap_or(0.0))))
+        .filter_map(|class| {
+            let objective = class.latency_objective.as_secs_f64();
+            Some((class.name.as_deref()?, (objective, class.value, class.late_value_fraction)))
         })
         .collect();
     let mut windows: BTreeMap<u64, Share> = BTreeMap::new();
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -67,7 +67,7 @@
         let post = DaemonConfig::open(&path).map_err(|faults| faults.to_string())?;
         let wheel = day.relays.way.unwrap_or_default() == LoadBalancingPolicy::SmoothWeightedRoundRobin;
         let even = wheel && day.relays.outstanding_most.is_none();
-        let limits = Limits { even, ..Limits::read(&post.terms) };
+        let limits = Limits { even, ..Limits::new(&post.settings) };
         let tap = TrafficRecorder::default();
         let mut endpoints = BTreeMap::new();
         let mut lines = BTreeMap::new();
@@ -89,7 +89,7 @@
         }
         let hosts = ProxyRuntimes::new(threads).map_err(io)?;
         let files = Folder::make(folder).map_err(io)?;
-        let patience = |i: usize| post.terms.span(&format!("classes.{i}.patience_us"));
+        let patience = |i: usize| post.settings.classes[i].client_timeout.unwrap_or_default();
         let classes = post.places.classes.iter().cloned().enumerate();
         let classes: Vec<_> = classes.map(|(i, name)| (name, patience(i))).collect();
         let mut chance = WyRand::new_seed(day.seed);
@@ -110,7 +110,7 @@
                 // A large day has more proxies and endpoints than descriptors for all pairs of them.
                 proxy.idle_most = Duration::from_secs(1);
                 day.relays.apply(&mut proxy);
-                let shuns_after = post.terms.number("fleet.shuns_after").unwrap_or(0.0) as u32;
+                let shuns_after = post.settings.fleet.proxy_ejection_threshold.unwrap_or(0.0) as u32;
                 proxy.limits = Shuns { shuns_after, ..proxy.limits };
                 let number = relays.len();
                 proxy.seed = number as u64;
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft::{Action, Controller, EndpointRecord, EndpointStatus, HealthCheckOutcome};
-use lockcroft_host::{NameIndex, NameInterner, read_settings};
+use lockcroft_host::{NameIndex, NameInterner, parse_settings};
 
 use crate::codec::Line;
 
@@ -286,24 +286,24 @@
 
 impl Instance {
     fn new(seed: u64, settings: &str, clock: Duration) -> Result<Self, String> {
-        let terms = read_settings(settings)?;
-        let slices = terms.number("fleet.slices").unwrap_or(0.0) > 0.0;
+        let settings = parse_settings(settings)?;
+        let slices = settings.fleet.key_ranges > 0.0;
         let idle = "the keys are in slices, for which lockcroft lays no tables yet: idle";
         let idle = slices.then(|| ("NOTE_DOWN", idle.to_string()));
         Ok(Instance {
-            places: NameIndex::read(&terms),
+            places: NameIndex::new(&settings),
             born: clock,
             timer: None,
             servers: NameInterner::default(),
             idle,
-            pilot: Controller::new(terms, seed),
+            pilot: Controller::new(settings, seed),
         })
     }
 
     fn entry(&mut self, line: &mut Line, clock: Duration) -> Result<EndpointRecord, String> {
         let server = self.servers.index(line.word("server")?);
         let zone = self.places.zone(line.word("zone")?)?;
-        let kind = self.places.kind(line.word("kind")?)?;
+        let kind = self.places.machine_type(line.word("kind")?)?;
         line.number::<i64>("cell")?;
         let state = match line.word("state")? {
             "U" => EndpointStatus::Ready,
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{ClassId, EndpointId, EndpointRecord, EndpointStatus, ProxyId, Settings, TableId, ZoneId};
+use crate::{ClassId, ClassSettings, EndpointId, EndpointRecord, EndpointStatus, ProxyId, TableId, ZoneId};
 
 /// Tries that ended, and how.
 #[derive(Clone, Copy, Default)]
@@ -147,18 +147,13 @@
 }
 
 impl ClassAdmission {
-    pub fn read(terms: &Settings, class: ClassId, table: TableId) -> Self {
-        let name = |what: &str| format!("classes.{class}.{what}");
+    pub fn new(settings: &ClassSettings, class: ClassId, table: TableId) -> Self {
         ClassAdmission {
             class,
             table,
-            name: terms.text(&name("name")).unwrap_or("a class without a name").to_string(),
-            latency_objective: terms
-                .time(&name("contract_time_us"))
-                .unwrap_or_default()
-                .as_secs_f64()
-                .max(1e-3),
-            value: terms.number(&name("earnings")).unwrap_or(1.0),
+            name: settings.name.clone().unwrap_or_else(|| "a class without a name".into()),
+            latency_objective: settings.latency_objective.as_secs_f64().max(1e-3),
+            value: settings.value,
             demand: 0.0,
             rate: 1.0,
             planned_rate: 1.0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,11 @@
 mod chance;
 mod ledger;
 pub mod logic;
-mod terms;
+mod settings;
 
 pub use ledger::{ClassAdmission, EndpointState, RoutingTable, Snapshot};
 pub use logic::Controller;
-pub use terms::{SettingValue, Settings};
+pub use settings::{ClassSettings, FleetSettings, RuleSettings, Settings, SolverSettings};
 
 use std::time::Duration;
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -25,8 +25,8 @@
     UpdateChannel,
 };
 use crate::{
-    Action, ClassId, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, ProxyId, Settings,
-    TableId, ZoneId,
+    Action, ClassId, ClassSettings, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, ProxyId,
+    Settings, TableId, ZoneId,
 };
 
 // The design's figures, from its page.
@@ -146,7 +146,7 @@
 
 #[derive(Default)]
 pub struct Controller {
-    terms: Settings,
+    settings: Settings,
     chance: Chance,
     /// One a part and set of classes, part by part.
     tables: Vec<RoutingTable>,
@@ -182,23 +182,22 @@
 }
 
 impl Controller {
-    pub fn new(terms: Settings, seed: u64) -> Self {
-        Controller { chance: Chance::new(seed), terms, ..Controller::default() }
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Controller { chance: Chance::new(seed), settings, ..Controller::default() }
     }
 
     /// Cuts the fleet into parts if it does not fit one table, and lays out the tables of each part.
     fn lay_out(&mut self, servers: usize) {
-        let (terms, number) = (&self.terms, |name: &str| self.terms.number(name).unwrap_or(0.0));
-        let (proxies, pilots) = (number("fleet.proxies"), number("pilots").max(1.0));
-        let crowded = servers as f64 * proxies / pilots / terms.limit("fleet.queue_most_lines");
-        let uncrowded = proxies / (CROWD * terms.limit("fleet.connections_least"));
+        let settings = &self.settings;
+        let (proxies, pilots) = (settings.fleet.proxies.unwrap_or(0.0), settings.controllers);
+        let crowded = servers as f64 * proxies / pilots / settings.fleet.max_queued_entries;
+        let uncrowded = proxies / (CROWD * settings.fleet.min_endpoint_connections);
         let parts = uncrowded.min(proxies / pilots / SHARED) as usize;
-        let name = |class: usize, all: &str| format!("classes.{class}.only_{all}");
-        let only = |class| ["zones", "kinds"].map(|all| terms.positions(&name(class, all), all));
-        let classes: Vec<[Option<Vec<usize>>; 2]> = (0..terms.count("classes")).map(only).collect();
+        let only = |class: &ClassSettings| [class.only_zones.clone(), class.only_machine_types.clone()];
+        let classes: Vec<[Option<Vec<usize>>; 2]> = settings.classes.iter().map(only).collect();
         // Tables of each zone, where plans are made for them, lie as parts do.
-        let by_zone = terms.flag("solver.by_zone");
-        self.row = if by_zone || crowded > CROWDED { terms.count("zones").max(1) } else { 1 };
+        let by_zone = settings.solver.by_zone;
+        self.row = if by_zone || crowded > CROWDED { settings.zones.len().max(1) } else { 1 };
         self.places = if by_zone || classes.iter().all(|only| only[0].is_none()) { self.row } else { 1 };
         self.parts = if crowded > CROWDED { parts.max(self.row) } else { self.row };
         (self.uneasy_until, self.home) = (vec![Duration::ZERO; self.parts], vec![(1.0, 0); self.parts]);
@@ -215,7 +214,7 @@
                         ..RoutingTable::default()
                     });
                 }
-                self.gates.push(ClassAdmission::read(terms, class, table));
+                self.gates.push(ClassAdmission::new(&settings.classes[class], class, table));
             }
         }
         self.each = self.tables.len() / self.parts;
@@ -228,7 +227,7 @@
         self.outdated |= self.servers.is_empty() && version > 0;
         self.news = true;
         // Where only draining binds, a list that calls servers gone takes nothing from them.
-        let binds = !self.terms.flag("rules.only_draining_binds");
+        let binds = !self.settings.rules.only_draining_binds;
         let here: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         let gone = |server: &EndpointId| full && binds && !here.contains(server);
         for (_, known) in self.servers.iter_mut().filter(|(server, _)| gone(server)) {
@@ -261,7 +260,7 @@
             self.servers.insert(listing.endpoint, new);
         }
         let (within, settle, probes) =
-            (self.terms.span("rules.warm_within_us"), self.settle(), self.terms.flag("allowed.probes"));
+            (self.settings.rules.slow_start_window, self.settle(), self.settings.health_checks_allowed);
         for entry in entries {
             let known = self
                 .servers
@@ -420,7 +419,7 @@
 
     /// So many messages with so many lines went out, where the host can tell; marks among them are this one.
     pub fn record_sent(&mut self, messages: usize, lines: usize) -> f64 {
-        let head = self.terms.number("fleet.message_head_lines").unwrap_or(0.0);
+        let head = self.settings.fleet.message_overhead_entries;
         self.channel.mark(lines as f64 + messages as f64 * head)
     }
 
@@ -477,7 +476,7 @@
         self.next_beat = now + GATHER;
         self.news = true;
         if now >= self.next_review {
-            self.next_review = now + self.terms.span("fleet.report_period_us").max(GATHER);
+            self.next_review = now + self.settings.fleet.report_period.max(GATHER);
             self.review(now);
         }
         self.pushing |= now >= self.next_push;
@@ -499,7 +498,8 @@
 
     /// Once a report period: what proxies met moves counters, relief and levels.
     fn review(&mut self, now: Duration) {
-        let (contract, settle, probes) = (self.contract(), self.settle(), self.terms.flag("allowed.probes"));
+        let (contract, settle, probes) =
+            (self.contract(), self.settle(), self.settings.health_checks_allowed);
         let mut all = vec![AttemptStats::default(); self.parts];
         for known in self.servers.values().filter(|known| known.is_up()) {
             all[known.subset] = known.unevaluated.over(all[known.subset], 1.0);
@@ -545,7 +545,7 @@
             self.next_step = if shedding && step { now + settle } else { self.next_step };
             let well = fresh.tries >= 1.0 && fresh.failing() <= SOUND;
             if shedding || !well || fresh.lateness(contract) > LATE {
-                self.uneasy_until[part] = now + self.terms.span("rules.warm_within_us").mul_f64(UNEASY);
+                self.uneasy_until[part] = now + self.settings.rules.slow_start_window.mul_f64(UNEASY);
             }
         }
     }
@@ -589,7 +589,7 @@
     /// their load: idle cold ones, or such as nobody reaches, would else look like room.
     fn lean(&mut self, now: Duration) {
         let mut told = vec![(0.0, 1e-9); self.parts];
-        let cold_share = self.terms.number("rules.cold_share").unwrap_or(1.0);
+        let cold_share = self.settings.rules.initial_weight_fraction;
         for known in self.servers.values().filter(|known| known.is_up() && !known.is_not_ready()) {
             let weight = known.record.weight * known.weight_factor * known.slow_start_factor(now, cold_share);
             let (sum, all) = &mut told[known.subset];
@@ -670,7 +670,7 @@
         let (mut steps, mut carried) = (Vec::new(), self.channel.carried(self.parts));
         let mut room = vec![1e-9; self.parts];
         self.servers.values().for_each(|known| room[known.subset] += known.record.weight);
-        let all = self.channel.mean_rate() * self.terms.number("fleet.proxies").unwrap_or(0.0);
+        let all = self.channel.mean_rate() * self.settings.fleet.proxies.unwrap_or(0.0);
         let fair = SPILL * all / room.iter().sum::<f64>();
         // What is barred is off a proxy with its first table: due like drains where that is the shorter word.
         // In a release, those who join one by one would else wait while the longer word fills the queue.
@@ -702,7 +702,7 @@
     fn release(&mut self, now: Duration) {
         // A list that changed before this start has lost servers that proxies may still hold, and that
         // cannot be named: the hold gives way, so that all are on these tables within the grace.
-        let grace = self.terms.time("rules.drain_grace_us").filter(|_| self.outdated);
+        let grace = self.settings.rules.drain_grace.filter(|_| self.outdated);
         let most = grace.map_or(HOLD_MOST, |grace| HOLD_MOST.min(grace.mul_f64(GIVE_WAY)));
         let kept_out = self.servers.values().filter(|known| known.kept_out(now, true)).count();
         for index in 0..self.tables.len() {
@@ -782,8 +782,8 @@
         }
         if ranked.iter().any(|(_, step)| step.0 == COMMON) {
             // So far apart, common changes leave room within the limit on messages.
-            let span = self.terms.span("fleet.messages_span_us");
-            let most = self.terms.limit("fleet.messages_most");
+            let span = self.settings.fleet.message_window;
+            let most = self.settings.fleet.max_messages;
             self.next_push = now + GATHER.max(span.div_f64(most * COMMON));
         }
         ranked.sort_by(|(a, one), (b, other)| other.0.total_cmp(&one.0).then(b.total_cmp(a)));
@@ -831,12 +831,12 @@
                 let classes: Vec<ClassId> = self.gates_of(index).map(|gate| gate.class).collect();
                 let fresh = self.channel.proxies.get(&proxy).is_some_and(|joined| joined.has_no_table);
                 // What others withdrew at it, and it keeps to, goes with a line that lets it back.
-                let back = if fresh || !self.terms.flag("fleet.keeps_withdrawals") { 0 } else { lines };
+                let back = if fresh || !self.settings.fleet.keeps_ejections { 0 } else { lines };
                 self.spend(now, 1 + classes.len() + lines + back, Recipients::One(proxy), part)?;
                 self.channel.bind(proxy, index);
-                if !fresh && self.terms.number("fleet.shuns_after").is_some_and(|tries| tries > 0.0) {
+                if !fresh && self.settings.fleet.proxy_ejection_threshold.is_some_and(|tries| tries > 0.0) {
                     let part = self.tables[index].subset;
-                    self.uneasy_until[part] = now + self.terms.span("rules.warm_within_us").mul_f64(UNEASY);
+                    self.uneasy_until[part] = now + self.settings.rules.slow_start_window.mul_f64(UNEASY);
                 }
                 Some(Action::AssignTable { table: index, classes, proxy })
             }
@@ -848,7 +848,7 @@
         let table = &self.tables[index];
         // A cold server gets nothing while the fleet is uneasy or a probe of its own fails.
         let uneasy = now < self.uneasy_until[table.subset];
-        let cold_share = self.terms.number("rules.cold_share").unwrap_or(1.0);
+        let cold_share = self.settings.rules.initial_weight_fraction;
         let safe = |known: &EndpointState| !uneasy && known.health_counter.unwrap_or(TOP) == TOP;
         let warmth = |known: &EndpointState| known.slow_start_factor(now, cold_share);
         let listed = |known: &EndpointState, part: f64| known.record.weight * grid(warmth(known) * part);
@@ -859,7 +859,7 @@
             if !table.narrow() && needed(known) { table.flexible_fraction } else { 1.0 }
         };
         // Where weights are fixed by the terms, relief only learns what it would do.
-        let fixed = self.terms.flag("rules.fixed_weights");
+        let fixed = self.settings.rules.fixed_weights;
         let eased = |known: &EndpointState| if fixed { 1.0 } else { known.weight_factor * kept(known) };
         // A table that had to be laid early counts on all that are not known to be down.
         let up = |known: &EndpointState| known.is_up() || known.health_counter.is_none() && now < HOLD_LEAST;
@@ -926,16 +926,16 @@
     /// Pace: takes lines off the budget for each of these proxies; none if the queue or a proxy's
     /// messages would then fill more than this part of the limits.
     fn spend(&mut self, now: Duration, lines: usize, whom: Recipients, part: f64) -> Option<()> {
-        let head = self.terms.number("fleet.message_head_lines").unwrap_or(0.0);
+        let head = self.settings.fleet.message_overhead_entries;
         // Messages are short of room sooner than the queue: those of urgent changes leave some to all others.
-        let most = self.terms.limit("fleet.messages_most") * part.max(BINDING);
-        let span = self.terms.span("fleet.messages_span_us");
-        let pace = self.terms.limit("fleet.channel_lines_per_s");
+        let most = self.settings.fleet.max_messages * part.max(BINDING);
+        let span = self.settings.fleet.message_window;
+        let pace = self.settings.fleet.max_entries_per_second;
         let [slowest, slow] = self.channel.waiting(now, [pace / SLOWEST, pace / SLOW]);
         let waiting = if part < DRAINING { slowest } else { slow };
         let (begun, had) = self.channel.begins(whom, span);
         let cost = (lines * self.channel.count(whom)) as f64 + begun as f64 * head;
-        let full = waiting + cost > self.terms.limit("fleet.queue_most_lines") * part;
+        let full = waiting + cost > self.settings.fleet.max_queued_entries * part;
         if full || begun > 0 && had as f64 >= most {
             return None;
         }
@@ -944,7 +944,7 @@
     }
 
     fn settle(&self) -> Duration {
-        self.terms.span("fleet.report_period_us").mul_f64(SETTLE) + self.terms.span("fleet.message_delay_us")
+        self.settings.fleet.report_period.mul_f64(SETTLE) + self.settings.fleet.message_delay
     }
 
     /// The mean contract time of what comes, in seconds.
--- a/tests/pilot/design.rs
+++ b/tests/pilot/design.rs
@@ -114,7 +114,9 @@
 /// Rule on drains: a server removed before this start cannot be named, but proxies may hold it.
 #[test]
 fn hold_gives_way_to_the_grace_when_the_list_had_changed_before() {
-    let mut stage = Stage::with(0, &[("rules.drain_grace_us", 2e6)]);
+    let mut stage = Stage::with(0, |settings| {
+        settings.rules.drain_grace = Some(ms(2000));
+    });
     stage.pilot.update_endpoints(ms(0), true, 3, &[ready(0)]);
     stage.health = vec![HealthCheckOutcome::Passed(None)];
     let trace = stage.join(0).run_to(2000).said(&["table 0"]);
--- a/tests/pilot/failures.rs
+++ b/tests/pilot/failures.rs
@@ -2,7 +2,7 @@
 
 use crate::stage::*;
 use expect_test::expect;
-use lockcroft::{EndpointStatus, HealthCheckOutcome};
+use lockcroft::{EndpointStatus, HealthCheckOutcome, Settings};
 
 const WELL: (u32, u32, u64) = (20, 0, 200);
 
@@ -141,13 +141,13 @@
 /// Rule on the queue: a storm of joins waits for its turn, a drain does not.
 #[test]
 fn join_storm_keeps_the_queue_and_the_messages_within_their_limits() {
-    let limits = [
-        ("fleet.queue_most_lines", 60.0),
-        ("fleet.channel_lines_per_s", 100.0),
-        ("fleet.messages_most", 8.0),
-        ("fleet.messages_span_us", 10e6),
-    ];
-    let mut stage = Stage::with(4, &limits);
+    let limits = |settings: &mut Settings| {
+        settings.fleet.max_queued_entries = 60.0;
+        settings.fleet.max_entries_per_second = 100.0;
+        settings.fleet.max_messages = 8.0;
+        settings.fleet.message_window = ms(10000);
+    };
+    let mut stage = Stage::with(4, limits);
     stage.run_to(6000).quiet();
     for proxy in 0..6 {
         stage.join(proxy);
@@ -252,13 +252,13 @@
 
 /// A fleet whose table does not fit its channel: four parts of three servers, two in each zone.
 fn large() -> Stage {
-    let limits = [
-        ("fleet.proxies", 20.0),
-        ("fleet.connections_least", 40.0),
-        ("fleet.queue_most_lines", 300.0),
-        ("fleet.channel_lines_per_s", 300.0),
-    ];
-    let mut stage = Stage::with(12, &limits);
+    let limits = |settings: &mut Settings| {
+        settings.fleet.proxies = Some(20.0);
+        settings.fleet.min_endpoint_connections = 40.0;
+        settings.fleet.max_queued_entries = 300.0;
+        settings.fleet.max_entries_per_second = 300.0;
+    };
+    let mut stage = Stage::with(12, limits);
     for proxy in 0..4 {
         stage.join(proxy);
     }
@@ -410,7 +410,9 @@
 /// its servers sends some to those beside it, and takes them back. Without a word nothing moves.
 #[test]
 fn full_zone_leans_on_the_one_beside_it() {
-    let mut stage = Stage::with(4, &[("solver.by_zone", 0.0)]);
+    let mut stage = Stage::with(4, |settings| {
+        settings.solver.by_zone = true;
+    });
     stage.health.fill(HealthCheckOutcome::Passed(Some(0.4)));
     stage.join(0).join(1).report_to(8000, &[WELL; 4]).quiet();
     for server in [0, 2] {
@@ -450,7 +452,9 @@
         16.0 table 0: server 2 0.55
     "#]]
     .assert_eq(&trace);
-    let mut mute = Stage::with(4, &[("solver.by_zone", 0.0)]);
+    let mut mute = Stage::with(4, |settings| {
+        settings.solver.by_zone = true;
+    });
     mute.join(0).join(1).report_to(8000, &[WELL; 4]).quiet();
     let late = [(20, 0, 900), WELL, (20, 0, 900), WELL];
     assert_eq!(mute.report_to(14_000, &late).said(&["table 0: server 1", "table 0: server 3"]), "");
@@ -460,13 +464,13 @@
 /// proxies without a server when its zone was lost.
 #[test]
 fn no_part_is_alone_in_its_row() {
-    let figures = [
-        ("fleet.proxies", 30.0),
-        ("fleet.connections_least", 100.0),
-        ("fleet.queue_most_lines", 500.0),
-        ("fleet.channel_lines_per_s", 1e6),
-    ];
-    let mut stage = Stage::with(12, &figures);
+    let figures = |settings: &mut Settings| {
+        settings.fleet.proxies = Some(30.0);
+        settings.fleet.min_endpoint_connections = 100.0;
+        settings.fleet.max_queued_entries = 500.0;
+        settings.fleet.max_entries_per_second = 1e6;
+    };
+    let mut stage = Stage::with(12, figures);
     for proxy in 0..9 {
         stage.join(2 * proxy);
     }
@@ -493,8 +497,11 @@
 /// slowest pace, a wave of drains waited longer than the grace.
 #[test]
 fn a_wave_of_drains_does_not_wait_for_common_changes() {
-    let figures = [("fleet.queue_most_lines", 300.0), ("fleet.channel_lines_per_s", 200.0)];
-    let mut stage = Stage::with(24, &figures);
+    let figures = |settings: &mut Settings| {
+        settings.fleet.max_queued_entries = 300.0;
+        settings.fleet.max_entries_per_second = 200.0;
+    };
+    let mut stage = Stage::with(24, figures);
     for proxy in 0..12 {
         stage.join(proxy);
     }
@@ -516,8 +523,11 @@
 /// Loss of the weights of a whole row for 6 s: urgent changes had taken the messages of all others.
 #[test]
 fn urgent_changes_leave_messages_to_others() {
-    let few = [("fleet.messages_most", 30.0), ("fleet.messages_span_us", 10e6)];
-    let mut stage = Stage::with(24, &few);
+    let few = |settings: &mut Settings| {
+        settings.fleet.max_messages = 30.0;
+        settings.fleet.message_window = ms(10000);
+    };
+    let mut stage = Stage::with(24, few);
     stage.join(0).report_to(8000, &[WELL; 24]);
     for server in 4..24 {
         stage.list(&[state(server, EndpointStatus::Draining)]).run_to(7000 + server as u64 * 250 + 250);
--- a/tests/pilot/herds.rs
+++ b/tests/pilot/herds.rs
@@ -1,6 +1,6 @@
 //! Many proxies that join within moments.
 
-use lockcroft::{Action, EndpointStatus, HealthCheckOutcome};
+use lockcroft::{Action, EndpointStatus, HealthCheckOutcome, Settings};
 
 use crate::stage::{Stage, ms, state};
 
@@ -9,8 +9,11 @@
 /// full and proxies waited for 3 s, sending to servers that were gone.
 #[test]
 fn those_who_join_one_by_one_in_a_release_are_off_what_is_gone_within_the_grace() {
-    let few = [("fleet.channel_lines_per_s", 5000.0), ("fleet.queue_most_lines", 7500.0)];
-    let mut stage = Stage::with(60, &few);
+    let few = |settings: &mut Settings| {
+        settings.fleet.max_entries_per_second = 5000.0;
+        settings.fleet.max_queued_entries = 7500.0;
+    };
+    let mut stage = Stage::with(60, few);
     (0..60).for_each(|proxy| {
         stage.join(proxy);
     });
--- a/tests/pilot/plans.rs
+++ b/tests/pilot/plans.rs
@@ -8,7 +8,9 @@
 
 /// Four servers, two a zone, and a proxy in each zone.
 fn by_zone() -> Stage {
-    let mut stage = Stage::with(4, &[("solver.by_zone", 1.0)]);
+    let mut stage = Stage::with(4, |settings| {
+        settings.solver.by_zone = true;
+    });
     stage.join(0).join(1).run_to(6000);
     stage
 }
@@ -87,11 +89,11 @@
 #[test]
 fn fixed_weights_stay_whatever_is_late() {
     let slow = [(50, 0, 800), (50, 0, 100), (50, 0, 100), (50, 0, 100)];
-    let weights = |more: &[(&str, f64)]| {
-        let mut stage = Stage::with(4, more);
+    let weights = |fixed: bool| {
+        let mut stage = Stage::with(4, |settings| settings.rules.fixed_weights = fixed);
         stage.join(0).run_to(6000).quiet();
         stage.report_to(10_000, &slow).said(&["server 0"])
     };
-    assert_eq!(weights(&[("rules.fixed_weights", 1.0)]), "");
-    assert!(!weights(&[]).is_empty(), "relief answers unless the terms fix weights");
+    assert_eq!(weights(true), "");
+    assert!(!weights(false).is_empty(), "relief answers unless the terms fix weights");
 }
--- a/tests/pilot/recorded.rs
+++ b/tests/pilot/recorded.rs
@@ -4,7 +4,7 @@
 
 use crate::stage::*;
 use expect_test::expect_file;
-use lockcroft::{EndpointStatus, HealthCheckOutcome};
+use lockcroft::{EndpointStatus, HealthCheckOutcome, Settings};
 
 /// A fixed sequence of numbers, the same at every run on every machine.
 struct Script(u64);
@@ -91,7 +91,10 @@
 
 #[test]
 fn a_fleet_on_one_table_decides_as_recorded() {
-    let mut stage = Stage::with(6, &[("fleet.messages_most", 30.0), ("fleet.messages_span_us", 10e6)]);
+    let mut stage = Stage::with(6, |settings| {
+        settings.fleet.max_messages = 30.0;
+        settings.fleet.message_window = ms(10000);
+    });
     stage.print_probes = true;
     play(&mut stage, 6, 8, 240, 11);
     expect_file!["recorded/one_table.txt"].assert_eq(&stage.trace);
@@ -106,16 +109,16 @@
 
 #[test]
 fn a_fleet_cut_into_many_tables_decides_as_recorded() {
-    let figures = [
-        ("fleet.proxies", 60.0),
-        ("fleet.connections_least", 100.0),
-        ("fleet.queue_most_lines", 5000.0),
-        ("fleet.channel_lines_per_s", 5000.0),
-        ("fleet.messages_most", 40.0),
-        ("fleet.messages_span_us", 10e6),
-        ("fleet.shuns_after", 3.0),
-    ];
-    let mut stage = Stage::with(24, &figures);
+    let figures = |settings: &mut Settings| {
+        settings.fleet.proxies = Some(60.0);
+        settings.fleet.min_endpoint_connections = 100.0;
+        settings.fleet.max_queued_entries = 5000.0;
+        settings.fleet.max_entries_per_second = 5000.0;
+        settings.fleet.max_messages = 40.0;
+        settings.fleet.message_window = ms(10000);
+        settings.fleet.proxy_ejection_threshold = Some(3.0);
+    };
+    let mut stage = Stage::with(24, figures);
     play(&mut stage, 24, 60, 240, 13);
     expect_file!["recorded/many_tables.txt"].assert_eq(&stage.trace);
 }
--- a/tests/pilot/stage.rs
+++ b/tests/pilot/stage.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft::{
-    Action, Controller, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome, SettingValue,
+    Action, ClassSettings, Controller, EndpointId, EndpointRecord, EndpointStatus, HealthCheckOutcome,
     Settings,
 };
 
@@ -38,53 +38,42 @@
 
 impl Stage {
     pub fn new(servers: usize) -> Self {
-        Stage::with(servers, &[])
+        Stage::with(servers, |_| {})
     }
 
     /// The first class may use the servers of the first zone only.
     pub fn narrow(servers: usize) -> Self {
-        Stage::with(servers, &[("classes.0.only_zones.0", 0.0)])
+        Stage::with(servers, |settings| settings.classes[0].only_zones = Some(vec![0]))
     }
 
     /// No server may be probed.
     pub fn unprobed(servers: usize) -> Self {
-        Stage::with(servers, &[("allowed.probes", 0.0)])
+        Stage::with(servers, |settings| settings.health_checks_allowed = false)
     }
 
-    pub fn with(servers: usize, more: &[(&str, f64)]) -> Self {
-        let mut terms = Settings::default();
-        let mut put = |name: &str, term| terms.0.insert(name.to_string(), term);
-        for (i, name) in ["north", "south"].into_iter().enumerate() {
-            put(&format!("zones.{i}"), SettingValue::Text(name.into()));
-        }
-        for (i, (name, contract, earnings)) in
-            [("look", 1.0, 3.0), ("book", 2.0, 1.0)].into_iter().enumerate()
-        {
-            put(&format!("classes.{i}.name"), SettingValue::Text(name.into()));
-            put(&format!("classes.{i}.contract_time_us"), SettingValue::Number(contract * 1e6));
-            put(&format!("classes.{i}.earnings"), SettingValue::Number(earnings));
-        }
-        put("allowed.probes", SettingValue::Flag(true));
-        let figures = [
-            ("rules.cold_share", 0.2),
-            ("rules.warm_within_us", 10e6),
-            ("fleet.standing", 3.0),
-            ("fleet.report_period_us", 1e6),
-            ("fleet.message_delay_us", 0.2e6),
-            ("fleet.message_head_lines", 4.0),
-            ("fleet.channel_lines_per_s", 10_000.0),
-            ("fleet.queue_most_lines", 10_000.0),
-        ];
-        for (name, value) in figures.iter().chain(more) {
-            let term = match name.rsplit('.').next() {
-                Some("by_zone" | "fixed_weights") => SettingValue::Flag(true),
-                Some("probes") => SettingValue::Flag(*value > 0.0),
-                _ if name.contains("only_zones") => SettingValue::Text("north".into()),
-                _ => SettingValue::Number(*value),
-            };
-            put(name, term);
-        }
-        let mut pilot = Controller::new(terms, 7);
+    /// The usual settings with some changes.
+    pub fn with(servers: usize, change: impl FnOnce(&mut Settings)) -> Self {
+        let class = |name: &str, latency_objective, value| ClassSettings {
+            name: Some(name.into()),
+            latency_objective: ms(latency_objective),
+            value,
+            ..ClassSettings::default()
+        };
+        let mut settings = Settings {
+            zones: vec!["north".into(), "south".into()],
+            classes: vec![class("look", 1000, 3.0), class("book", 2000, 1.0)],
+            health_checks_allowed: true,
+            ..Settings::default()
+        };
+        settings.rules.initial_weight_fraction = 0.2;
+        settings.rules.slow_start_window = ms(10_000);
+        settings.fleet.report_period = ms(1000);
+        settings.fleet.message_delay = ms(200);
+        settings.fleet.message_overhead_entries = 4.0;
+        settings.fleet.max_entries_per_second = 10_000.0;
+        settings.fleet.max_queued_entries = 10_000.0;
+        change(&mut settings);
+        let mut pilot = Controller::new(settings, 7);
         let listings: Vec<_> = (0..servers).map(ready).collect();
         pilot.update_endpoints(ms(0), true, 0, &listings);
         let health = vec![HealthCheckOutcome::Passed(None); servers];
