--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -113,8 +113,8 @@
 
 pub(crate) fn faults_json(faults: &ConfigErrors) -> serde_json::Value {
     let fault = |fault: &lockcroft_config::ConfigError| {
-        json!({"file": fault.file, "line": fault.line, "element": fault.element, "wrong": fault.wrong,
-            "allowed": fault.allowed})
+        json!({"file": fault.file, "line": fault.line, "element": fault.element, "wrong": fault.message,
+            "allowed": fault.expected})
     };
     json!({"faults": faults.0.iter().map(fault).collect::<Vec<_>>()})
 }
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -13,7 +13,7 @@
     /// What the platform tells this pilot, as JSON.
     #[arg(long, env = "LB_CONFIG")]
     config: Option<PathBuf>,
-    /// Levels of the log, as info,lockcroft::order=debug
+    /// Levels of the log, as info,lockcroft::update=debug
     #[arg(long, env = "LOCKCROFT_LOG", default_value = "info")]
     log: String,
     /// Read the file, say whether it can be used, and start nothing.
--- a/crates/cli/tests/daemon/days.rs
+++ b/crates/cli/tests/daemon/days.rs
@@ -80,9 +80,11 @@
     let listed =
         log.lines().filter(|line| line.contains("lockcroft::input: listed")).nth(1).expect("listed twice");
     let wave = listed.split_whitespace().find(|word| word.starts_with("wave=")).expect("a wave");
-    for said in
-        ["lockcroft::decision: t0: b-2 weighs 0", "lockcroft::order: sent", "lockcroft::answer: answered"]
-    {
+    for said in [
+        "lockcroft::action: t0: b-2 weighs 0",
+        "lockcroft::update: sent",
+        "lockcroft::acknowledgement: answered",
+    ] {
         let of_wave = |line: &&str| line.contains(said) && line.split_whitespace().any(|word| word == wave);
         assert!(log.lines().any(|line| of_wave(&line)), "{said} of {wave}\n{log}");
     }
--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -32,8 +32,8 @@
     assert_eq!(house.ask("set server servers/e9 state drain"), "No such server.\n");
     assert_eq!(house.ask("set server servers/e1 weight 999"), "Require <weight> or <weight%>.\n");
     assert_eq!(
-        house.ask("set log debug,lockcroft::order=trace; show log"),
-        "\ndebug,lockcroft::order=trace\n"
+        house.ask("set log debug,lockcroft::update=trace; show log"),
+        "\ndebug,lockcroft::update=trace\n"
     );
     assert!(house.ask("set log what=ever=this").contains("allowed: LEVEL"));
     let json = run(&["ask", "--json", &user, "show", "version"]);
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -19,8 +19,8 @@
     pub line: u32,
     /// The element, as `/lockcroft/fleet`.
     pub element: String,
-    pub wrong: String,
-    pub allowed: Option<String>,
+    pub message: String,
+    pub expected: Option<String>,
 }
 
 impl fmt::Display for ConfigError {
@@ -29,8 +29,8 @@
         if !self.element.is_empty() {
             write!(out, "{}: ", self.element)?;
         }
-        write!(out, "{}", self.wrong)?;
-        self.allowed.as_ref().map_or(Ok(()), |allowed| write!(out, "; allowed: {allowed}"))
+        write!(out, "{}", self.message)?;
+        self.expected.as_ref().map_or(Ok(()), |allowed| write!(out, "; allowed: {allowed}"))
     }
 }
 
@@ -66,8 +66,8 @@
                 file: file.into(),
                 line: 0,
                 element: String::new(),
-                wrong,
-                allowed: None,
+                message: wrong,
+                expected: None,
             }])
         })?;
         Document::new(file, text, schema)
@@ -104,13 +104,13 @@
     }
 
     /// A fault that no schema can see, at this element.
-    pub fn fault(&self, node: Node, wrong: impl Into<String>, allowed: Option<&str>) -> ConfigError {
+    pub fn error(&self, node: Node, wrong: impl Into<String>, allowed: Option<&str>) -> ConfigError {
         ConfigError {
             file: self.file.clone(),
             line: node.document().text_pos_at(node.range().start).row,
             element: format!("/{}", names(node).join("/")),
-            wrong: wrong.into(),
-            allowed: allowed.map(String::from),
+            message: wrong.into(),
+            expected: allowed.map(String::from),
         }
     }
 
@@ -121,8 +121,8 @@
                 file: self.file.clone(),
                 line,
                 element: String::new(),
-                wrong,
-                allowed: None,
+                message: wrong,
+                expected: None,
             }])
         })?;
         let mut set = SchemaSet::new();
@@ -136,10 +136,10 @@
         drop(run);
         let mut faults: Vec<ConfigError> = errors.iter().map(|error| self.explain(&tree, error)).collect();
         if let Err(error) = driven {
-            faults.push(self.fault(tree.root_element(), error.to_string(), None));
+            faults.push(self.error(tree.root_element(), error.to_string(), None));
         }
         // What stands inside an unknown element is unknown as well; one message is enough.
-        faults.dedup_by(|b, a| a.line == b.line && b.wrong.contains("is not declared"));
+        faults.dedup_by(|b, a| a.line == b.line && b.message.contains("is not declared"));
         faults.sort_by_key(|fault| fault.line);
         if faults.is_empty() { Ok(()) } else { Err(ConfigErrors(faults)) }
     }
@@ -167,7 +167,7 @@
         };
         let element = format!("/{}", names.join("/"));
         let line = tree.text_pos_at(node.range().start).row;
-        ConfigError { file: self.file.clone(), line, element, wrong, allowed }
+        ConfigError { file: self.file.clone(), line, element, message: wrong, expected: allowed }
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,7 +9,9 @@
 mod values;
 
 pub use document::{ConfigError, ConfigErrors, Document};
-pub use post::{DaemonConfig, EndpointListSource, ListenerConfig, LogConfig, ProxyConfig, TableFilesConfig};
+pub use post::{
+    BackoffRange, DaemonConfig, EndpointListSource, ListenerConfig, LogConfig, ProxyConfig, TableFilesConfig,
+};
 pub use roster::{EndpointEntry, EndpointListConfig};
 pub use values::parse_duration;
 
--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -20,19 +20,19 @@
     pub name: String,
     pub seed: u64,
     pub settings: Settings,
-    pub places: NameIndex,
-    pub doors: Vec<ListenerConfig>,
+    pub names: NameIndex,
+    pub listeners: Vec<ListenerConfig>,
     pub proxies: Vec<ProxyConfig>,
-    pub roster: EndpointListSource,
+    pub endpoints: EndpointListSource,
     pub log: LogConfig,
     /// The folder for proxies that read files.
-    pub files: Option<TableFilesConfig>,
+    pub table_files: Option<TableFilesConfig>,
     /// The folder in which what was learned is kept across restarts.
-    pub memory: Option<PathBuf>,
+    pub state_directory: Option<PathBuf>,
     /// A command that a proxy leaves unanswered for so long breaks its stream.
-    pub answer_within: Duration,
+    pub response_timeout: Duration,
     /// The first wait before a broken stream is dialled anew, and the longest.
-    pub redial: [Duration; 2],
+    pub reconnect_backoff: BackoffRange,
 }
 
 /// A socket of the pilot's own runtime API.
@@ -49,7 +49,7 @@
     pub zone: ZoneId,
     pub address: Address,
     /// Visits a second that it usually has.
-    pub rate: f64,
+    pub request_rate: f64,
     /// It takes its tables from files, and not from its control socket.
     pub reads_files: bool,
 }
@@ -57,13 +57,13 @@
 /// Where tables are written as files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableFilesConfig {
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// The file with the keys that seal generations.
-    pub keys: PathBuf,
+    pub key_file: PathBuf,
     /// So many generations stay.
-    pub generations: usize,
+    pub retained_snapshots: usize,
     /// How often what proxies write back is looked at.
-    pub look_every: Duration,
+    pub poll_interval: Duration,
 }
 
 /// Where the list of servers comes from.
@@ -71,7 +71,7 @@
 pub enum EndpointListSource {
     /// A file, looked at anew this often.
     File(PathBuf, Duration),
-    Here(EndpointListConfig),
+    Inline(EndpointListConfig),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -91,8 +91,16 @@
     }
 }
 
+/// The shortest and the longest wait before a retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BackoffRange {
+    pub min: Duration,
+    pub max: Duration,
+}
+
 const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-const REDIAL: [Duration; 2] = [Duration::from_millis(250), Duration::from_secs(5)];
+const RECONNECT_BACKOFF: BackoffRange =
+    BackoffRange { min: Duration::from_millis(250), max: Duration::from_secs(5) };
 const GENERATIONS: usize = 8;
 const LOOK_EVERY: Duration = Duration::from_millis(200);
 
@@ -114,14 +122,14 @@
         let root = tree.root_element();
         if !root.has_tag_name("lockcroft") {
             let allowed = Some("the root element lockcroft");
-            return Err(ConfigErrors(vec![document.fault(root, "is no settings file", allowed)]));
+            return Err(ConfigErrors(vec![document.error(root, "is no settings file", allowed)]));
         }
         let mut reader = Reader { document, values: SettingValues::default(), faults: Vec::new() };
         let post = reader.post(root);
         if reader.faults.is_empty() { Ok(post) } else { Err(ConfigErrors(reader.faults)) }
     }
 
-    pub fn weight_most(&self) -> f64 {
+    pub fn max_weight(&self) -> f64 {
         self.settings.fleet.max_weight
     }
 }
@@ -166,22 +174,25 @@
         let proxies: Vec<_> = proxies.into_iter().filter_map(|node| self.proxy(node, &places)).collect();
         let time =
             |name: &str| pilot.and_then(|node| node.attribute(name)).and_then(|t| parse_duration(t).ok());
-        let redial = [time("redial-least").unwrap_or(REDIAL[0]), time("redial-most").unwrap_or(REDIAL[1])];
+        let reconnect_backoff = BackoffRange {
+            min: time("redial-least").unwrap_or(RECONNECT_BACKOFF.min),
+            max: time("redial-most").unwrap_or(RECONNECT_BACKOFF.max),
+        };
         DaemonConfig {
             file: self.document.file().into(),
             name: pilot
                 .map_or_else(|| "pilot".into(), |node| node.attribute("name").unwrap_or("pilot").into()),
             seed: pilot.and_then(|node| node.attribute("seed")?.parse().ok()).unwrap_or(0),
-            doors: self.doors(part("runtime")),
-            roster: self.roster(part("roster-file"), part("roster"), &places, settings.fleet.max_weight),
+            listeners: self.doors(part("runtime")),
+            endpoints: self.roster(part("roster-file"), part("roster"), &places, settings.fleet.max_weight),
             log: LogConfig::read(part("log")),
-            files: self.files(part("files"), &proxies),
-            memory: part("memory").map(|node| self.base().join(text(node, "folder"))),
+            table_files: self.files(part("files"), &proxies),
+            state_directory: part("memory").map(|node| self.base().join(text(node, "folder"))),
             settings,
-            places,
+            names: places,
             proxies,
-            answer_within: time("answer-within").unwrap_or(ANSWER_WITHIN),
-            redial,
+            response_timeout: time("answer-within").unwrap_or(ANSWER_WITHIN),
+            reconnect_backoff,
         }
     }
 
@@ -205,7 +216,7 @@
                     Ok(time) => {
                         self.put(&format!("{name}_us"), SettingValue::Number(time.as_micros() as f64))
                     }
-                    Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
+                    Err(wrong) => self.faults.push(self.document.error(node, wrong, None)),
                 },
                 "amount" | "positive" | "share" | "count" => {
                     self.put(&name, SettingValue::Number(value.parse().unwrap_or(f64::NAN)));
@@ -228,7 +239,7 @@
         let known = self.values.texts(list);
         if !known.contains(&word) {
             let (known, wrong) = (known.join(", "), format!("{attribute}: {word:?} is not listed"));
-            self.faults.push(self.document.fault(node, wrong, Some(&known)));
+            self.faults.push(self.document.error(node, wrong, Some(&known)));
         }
     }
 
@@ -239,7 +250,7 @@
             let name = text(node, "name");
             if !met.insert(name.clone()) {
                 let fault =
-                    self.document.fault(node, format!("{name} is listed twice"), Some("each name once"));
+                    self.document.error(node, format!("{name} is listed twice"), Some("each name once"));
                 self.faults.push(fault);
             }
         }
@@ -249,21 +260,21 @@
         let time = |name: &str| parse_duration(&text(node, name)).unwrap_or_default();
         if time(low) > time(high) {
             let wrong = format!("{low} {} is longer than {high} {}", text(node, low), text(node, high));
-            self.faults.push(self.document.fault(node, wrong, Some(&format!("{low} up to {high}"))));
+            self.faults.push(self.document.error(node, wrong, Some(&format!("{low} up to {high}"))));
         }
     }
 
     fn proxy(&mut self, node: Node, places: &NameIndex) -> Option<ProxyConfig> {
         let zones = places.zones.join(", ");
         let zone = places.zone(&text(node, "zone"));
-        let zone = zone.map_err(|wrong| self.document.fault(node, wrong, Some(&zones)));
+        let zone = zone.map_err(|wrong| self.document.error(node, wrong, Some(&zones)));
         let address = text(node, "address").parse();
-        let address = address.map_err(|wrong: String| self.document.fault(node, wrong, None));
+        let address = address.map_err(|wrong: String| self.document.error(node, wrong, None));
         let rate = node.attribute("visits-per-s").map_or(1.0, |rate| rate.parse().unwrap_or(1.0));
         match (zone, address) {
             (Ok(zone), Ok(address)) => {
                 let reads_files = node.attribute("front") == Some("files");
-                Some(ProxyConfig { name: text(node, "name"), zone, address, rate, reads_files })
+                Some(ProxyConfig { name: text(node, "name"), zone, address, request_rate: rate, reads_files })
             }
             (zone, address) => {
                 self.faults.extend(zone.err().into_iter().chain(address.err()));
@@ -278,7 +289,7 @@
                 let wrong =
                     format!("{}: front=\"files\", and no element files says where they are", proxy.name);
                 let root = self.document.tree();
-                self.faults.push(self.document.fault(
+                self.faults.push(self.document.error(
                     root.root_element(),
                     wrong,
                     Some("an element files before proxies"),
@@ -290,10 +301,10 @@
         let time = node.attribute("look-every").and_then(|time| parse_duration(time).ok());
         let count = node.attribute("generations").and_then(|count| count.parse().ok());
         Some(TableFilesConfig {
-            folder: base.join(text(node, "folder")),
-            keys: base.join(text(node, "keys")),
-            generations: count.unwrap_or(GENERATIONS),
-            look_every: time.unwrap_or(LOOK_EVERY),
+            directory: base.join(text(node, "folder")),
+            key_file: base.join(text(node, "keys")),
+            retained_snapshots: count.unwrap_or(GENERATIONS),
+            poll_interval: time.unwrap_or(LOOK_EVERY),
         })
     }
 
@@ -304,7 +315,7 @@
                 node.attribute("level").and_then(|level| level.parse().ok()).unwrap_or(Level::Operator);
             match text(node, "address").parse() {
                 Ok(address) => doors.push(ListenerConfig { address, level }),
-                Err(wrong) => self.faults.push(self.document.fault(node, wrong, None)),
+                Err(wrong) => self.faults.push(self.document.error(node, wrong, None)),
             }
         }
         doors
@@ -330,7 +341,7 @@
             self.faults.extend(faults.0);
             None
         });
-        EndpointListSource::Here(read.unwrap_or_default())
+        EndpointListSource::Inline(read.unwrap_or_default())
     }
 }
 
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -16,13 +16,13 @@
 pub struct EndpointEntry {
     pub name: String,
     pub zone: ZoneId,
-    pub kind: MachineTypeId,
+    pub machine_type: MachineTypeId,
     pub address: SocketAddr,
-    pub state: EndpointStatus,
+    pub status: EndpointStatus,
     /// The listed weight, up to the terms' `weight-most`.
     pub weight: f64,
     /// When its process started; `None` if that was long ago.
-    pub started: Option<SystemTime>,
+    pub started_at: Option<SystemTime>,
 }
 
 /// A whole list, at its version.
@@ -43,7 +43,7 @@
         let tree = document.tree();
         let root = tree.root_element();
         if !root.has_tag_name("roster") {
-            return Err(ConfigErrors(vec![document.fault(
+            return Err(ConfigErrors(vec![document.error(
                 root,
                 "is no roster",
                 Some("the root element roster"),
@@ -64,10 +64,10 @@
             match entry(document, node, places, weight_most) {
                 Err(fault) => faults.push(fault),
                 Ok(entry) => {
-                    let line = document.fault(node, "", None).line;
+                    let line = document.error(node, "", None).line;
                     if let Some(first) = lines.insert(entry.name.clone(), line) {
                         let wrong = format!("server {} is listed in line {first} already", entry.name);
-                        faults.push(document.fault(node, wrong, Some("each name once")));
+                        faults.push(document.error(node, wrong, Some("each name once")));
                     }
                     entries.push(entry);
                 }
@@ -91,14 +91,14 @@
     let text = |name: &str| node.attribute(name).unwrap_or_default();
     let zones = places.zones.join(", ");
     let kinds = places.machine_types.join(", ");
-    let zone = places.zone(text("zone")).map_err(|e| document.fault(node, e, Some(&zones)))?;
-    let kind = places.machine_type(text("kind")).map_err(|e| document.fault(node, e, Some(&kinds)))?;
-    let wrong = |_| document.fault(node, format!("{:?} is no address", text("address")), Some("IP:PORT"));
+    let zone = places.zone(text("zone")).map_err(|e| document.error(node, e, Some(&zones)))?;
+    let kind = places.machine_type(text("kind")).map_err(|e| document.error(node, e, Some(&kinds)))?;
+    let wrong = |_| document.error(node, format!("{:?} is no address", text("address")), Some("IP:PORT"));
     let address = text("address").parse().map_err(wrong)?;
     let weight = node.attribute("weight").map_or(1.0, |weight| weight.parse().unwrap_or(1.0));
     if weight > weight_most {
         let most = format!("up to {weight_most}, the fleet's weight-most");
-        return Err(document.fault(node, format!("a weight of {weight}"), Some(&most)));
+        return Err(document.error(node, format!("a weight of {weight}"), Some(&most)));
     }
     let state = match node.attribute("state") {
         Some("draining") => EndpointStatus::Draining,
@@ -107,7 +107,15 @@
     };
     let started = node.attribute("started").map(humantime::parse_rfc3339).transpose();
     let started = started.map_err(|e| {
-        document.fault(node, format!("started: {e}"), Some("a time in UTC such as 2026-12-01T08:30:00Z"))
+        document.error(node, format!("started: {e}"), Some("a time in UTC such as 2026-12-01T08:30:00Z"))
     })?;
-    Ok(EndpointEntry { name: text("name").into(), zone, kind, address, state, weight, started })
+    Ok(EndpointEntry {
+        name: text("name").into(),
+        zone,
+        machine_type: kind,
+        address,
+        status: state,
+        weight,
+        started_at: started,
+    })
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -30,7 +30,7 @@
 #[test]
 fn attributes_become_the_terms_that_decisions_read() {
     let post = read(SOUND).expect("sound");
-    assert_eq!((post.name.as_str(), post.seed, post.proxies[0].rate), ("p1", 9, 6.5));
+    assert_eq!((post.name.as_str(), post.seed, post.proxies[0].request_rate), ("p1", 9, 6.5));
     let settings = &post.settings;
     for (name, read, value) in [
         ("report-period", settings.fleet.report_period.as_secs_f64(), 1.0),
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -22,7 +22,7 @@
     pub fn start(at: &TableFilesConfig, pilot: &str, told: Told) -> Result<Self, String> {
         let (sender, inbox) = channel();
         // Wrong keys are told at the start; later the last good ones stay.
-        read_keys(&at.keys)?;
+        read_keys(&at.key_file)?;
         let hand = ProxyConnections { at: at.clone(), pilot: pilot.into(), writer: None };
         let work = move || hand.work(&inbox, &told);
         let thread = std::thread::Builder::new().name("files".into()).spawn(work);
@@ -53,7 +53,7 @@
 
     /// The epoch is taken with the first generation, so that a pilot that has nothing to say fences nobody off.
     fn write(&mut self, publication: &Publication) -> Result<WrittenSnapshot, PublishError> {
-        let keys = read_keys(&self.at.keys);
+        let keys = read_keys(&self.at.key_file);
         let writer = match (&mut self.writer, keys) {
             (Some(writer), Ok(keys)) => {
                 writer.turn_over(keys);
@@ -64,9 +64,9 @@
                 writer
             }
             (none, Ok(keys)) => {
-                let taken = SnapshotWriter::take(&self.at.folder, &self.pilot, keys);
+                let taken = SnapshotWriter::take(&self.at.directory, &self.pilot, keys);
                 let writer = taken.map_err(|e| failed(&self.at, &e.to_string()))?;
-                info!(target: "lockcroft::pilot", epoch = writer.epoch(), "epoch of files taken");
+                info!(target: "lockcroft::daemon", epoch = writer.epoch(), "epoch of files taken");
                 none.insert(writer)
             }
             (None, Err(wrong)) => return Err(PublishError::Failed(wrong)),
@@ -79,7 +79,7 @@
 }
 
 fn failed(at: &TableFilesConfig, why: &str) -> PublishError {
-    PublishError::Failed(format!("{}: {why}", at.folder.display()))
+    PublishError::Failed(format!("{}: {why}", at.directory.display()))
 }
 
 /// Looks at what proxies write back, and tells what changed.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -64,7 +64,7 @@
     LocalSet::new().block_on(&runtime, run(post, logs))
 }
 
-async fn run(post: &DaemonConfig, logs: logs::Logging) -> Result<(), String> {
+async fn run(post: &DaemonConfig, logs: Logging) -> Result<(), String> {
     let start = Instant::now();
     let epoch =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -80,27 +80,30 @@
         .enumerate()
         .map(|(proxy, at)| ProxyConnections::new(proxy, at.address.clone(), told.clone()))
         .collect();
-    let kept = post.memory.as_ref().and_then(|folder| memory::open(post, folder, told.clone()));
+    let kept = post.state_directory.as_ref().and_then(|folder| memory::open(post, folder, told.clone()));
     let keeper = kept.map(|(keeper, recalled)| {
         station.borrow_mut().helm.remember(recalled);
         keeper
     });
-    let press =
-        post.files.as_ref().map(|at| SnapshotPublisher::start(at, &post.name, told.clone())).transpose()?;
-    if let Some(at) = &post.files {
+    let press = post
+        .table_files
+        .as_ref()
+        .map(|at| SnapshotPublisher::start(at, &post.name, told.clone()))
+        .transpose()?;
+    if let Some(at) = &post.table_files {
         let wall = SystemTime::now().checked_sub(start.elapsed()).unwrap_or(SystemTime::UNIX_EPOCH);
-        spawn_local(files::watch(at.folder.clone(), at.look_every, wall, told.clone()));
+        spawn_local(files::watch(at.directory.clone(), at.poll_interval, wall, told.clone()));
     }
-    match &post.roster {
-        EndpointListSource::Here(roster) => {
+    match &post.endpoints {
+        EndpointListSource::Inline(roster) => {
             let _ = told.send(Event::Listed(roster.clone())).await;
         }
         EndpointListSource::File(path, every) => {
-            let (places, most) = (post.places.clone(), post.weight_most());
+            let (places, most) = (post.names.clone(), post.max_weight());
             spawn_local(roster::watch(path.clone(), *every, places, most, reread, told.clone()));
         }
     }
-    info!(target: "lockcroft::pilot", name = post.name, proxies = post.proxies.len(), "started");
+    info!(target: "lockcroft::daemon", name = post.name, proxies = post.proxies.len(), "started");
     let mut ends = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     let mut batch = Vec::new();
     loop {
@@ -123,8 +126,8 @@
         // Streams get their turn before there is more for them.
         tokio::task::yield_now().await;
     }
-    info!(target: "lockcroft::pilot", "told to end; proxies keep their tables");
-    for door in &post.doors {
+    info!(target: "lockcroft::daemon", "told to end; proxies keep their tables");
+    for door in &post.listeners {
         if let Address::Unix(path) = &door.address {
             let _ = std::fs::remove_file(path);
         }
@@ -137,7 +140,7 @@
     station: &Rc<RefCell<OperatorCommands>>,
     poke: &Rc<Notify>,
 ) -> Result<(), String> {
-    for door in &post.doors {
+    for door in &post.listeners {
         let listener = Listener::bind(&door.address).await;
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", door.address))?;
         let poke = poke.clone();
@@ -174,7 +177,7 @@
         Effect::Probe { server, address } => {
             let told = told.clone();
             spawn_local(async move {
-                let (finding, took) = probes::probe(address).await;
+                let (finding, took) = probe(address).await;
                 let _ = told.send(Event::Probed { server, finding, took }).await;
             });
         }
@@ -205,5 +208,5 @@
 
 /// Warns of something that concerns people rather than decisions.
 fn complain(text: &str) {
-    warn!(target: "lockcroft::pilot", "{text}");
+    warn!(target: "lockcroft::daemon", "{text}");
 }
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -38,11 +38,11 @@
         }
     };
     let LoadedState { state, remarks, from, bytes, .. } = loaded;
-    remarks.iter().for_each(|remark| warn!(target: "lockcroft::memory", "{remark}"));
+    remarks.iter().for_each(|remark| warn!(target: "lockcroft::state_store", "{remark}"));
     let wall =
         SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let recalled = age(&state, wall, &rules(&post.settings));
-    info!(target: "lockcroft::memory", entries = state.len(), from, bytes, servers = recalled.servers.len(),
+    info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recalled.servers.len(),
         levels = recalled.levels.len(), ahead = recalled.ahead, us = begun.elapsed().as_micros() as u64, "recalled");
     let (sender, inbox) = channel();
     let work = move || keep(store, &inbox, &told);
@@ -52,7 +52,7 @@
 
 /// Whose memory it is.
 pub fn owner(post: &DaemonConfig) -> StoreIdentity {
-    let names = [&post.places.zones, &post.places.machine_types, &post.places.classes];
+    let names = [&post.names.zones, &post.names.machine_types, &post.names.classes];
     // A blank between the lists: none of the names has one.
     let names = names.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
     StoreIdentity::of(&post.name, names)
--- a/crates/daemon/src/station.rs
+++ b/crates/daemon/src/station.rs
@@ -57,7 +57,7 @@
         "an operator's word on a server: drain, maint, ready, N, N%",
     ),
     admin("set weight <b>/<s> <value>", "the same as set server <b>/<s> weight"),
-    admin("set log <levels>", "levels of the logs, as info,lockcroft::order=debug"),
+    admin("set log <levels>", "levels of the logs, as info,lockcroft::update=debug"),
     admin("clear counters", "forget the times of orders and the most lines that waited"),
     admin("reload roster", "read the roster file again now"),
 ];
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -35,11 +35,11 @@
     let entry = |i: usize| EndpointEntry {
         name: format!("server-{i}"),
         zone: i % 4,
-        kind: 0,
+        machine_type: 0,
         address: format!("127.0.0.1:{}", 20_000 + i).parse().expect("an address"),
-        state: if Some(i % 4) == lost { EndpointStatus::Removed } else { EndpointStatus::Ready },
+        status: if Some(i % 4) == lost { EndpointStatus::Removed } else { EndpointStatus::Ready },
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
     EndpointListConfig { version, entries: (0..SERVERS).map(entry).collect() }
 }
--- a/crates/fleet/src/berth.rs
+++ b/crates/fleet/src/berth.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use lockcroft_config::ProxyConfig;
+use lockcroft_config::{BackoffRange, ProxyConfig};
 use lockcroft_runtime_api::tables::{StateRow, read_states};
 use nanorand::{Rng, WyRand};
 
@@ -76,9 +76,9 @@
     }
 
     /// How long to wait before the next dial: longer each time, unless the last stream stood well.
-    pub fn redial(&mut self, now: Duration, [least, most]: [Duration; 2], chance: &mut WyRand) -> Duration {
-        let stood = self.stage == Stage::Joined && now.saturating_sub(self.since) > most;
-        self.wait = if stood { least } else { (self.wait * 2).clamp(least, most) };
+    pub fn redial(&mut self, now: Duration, backoff: BackoffRange, chance: &mut WyRand) -> Duration {
+        let stood = self.stage == Stage::Joined && now.saturating_sub(self.since) > backoff.max;
+        self.wait = if stood { backoff.min } else { (self.wait * 2).clamp(backoff.min, backoff.max) };
         let draw = f64::from(chance.generate::<u32>()) / f64::from(u32::MAX);
         self.wait.mul_f64(1.0 - JITTER * draw)
     }
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/book.rs
@@ -310,7 +310,7 @@
         since: Duration,
         wave: u64,
     ) {
-        let wanted = published.tables.get(&table).into_iter().flat_map(|sheet| sheet.lines.keys().copied());
+        let wanted = published.tables.get(&table).into_iter().flat_map(|sheet| sheet.entries.keys().copied());
         let pool = Pool::Table(table);
         let held = self
             .held
@@ -382,7 +382,7 @@
                 }
             }
             Key::Withdrawal(server) => {
-                let barred = desk.published.withdrawn.contains(&server);
+                let barred = desk.published.ejected.contains(&server);
                 let held = self.held.iter().filter(|((_, at), held)| *at == server && held.barred != barred);
                 held.for_each(|((pool, _), _)| put(4, Change::Barred(*pool, server, barred)));
             }
@@ -398,7 +398,7 @@
     ) {
         let pool = Pool::Table(table);
         let weight = desk.scale.units(desk.published.weight(table, server));
-        let barred = desk.published.withdrawn.contains(&server);
+        let barred = desk.published.ejected.contains(&server);
         let address = desk.list.address(server);
         let Some(held) = self.held.get(&(pool, server)) else {
             if weight > 0 && address.is_some() {
@@ -429,14 +429,14 @@
 
     fn level_changes(&self, class: ClassId, desk: &UpdateContext, put: &mut dyn FnMut(usize, Change)) {
         let table = self.bound.get(&class).and_then(|table| desk.published.tables.get(table));
-        let Some((share, again)) = table.and_then(|sheet| sheet.levels.get(&class)).copied() else { return };
+        let Some(admission) = table.and_then(|sheet| sheet.admissions.get(&class)) else { return };
         let held = self.levels.get(&class).copied().unwrap_or_default();
-        let level = (share * 1000.0).round() as u32;
+        let level = (admission.fraction * 1000.0).round() as u32;
         if held.0 != Some(level) {
             put(1, Change::Level(class, level));
         }
-        if held.1 != Some(again) {
-            put(1, Change::Again(class, again));
+        if held.1 != Some(admission.retry) {
+            put(1, Change::Again(class, admission.retry));
         }
     }
 
--- a/crates/fleet/src/files.rs
+++ b/crates/fleet/src/files.rs
@@ -8,6 +8,7 @@
 
 use hdrhistogram::Histogram;
 use lockcroft::{ClassId, EndpointId, ProxyId, TableId};
+use lockcroft_host::Admission;
 use lockcroft_table_format::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
 use lockcroft_table_store::{Epoch, RetentionPolicy, Version, WrittenSnapshot};
 
@@ -280,7 +281,7 @@
             content.groups.insert(number, ProxyGroup { proxies, bound: bound.collect() });
         }
         content.withdrawn =
-            desk.published.withdrawn.iter().map(|server| desk.list.name(*server).into()).collect();
+            desk.published.ejected.iter().map(|server| desk.list.name(*server).into()).collect();
         content
     }
 }
@@ -299,11 +300,11 @@
         let address = desk.list.address(*server)?;
         Some((desk.list.name(*server).to_string(), TableEntry { address, weight: desk.scale.units(*weight) }))
     };
-    Table { lines: sheet.into_iter().flat_map(|sheet| &sheet.lines).filter_map(line).collect() }
+    Table { lines: sheet.into_iter().flat_map(|sheet| &sheet.entries).filter_map(line).collect() }
 }
 
 fn level(class: ClassId, table: TableId, desk: &UpdateContext) -> ProxyAssignment {
-    let levels = desk.published.tables.get(&table).and_then(|sheet| sheet.levels.get(&class));
-    let (share, again) = levels.copied().unwrap_or((1.0, false));
-    ProxyAssignment { table: table as u32, level: (share * 1000.0).round() as u32, again }
+    let levels = desk.published.tables.get(&table).and_then(|sheet| sheet.admissions.get(&class));
+    let Admission { fraction, retry } = levels.copied().unwrap_or(Admission { fraction: 1.0, retry: false });
+    ProxyAssignment { table: table as u32, level: (fraction * 1000.0).round() as u32, again: retry }
 }
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -8,8 +8,8 @@
 
 use hdrhistogram::Histogram;
 use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, Snapshot, TableId};
-use lockcroft_config::{DaemonConfig, EndpointListConfig};
-use lockcroft_host::{NameIndex, PublishedTables};
+use lockcroft_config::{BackoffRange, DaemonConfig, EndpointListConfig};
+use lockcroft_host::{Admission, NameIndex, PublishedTables};
 use lockcroft_runtime_api::tables::read_stat;
 use lockcroft_solver::Answer;
 use lockcroft_state_store::{Entry, RecoveredState};
@@ -121,7 +121,7 @@
     chance: WyRand,
     report_period: Duration,
     answer_within: Duration,
-    redial: [Duration; 2],
+    reconnect_backoff: BackoffRange,
     pub(crate) epoch: u64,
 }
 
@@ -138,33 +138,36 @@
         let dial = |proxy| Effect::Dial { proxy, stream: 0, after: Duration::ZERO };
         FleetController {
             pilot: Controller::new(post.settings.clone(), post.seed),
-            places: post.places.clone(),
+            places: post.names.clone(),
             list: EndpointList::default(),
             published: PublishedTables::default(),
             effects: (0..berths.len()).map(dial).collect(),
             notes: None,
             kept: StateRecovery::default(),
             recalled: None,
-            files: FileFront::new(post.files.as_ref().map_or(0, |files| files.generations), readers),
+            files: FileFront::new(
+                post.table_files.as_ref().map_or(0, |files| files.retained_snapshots),
+                readers,
+            ),
             berths,
             events: EventLog::default(),
-            scale: WeightScale { most: post.weight_most() },
+            scale: WeightScale { most: post.max_weight() },
             name: post.name.clone(),
             now: Duration::ZERO,
             met: BTreeMap::new(),
-            visits: vec![0; post.places.classes.len()],
+            visits: vec![0; post.names.classes.len()],
             sums: Sums::default(),
             landed: Histogram::new_with_bounds(1, 600_000_000, 2).expect("bounds are in order"),
             queue_most: post.settings.fleet.max_queued_entries,
             wave: 1,
-            planner: Planner::new(&post.settings, post.places.zones.len()),
+            planner: Planner::new(&post.settings, post.names.zones.len()),
             touched: BTreeSet::new(),
             on: BTreeMap::new(),
             due: BTreeSet::new(),
             chance: WyRand::new_seed(post.seed),
             report_period: post.settings.fleet.report_period.max(Duration::from_millis(100)),
-            answer_within: post.answer_within,
-            redial: post.redial,
+            answer_within: post.response_timeout,
+            reconnect_backoff: post.reconnect_backoff,
             epoch,
         }
     }
@@ -267,7 +270,7 @@
         }
         let berth = &mut self.berths[proxy];
         let (joined, changed) = (berth.stage == Stage::Joined, berth.why != why);
-        let after = berth.redial(now, self.redial, &mut self.chance);
+        let after = berth.redial(now, self.reconnect_backoff, &mut self.chance);
         berth.leave(now, why);
         let name = &berth.at.name;
         if joined || changed {
@@ -328,7 +331,7 @@
                 }
                 if let Some(landed) = landed {
                     let took = now.saturating_sub(landed.since);
-                    debug!(target: "lockcroft::answer", wave = landed.wave, proxy = berth.at.name,
+                    debug!(target: "lockcroft::acknowledgement", wave = landed.wave, proxy = berth.at.name,
                         lines = landed.lines, us = took.as_micros() as u64, "answered");
                     self.landed.saturating_record(took.as_micros() as u64);
                     self.touched.insert(proxy);
@@ -357,12 +360,12 @@
         let share = (proxy as f64 * 0.618_034).fract();
         self.due.insert((now + self.report_period.mul_f64(share), Timer::Look(proxy, stream)));
         if !berth.at.reads_files {
-            for server in &self.published.withdrawn {
+            for server in &self.published.ejected {
                 berth.book.withdraw(*server, now, self.wave);
             }
             self.touched.insert(proxy);
         }
-        let (zone, rate) = (berth.at.zone, berth.at.rate);
+        let (zone, rate) = (berth.at.zone, berth.at.request_rate);
         self.pilot.attach_proxy(proxy, zone, rate, fresh);
     }
 
@@ -487,7 +490,7 @@
                 }
             }
             Action::SetWeight { table, endpoint: server, weight } => {
-                self.published.weigh(table, server, weight);
+                self.published.set_weight(table, server, weight);
                 self.say_decided(now, &format!("t{table}: {} weighs {weight}", self.list.name(server)));
                 self.files.weigh(now, table, server);
                 self.each_on(table, |book| book.weigh(table, server, now, wave));
@@ -507,17 +510,17 @@
             }
             Action::Eject { endpoint } => self.set_ejected(now, endpoint, true),
             Action::Restore { endpoint } => self.set_ejected(now, endpoint, false),
-            Action::SetAdmission { table, class, fraction: share, retry: second_try } => {
-                self.published.admit(table, class, share, second_try);
+            Action::SetAdmission { table, class, fraction, retry } => {
+                self.published.set_admission(table, class, Admission { fraction, retry });
                 let name = &self.places.classes[class];
-                let again = if second_try { ", second tries" } else { "" };
-                self.say_decided(now, &format!("t{table}: {name} let in {share}{again}"));
+                let again = if retry { ", second tries" } else { "" };
+                self.say_decided(now, &format!("t{table}: {name} let in {fraction}{again}"));
                 self.files.admit(now, table, class);
                 self.each_on(table, |book| book.admit(table, class, now, wave));
             }
             Action::RaiseEvent { endpoint: about, text } => {
                 let text = about.map_or(text.clone(), |server| format!("{} {text}", self.list.name(server)));
-                info!(target: "lockcroft::note", wave, "{text}");
+                info!(target: "lockcroft::event", wave, "{text}");
                 self.events.add(now, wave, &format!("note: {text}"));
             }
         }
@@ -525,14 +528,14 @@
 
     fn set_ejected(&mut self, now: Duration, endpoint: EndpointId, ejected: bool) {
         let wave = self.wave;
-        self.published.withdraw(endpoint, ejected);
+        self.published.set_ejected(endpoint, ejected);
         self.say_decided(now, &format!("withdraw {}: {ejected}", self.list.name(endpoint)));
         self.files.withdraw(now, endpoint);
         self.each(|book| book.withdraw(endpoint, now, wave));
     }
 
     fn say_decided(&mut self, now: Duration, text: &str) {
-        debug!(target: "lockcroft::decision", wave = self.wave, "{text}");
+        debug!(target: "lockcroft::action", wave = self.wave, "{text}");
         self.events.add(now, self.wave, text);
     }
 
@@ -570,7 +573,7 @@
             let Some(message) = message else { continue };
             self.sums.messages += 1;
             self.sums.lines += message.lines as u64;
-            debug!(target: "lockcroft::order", wave = message.wave, proxy = self.berths[proxy].at.name,
+            debug!(target: "lockcroft::update", wave = message.wave, proxy = self.berths[proxy].at.name,
                 lines = message.lines, commands = message.commands, "sent");
             self.ask(now, proxy, PendingRequest::Order, message.text, message.commands);
         }
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -30,13 +30,13 @@
         self.now = now;
         match self.files.written(now, done) {
             Ok(WrittenSnapshot { epoch, version, files, linked, bytes }) => {
-                debug!(target: "lockcroft::order", wave = self.wave, epoch, version, files, linked, bytes, "written");
+                debug!(target: "lockcroft::update", wave = self.wave, epoch, version, files, linked, bytes, "written");
                 let text =
                     format!("files: e{epoch} g{version}, {files} written, {linked} linked, {bytes} bytes");
                 self.events.add(now, self.wave, &text);
             }
             Err(why) => {
-                warn!(target: "lockcroft::order", wave = self.wave, why, "not written");
+                warn!(target: "lockcroft::update", wave = self.wave, why, "not written");
                 self.events.add(now, self.wave, &format!("files: {why}"));
             }
         }
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -42,10 +42,10 @@
         self.version = roster.version;
         for entry in roster.entries {
             let server = self.names.index(&entry.name);
-            let known = old.remove(&server).filter(|line| line.entry.started == entry.started);
+            let known = old.remove(&server).filter(|line| line.entry.started_at == entry.started_at);
             let age = match known {
                 Some(line) => line.age,
-                None => entry.started.map(|at| (wall.duration_since(at).unwrap_or_default(), now)),
+                None => entry.started_at.map(|at| (wall.duration_since(at).unwrap_or_default(), now)),
             };
             self.lines.insert(server, Line { entry, age });
         }
@@ -58,7 +58,7 @@
 
     fn listing(&self, now: Duration, server: EndpointId, line: &Line) -> EndpointRecord {
         let word = self.words.get(&server).copied().unwrap_or_default();
-        let state = match line.entry.state {
+        let state = match line.entry.status {
             EndpointStatus::Ready if word.drains => EndpointStatus::Draining,
             state => state,
         };
@@ -68,7 +68,7 @@
         EndpointRecord {
             endpoint: server,
             zone: line.entry.zone,
-            machine_type: line.entry.kind,
+            machine_type: line.entry.machine_type,
             status: state,
             weight,
             age,
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/orders/memory.rs
@@ -85,7 +85,7 @@
     let mut before = again(Stage::unlisted(2, 1), RecoveredState::default());
     before.run_to(6000);
     let wall = std::time::SystemTime::now();
-    before.roster.entries[1].started = Some(wall);
+    before.roster.entries[1].started_at = Some(wall);
     before.list();
     before.run_to(6500);
     let state = kept(&before);
--- a/crates/fleet/tests/orders/stage.rs
+++ b/crates/fleet/tests/orders/stage.rs
@@ -246,7 +246,7 @@
     }
 
     pub fn state(&mut self, server: usize, state: EndpointStatus) {
-        self.roster.entries[server].state = state;
+        self.roster.entries[server].status = state;
         self.list();
     }
 
@@ -426,10 +426,10 @@
     EndpointEntry {
         name: format!("e{server}"),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         address: format!("127.0.0.1:{}", 9000 + server).parse().expect("an address"),
-        state: EndpointStatus::Ready,
+        status: EndpointStatus::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
--- a/crates/fleet/tests/orders/troubles.rs
+++ b/crates/fleet/tests/orders/troubles.rs
@@ -218,7 +218,7 @@
 #[test]
 fn a_start_is_news_once() {
     let mut stage = Stage::new(2, 1);
-    stage.run_to(6000).roster.entries[0].started = Some(SystemTime::UNIX_EPOCH + ms(3000));
+    stage.run_to(6000).roster.entries[0].started_at = Some(SystemTime::UNIX_EPOCH + ms(3000));
     stage.list();
     stage.run_to(12_900);
     let picks = stage.picks(0);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -5,7 +5,7 @@
 mod setting_values;
 mod settings;
 
-pub use published::{PublishedTable, PublishedTables};
+pub use published::{Admission, PublishedTable, PublishedTables};
 pub use setting_values::{SettingValue, SettingValues};
 pub use settings::{parse_settings, setting_values};
 
--- a/crates/platform/src/admission.rs
+++ b/crates/platform/src/connection_admission.rs
@@ -1,4 +1,4 @@
-//! Admission of connections. Anybody can connect and not join, by hundreds, and say nothing. Those are let go
+//! ConnectionAdmission of connections. Anybody can connect and not join, by hundreds, and say nothing. Those are let go
 //! after a while, and sooner where descriptors run short, so that proxies always find room. Whoever is let go
 //! gets a last call first: a joining that came in time and was not read yet still counts.
 
@@ -19,7 +19,7 @@
 /// streams, the listener, signals, the runtime's own and the list's.
 const KEPT: usize = 32;
 
-pub struct Admission {
+pub struct ConnectionAdmission {
     sockets: usize,
     unjoined: BTreeMap<ConnectionId, Duration>,
     /// Had their last call, and still hold a descriptor.
@@ -38,9 +38,9 @@
     Wait(Duration),
 }
 
-impl Admission {
+impl ConnectionAdmission {
     pub fn new(sockets: usize) -> Self {
-        Admission { sockets, unjoined: BTreeMap::new(), leaving: BTreeSet::new(), open: 0 }
+        ConnectionAdmission { sockets, unjoined: BTreeMap::new(), leaving: BTreeSet::new(), open: 0 }
     }
 
     /// Whether there is room for one more, with so many servers that may be probed at once.
--- a/crates/platform/src/controller.rs
+++ b/crates/platform/src/controller.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use lockcroft::{Action, Controller, EndpointId, HealthCheckOutcome, ProxyId, ZoneId};
-use lockcroft_host::{NameIndex, PublishedTables};
+use lockcroft_host::{Admission, NameIndex, PublishedTables};
 use serde_json::Value;
 use tracing::{debug, info, warn};
 
-use crate::admission::{Acceptance, Admission, COLLECTORS};
 use crate::codec::{self, Bounds, Fault, Message, MessageContext, Part};
 use crate::config::Config;
+use crate::connection_admission::{Acceptance, COLLECTORS, ConnectionAdmission};
 use crate::roster::Roster;
 use crate::stream::{ConnectionId, Context, ProxyStream};
 
@@ -71,7 +71,7 @@
     published: PublishedTables,
     streams: BTreeMap<ProxyId, ProxyStream>,
     connections: BTreeMap<ConnectionId, Role>,
-    admission: Admission,
+    admission: ConnectionAdmission,
     touched: BTreeSet<ProxyId>,
     effects: VecDeque<Effect>,
     marks: u64,
@@ -89,7 +89,7 @@
             published: PublishedTables::default(),
             streams: BTreeMap::new(),
             connections: BTreeMap::new(),
-            admission: Admission::new(config.sockets),
+            admission: ConnectionAdmission::new(config.sockets),
             touched: BTreeSet::new(),
             effects: VecDeque::new(),
             marks: 0,
@@ -105,16 +105,16 @@
     pub fn listed(&mut self, now: Duration, wall: u64, value: &Value) -> Result<(), String> {
         let told = self.roster.take(now, wall, value, &self.places)?;
         for fault in &told.faults {
-            warn!(target: "lockcroft::list", fault, "an entry can't be used");
+            warn!(target: "lockcroft::endpoints", fault, "an entry can't be used");
         }
         for entry in &told.listings {
             let (name, age_ms) =
                 (self.roster.name(entry.endpoint), entry.age.map(|age| age.as_millis() as u64));
-            debug!(target: "lockcroft::list", name, state = ?entry.status, age_ms, "listed");
+            debug!(target: "lockcroft::endpoints", name, state = ?entry.status, age_ms, "listed");
         }
         let (version, whole, entries) = (told.version, told.whole, told.listings.len());
         if entries > 0 {
-            info!(target: "lockcroft::list", version, whole, entries);
+            info!(target: "lockcroft::endpoints", version, whole, entries);
         }
         self.pilot.update_endpoints(now, told.whole, told.version, &told.listings);
         Ok(())
@@ -138,7 +138,7 @@
         // What a former address says is nothing about the server that has moved on.
         let still = self.roster.address(server) == Some(address);
         let finding = if still { finding } else { HealthCheckOutcome::AddressChanged };
-        debug!(target: "lockcroft::probe", name, ?finding, us = took.as_micros() as u64);
+        debug!(target: "lockcroft::health_check", name, ?finding, us = took.as_micros() as u64);
         self.pilot.health_check_finished(now, server, finding, took);
     }
 
@@ -322,12 +322,12 @@
             }
             Action::SetWeight { table, endpoint: server, weight } => {
                 let name = self.roster.name(server);
-                debug!(target: "lockcroft::decision", table, name, weight, "weigh");
-                self.published.weigh(table, server, weight);
+                debug!(target: "lockcroft::action", table, name, weight, "weigh");
+                self.published.set_weight(table, server, weight);
                 self.touch(|stream| stream.on(table));
             }
             Action::AssignTable { table, classes, proxy } => {
-                debug!(target: "lockcroft::decision", table, proxy, "bind");
+                debug!(target: "lockcroft::action", table, proxy, "bind");
                 if let Some(stream) = self.streams.get_mut(&proxy) {
                     stream.bind(table, classes);
                     self.touched.insert(proxy);
@@ -335,22 +335,22 @@
             }
             Action::Eject { endpoint } => self.set_ejected(endpoint, true),
             Action::Restore { endpoint } => self.set_ejected(endpoint, false),
-            Action::SetAdmission { table, class, fraction: share, retry: second_try } => {
-                debug!(target: "lockcroft::decision", table, class, share, second_try, "admit");
-                self.published.admit(table, class, share, second_try);
+            Action::SetAdmission { table, class, fraction, retry } => {
+                debug!(target: "lockcroft::action", table, class, fraction, retry, "admit");
+                self.published.set_admission(table, class, Admission { fraction, retry });
                 self.touch(|stream| stream.on(table));
             }
             Action::RaiseEvent { endpoint: about, text } => {
                 let about = about.map(|server| self.roster.name(server));
-                info!(target: "lockcroft::note", about, "{text}");
+                info!(target: "lockcroft::event", about, "{text}");
             }
         }
     }
 
     fn set_ejected(&mut self, endpoint: EndpointId, ejected: bool) {
         let name = self.roster.name(endpoint);
-        debug!(target: "lockcroft::decision", name, withdrawn = ejected, "withdraw");
-        self.published.withdraw(endpoint, ejected);
+        debug!(target: "lockcroft::action", name, withdrawn = ejected, "withdraw");
+        self.published.set_ejected(endpoint, ejected);
         let classes = self.places.classes.len();
         self.streams.values_mut().for_each(|stream| stream.withdraw(endpoint, ejected, classes));
         self.touch(|_| true);
@@ -397,7 +397,7 @@
                 (self.sums.messages + 1, self.sums.parts + parts.len() as u64);
             let lines = lines(&parts);
             let text = codec::message(parts);
-            debug!(target: "lockcroft::order", proxy, lines, bytes = text.len(), "sent");
+            debug!(target: "lockcroft::update", proxy, lines, bytes = text.len(), "sent");
             if let Some(stream) = self.streams.get(&proxy) {
                 self.effects.push_back(Effect::Write { connection: stream.connection, text });
             }
--- a/crates/platform/src/io/connections.rs
+++ b/crates/platform/src/io/connections.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::Shared;
-use crate::admission::Acceptance;
+use crate::connection_admission::Acceptance;
 use crate::stream::ConnectionId;
 
 /// A buffer that a long message grew is given back beyond this.
--- a/crates/platform/src/io/discovery.rs
+++ b/crates/platform/src/io/discovery.rs
@@ -53,7 +53,7 @@
     let mut whole = true;
     loop {
         let fault = talk(address, &mut whole, &heard, &shared).await;
-        warn!(target: "lockcroft::list", %address, fault, "discovery");
+        warn!(target: "lockcroft::endpoints", %address, fault, "discovery");
         sleep(PAUSE).await;
     }
 }
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -146,7 +146,7 @@
     if let Some(known) = &config.known
         && let Err(fault) = shared.controller.borrow_mut().listed(shared.now(), wall(), known)
     {
-        warn!(target: "lockcroft::list", fault, "the list of before can't be used");
+        warn!(target: "lockcroft::endpoints", fault, "the list of before can't be used");
     }
     let accepting = spawn_local(connections::accept(listener, shared.clone()));
     let (at, follows) = watch::channel(config.discovery);
@@ -230,6 +230,6 @@
         sleep(SUMS).await;
         let sums = shared.controller.borrow().sums;
         let connections = shared.handles.borrow().len();
-        info!(target: "lockcroft::sums", connections, ?sums);
+        info!(target: "lockcroft::counters", connections, ?sums);
     }
 }
--- a/crates/platform/src/io/probes.rs
+++ b/crates/platform/src/io/probes.rs
@@ -19,7 +19,7 @@
 
 fn read(address: SocketAddr, answer: &HttpResponse) -> HealthCheckOutcome {
     if !answer.status.is_success() {
-        debug!(target: "lockcroft::probe", status = %answer.status, body = ?answer.body, %address);
+        debug!(target: "lockcroft::health_check", status = %answer.status, body = ?answer.body, %address);
     }
     lockcroft_http_client::outcome_of_status(answer.status, load(&String::from_utf8_lossy(&answer.body)))
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,9 +2,9 @@
 //! the decisions. The core is free of I/O and clock: [`ControlPlane`] takes what arrives and gives out what is
 //! to be done. Sockets, signals and the clock stand in [`io`].
 
-mod admission;
 mod codec;
 mod config;
+mod connection_admission;
 mod controller;
 pub mod io;
 mod roster;
--- a/crates/platform/src/stream.rs
+++ b/crates/platform/src/stream.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_host::{PublishedTable, PublishedTables};
+use lockcroft_host::{Admission, PublishedTable, PublishedTables};
 
 use crate::codec::Part;
 use crate::roster::Roster;
@@ -110,7 +110,7 @@
             }
             // A proxy keeps over a change of streams whom it was told to shut out, and by whom it does not
             // say: lines of servers that moved go with a word that lets them back.
-            for server in sheet.lines.keys().filter(|server| context.roster.moved(**server)) {
+            for server in sheet.entries.keys().filter(|server| context.roster.moved(**server)) {
                 if !self.fresh && !self.ejects.contains(server) && self.cleared.insert(*server) {
                     orders.restore.push(name(server));
                 }
@@ -136,13 +136,13 @@
         let empty = PublishedTable::default();
         let (full, old) = (self.written.is_none(), self.written.as_ref().unwrap_or(&empty));
         let name = |server: &EndpointId| context.roster.name(*server);
-        let gone = old.lines.keys().filter(|server| !sheet.lines.contains_key(server));
-        let new = sheet.lines.iter().filter(|(server, weight)| old.lines.get(server) != Some(weight));
+        let gone = old.entries.keys().filter(|server| !sheet.entries.contains_key(server));
+        let new = sheet.entries.iter().filter(|(server, weight)| old.entries.get(server) != Some(weight));
         let endpoints = new.map(|(server, weight)| (name(server), *weight));
         let endpoints: Vec<(&str, f64)> = endpoints.chain(gone.map(|server| (name(server), 0.0))).collect();
-        let mut levels: Vec<((f64, bool), Vec<ClassId>)> = Vec::new();
+        let mut levels: Vec<(Admission, Vec<ClassId>)> = Vec::new();
         for class in &self.classes {
-            let level = sheet.levels.get(class).filter(|level| old.levels.get(class) != Some(level));
+            let level = sheet.admissions.get(class).filter(|level| old.admissions.get(class) != Some(level));
             let Some(level) = level else { continue };
             match levels.iter_mut().find(|(known, _)| known == level) {
                 Some((_, classes)) => classes.push(*class),
@@ -155,12 +155,12 @@
         } else if common {
             parts.push(Part { routes: all(), ..Part::default() });
         }
-        for ((share, second_try), classes) in levels {
+        for (admission, classes) in levels {
             if !common {
                 parts.push(Part { routes: Some(self.routes(&classes, context)), ..Part::default() });
             }
             if let Some(part) = parts.last_mut() {
-                (part.admit, part.policy) = (Some(share), Some(u8::from(second_try)));
+                (part.admit, part.policy) = (Some(admission.fraction), Some(u8::from(admission.retry)));
             }
         }
     }
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -64,6 +64,6 @@
         tokio::task::yield_now().await;
     }
     let after = orders.finish(laying, &mut core.held(), out);
-    tracing::debug!(target: "lockcroft::orders", commands = count, "line");
+    tracing::debug!(target: "lockcroft::command", commands = count, "line");
     after
 }
--- a/crates/proxy/src/io/files.rs
+++ b/crates/proxy/src/io/files.rs
@@ -55,12 +55,12 @@
                     let (folder, status) = (folder.clone(), status.clone());
                     let written = off_thread(Turn::Tell, move || write_status(&folder, &status)).await;
                     // The pilot then believes what it believed before.
-                    written.unwrap_or_else(|e| warn!(target: "lockcroft::files", "status: {e}"));
+                    written.unwrap_or_else(|e| warn!(target: "lockcroft::table_files", "status: {e}"));
                 }
             }
             Err(error) if complained != error.to_string() => {
                 complained = error.to_string();
-                warn!(target: "lockcroft::files", folder = %folder.display(), "what is held stands: {error}");
+                warn!(target: "lockcroft::table_files", folder = %folder.display(), "what is held stands: {error}");
             }
             Err(_) => {}
         }
@@ -104,7 +104,7 @@
     for RejectedSnapshot { epoch, version, why } in looked.refused {
         let before = status.refused.as_ref();
         if before.is_none_or(|before| (before.epoch, before.version, &before.why) != (epoch, version, &why)) {
-            warn!(target: "lockcroft::files", epoch, version, "refused: {why}");
+            warn!(target: "lockcroft::table_files", epoch, version, "refused: {why}");
             status.refused = Some((epoch, version, why).into()).into();
             told = true;
         }
@@ -112,7 +112,7 @@
     for mine in &looked.lay {
         let set = lay(core, mine, from, orders).await;
         let (epoch, version, bound) = (mine.epoch, mine.version, !mine.bound.is_empty());
-        info!(target: "lockcroft::files", epoch, version, set, bound, "laid");
+        info!(target: "lockcroft::table_files", epoch, version, set, bound, "laid");
         let at_ms = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis();
         let laid = proto::Laid { epoch, version, set, at_ms: at_ms as u64, bound, ..Default::default() };
         status.laid.push(laid);
@@ -141,7 +141,7 @@
     core.room.notify_waiters();
     let after = core.held().version;
     if after == before {
-        warn!(target: "lockcroft::files", "not laid: {}", out.trim());
+        warn!(target: "lockcroft::table_files", "not laid: {}", out.trim());
         return 0;
     }
     after
--- a/crates/proxy/src/io/forward.rs
+++ b/crates/proxy/src/io/forward.rs
@@ -86,7 +86,7 @@
     };
     let begun = core.now();
     let (answer, tries) = decide(&visit, body, &core).await;
-    tracing::debug!(target: "lockcroft::visit", visit = visit.id, class = visit.class, tries,
+    tracing::debug!(target: "lockcroft::request", visit = visit.id, class = visit.class, tries,
         status = answer.status().as_u16(), us = (core.now() - begun).as_micros() as u64, "ended");
     Ok(answer)
 }
--- a/crates/proxy/src/io/watch.rs
+++ b/crates/proxy/src/io/watch.rs
@@ -70,7 +70,9 @@
             }
         });
         let watcher = watcher
-            .inspect_err(|e| warn!(target: "lockcroft::files", "no file events, looks alone will tell: {e}"))
+            .inspect_err(
+                |e| warn!(target: "lockcroft::table_files", "no file events, looks alone will tell: {e}"),
+            )
             .ok();
         Shared {
             folder: folder.into(),
--- a/crates/proxy/src/post.rs
+++ b/crates/proxy/src/post.rs
@@ -111,7 +111,7 @@
         for node in root.descendants().filter(Node::is_element) {
             let name = node.attribute("name").unwrap_or_default().to_string();
             let address = node.attribute("address").unwrap_or_default();
-            let wrong = |wrong: String| document.fault(node, wrong, Some("IP:PORT"));
+            let wrong = |wrong: String| document.error(node, wrong, Some("IP:PORT"));
             match node.tag_name().name() {
                 "control" => match address.parse() {
                     Ok(address) => control.push(address),
@@ -127,7 +127,7 @@
         }
         let at = part("visits").and_then(|node| node.attribute("address")).unwrap_or_default();
         let Ok(visits) = at.parse() else {
-            faults.push(document.fault(root, format!("visits: {at:?} is no address"), Some("IP:PORT")));
+            faults.push(document.error(root, format!("visits: {at:?} is no address"), Some("IP:PORT")));
             return Err(ConfigErrors(faults));
         };
         if !faults.is_empty() {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -288,7 +288,7 @@
         let mut slow = TcpStream::connect(stage.proxy.visits).await.expect("connected");
         slow.write_all(b"GET /look HTTP/1.1\r\n\r\nGET /look HTTP/1.1\r\n\r\n").await.expect("sent");
         let mut byte = [0];
-        let slowly = tokio::task::spawn_local(async move {
+        let slowly = spawn_local(async move {
             // One byte a second, for as long as the test lasts.
             let mut read = 0;
             while slow.read(&mut [0]).await.is_ok_and(|bytes| bytes == 1) && read < 6 {
--- a/crates/scenario/src/day.rs
+++ b/crates/scenario/src/day.rs
@@ -10,7 +10,7 @@
 use crate::ways::{SearchSpace, Variant};
 
 /// Each decision with its orders and answers.
-const LOG: &str = "info,lockcroft::decision=debug,lockcroft::order=debug,lockcroft::answer=debug";
+const LOG: &str = "info,lockcroft::action=debug,lockcroft::update=debug,lockcroft::acknowledgement=debug";
 
 /// A scripted day.
 #[derive(Clone, Debug)]
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -71,7 +71,7 @@
         let tap = TrafficRecorder::default();
         let mut endpoints = BTreeMap::new();
         let mut lines = BTreeMap::new();
-        for zone in &post.places.zones {
+        for zone in &post.names.zones {
             let here = |like: &&crate::day::Endpoints| like.zones.is_empty() || like.zones.contains(zone);
             for (group, like) in day.endpoints.iter().enumerate().filter(|(_, like)| here(like)) {
                 for number in 1..=like.per_zone {
@@ -90,14 +90,14 @@
         let hosts = ProxyRuntimes::new(threads).map_err(io)?;
         let files = Folder::make(folder).map_err(io)?;
         let patience = |i: usize| post.settings.classes[i].client_timeout.unwrap_or_default();
-        let classes = post.places.classes.iter().cloned().enumerate();
+        let classes = post.names.classes.iter().cloned().enumerate();
         let classes: Vec<_> = classes.map(|(i, name)| (name, patience(i))).collect();
         let mut chance = WyRand::new_seed(day.seed);
         let mut relays = Vec::new();
         let mut proxies = String::new();
         let rate: f64 = day.visits.iter().map(|visits| visits.rate).sum();
-        let share = rate / (day.relays.per_zone * post.places.zones.len()) as f64;
-        for zone in &post.places.zones {
+        let share = rate / (day.relays.per_zone * post.names.zones.len()) as f64;
+        for zone in &post.names.zones {
             for number in 1..=day.relays.per_zone {
                 let name = format!("r-{zone}-{number}");
                 let mut near: Vec<_> = lines.iter().filter(|(_, line)| line.zone == *zone).collect();
--- a/crates/scenario/src/ways.rs
+++ b/crates/scenario/src/ways.rs
@@ -40,7 +40,7 @@
         let words = |name: &str| node.attribute(name).unwrap_or_default().split_whitespace();
         if node.has_tag_name("way") {
             let wrong = |word: &str, allowed: &str| {
-                document.fault(node, format!("{word:?} is not to be read"), Some(allowed))
+                document.error(node, format!("{word:?} is not to be read"), Some(allowed))
             };
             let set = words("set").map(|word| {
                 setting(word)
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -118,7 +118,7 @@
     }
 
     fn wrong(&mut self, node: Node, wrong: String, allowed: &str) {
-        self.faults.push(self.document.fault(node, wrong, Some(allowed)));
+        self.faults.push(self.document.error(node, wrong, Some(allowed)));
     }
 }
 
--- a/crates/table-format/src/keys.rs
+++ b/crates/table-format/src/keys.rs
@@ -23,7 +23,7 @@
 
 impl Key {
     /// # Errors
-    /// The secret is shorter than [`KEY_LEAST`].
+    /// The secret is shorter than `KEY_LEAST`.
     pub fn new(name: &str, secret: &[u8]) -> Result<Self, String> {
         if secret.len() < KEY_LEAST {
             return Err(format!("key {name}: {} bytes, {KEY_LEAST} at least", secret.len()));
--- a/crates/table-store/tests/folder/follow.rs
+++ b/crates/table-store/tests/folder/follow.rs
@@ -222,8 +222,7 @@
     assert!(!folder.path().join("e1/g1").exists() && folder.path().join("e1/g8").exists(), "four stay");
     // The clock jumped back by years while the last was written, and forward before.
     for (file, years) in [("g11/table-0", -20_i64), ("g11/manifest", -20), ("g10/manifest", 20)] {
-        let file =
-            std::fs::File::options().write(true).open(folder.path().join("e1").join(file)).expect("there");
+        let file = fs::File::options().write(true).open(folder.path().join("e1").join(file)).expect("there");
         let span = std::time::Duration::from_secs(years.unsigned_abs() * 31_557_600);
         let now = std::time::SystemTime::now();
         file.set_modified(if years < 0 { now - span } else { now + span }).expect("set");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -61,7 +61,7 @@
 /// out at one time travel together, as one message to each proxy concerned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Look at a server and tell [`Controller::probed`].
+    /// Look at a server and tell [`Controller::health_check_finished`].
     CheckHealth(EndpointId),
     /// Give a server this weight in a table; 0 takes it out.
     SetWeight { table: TableId, endpoint: EndpointId, weight: f64 },
