--- a/crates/daemon/tests/probes.rs
+++ b/crates/daemon/tests/probes.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use lockcroft::HEALTH_CHECK_TIMEOUT;
 use lockcroft::HealthCheckOutcome;
-use lockcroft::logic::PROBE_WAIT;
 use lockcroft_daemon::probe;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -41,7 +41,7 @@
             (Some("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n"), soon, HealthCheckOutcome::Rejected),
             (Some("no such thing\r\n\r\n"), soon, HealthCheckOutcome::Refused),
             (None, soon, HealthCheckOutcome::Refused),
-            (None, PROBE_WAIT * 2, HealthCheckOutcome::Failed),
+            (None, HEALTH_CHECK_TIMEOUT * 2, HealthCheckOutcome::Failed),
         ];
         for (answer, wait, wanted) in cases {
             let address = server(answer, wait).await;
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{EndpointRecord, EndpointStatus, Snapshot, TableId};
+use lockcroft::{EndpointRecord, EndpointStatus, RecoveredEndpoint, RecoveredSlowStart, Snapshot, TableId};
 use lockcroft_state_store::RecoveredState;
 use lockcroft_table_store::WrittenSnapshot;
 use tracing::{debug, info, warn};
@@ -81,7 +81,14 @@
                 weight: 0.0,
                 age: None,
             };
-            self.pilot.recover_endpoint(now, listing, server.relief, server.warming, server.doubted);
+            let slow_start = server.warming.map(|(age, remaining)| RecoveredSlowStart { age, remaining });
+            let recovered = RecoveredEndpoint {
+                record: listing,
+                weight_factor: server.relief,
+                slow_start,
+                outlier_for: server.doubted,
+            };
+            self.pilot.recover_endpoint(now, recovered);
         }
         for (class, table, level) in recalled.levels {
             if let Ok(class) = self.places.class(&class) {
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -97,7 +97,7 @@
             kind: name(&places.machine_types, known.record.machine_type),
             gone: known.record.status == EndpointStatus::Removed,
             draining: known.record.status == EndpointStatus::Draining,
-            counter: known.health_counter,
+            counter: known.health.value(),
             doubted_until_ms: later(known.outlier_until),
             started_ms: if known.is_warming_up(now) { self.wall(known.started_at) } else { 0 },
             warm_ms: later(known.warmed_up_at),
--- a/crates/fleet/src/views.rs
+++ b/crates/fleet/src/views.rs
@@ -199,12 +199,12 @@
             running: known.is_up(),
             admin: drains | if gone { FORCED_MAINT } else { 0 },
             weight: self.scale.units(known.record.weight),
-            health: known.health_counter.unwrap_or(0),
+            health: known.health.value().unwrap_or(0),
         }
     }
 
     fn belief(&self, server: EndpointId, known: &EndpointState) -> String {
-        let counter = known.health_counter.map_or("unknown".into(), |counter| counter.to_string());
+        let counter = known.health.value().map_or("unknown".into(), |counter| counter.to_string());
         let warm = known.warmed_up_at.saturating_sub(self.now);
         let doubted = known.outlier_until.saturating_sub(self.now);
         let listed = match known.record.status {
@@ -354,7 +354,7 @@
     match known.record.status {
         EndpointStatus::Draining => "DRAIN",
         EndpointStatus::Removed => "MAINT",
-        EndpointStatus::Ready if known.health_counter.is_none() => "no check",
+        EndpointStatus::Ready if !known.health.is_known() => "no check",
         EndpointStatus::Ready if known.is_up() => "UP",
         EndpointStatus::Ready => "DOWN",
     }
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -11,8 +11,8 @@
 use hyper::header::{CONNECTION, HOST};
 use hyper::{HeaderMap, Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use lockcroft::HEALTH_CHECK_TIMEOUT;
 use lockcroft::HealthCheckOutcome;
-use lockcroft::logic::PROBE_WAIT;
 use tokio::net::TcpStream;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
@@ -103,7 +103,7 @@
 ) -> (HealthCheckOutcome, Duration) {
     let sent = Instant::now();
     let call = async { HttpConnection::open(address).await?.get(path, true, most).await };
-    let outcome = match timeout(PROBE_WAIT, call).await {
+    let outcome = match timeout(HEALTH_CHECK_TIMEOUT, call).await {
         Ok(Ok(answer)) => read(&answer),
         Ok(Err(CallError::Broken(_))) => HealthCheckOutcome::Refused,
         Ok(Err(CallError::Cut(_))) | Err(_) => HealthCheckOutcome::Failed,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -25,8 +25,11 @@
     pub load_on_health_checks: bool,
     /// How long a host gathers events before it asks for actions, where the operator states it.
     pub decision_interval: Option<Duration>,
+    /// The proxies and the channel to them.
     pub fleet: FleetSettings,
+    /// What the fleet has to keep.
     pub rules: RuleSettings,
+    /// Weights worked out ahead.
     pub solver: SolverSettings,
 }
 
@@ -50,6 +53,7 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
+    /// The name that proxies and reports use.
     pub name: Option<String>,
     /// A request answered within this time has its full value.
     pub latency_objective: Duration,
@@ -98,6 +102,7 @@
     pub message_overhead_entries: f64,
     /// Messages that one proxy may get within [`FleetSettings::message_window`].
     pub max_messages: f64,
+    /// The time over which messages to a proxy are counted.
     pub message_window: Duration,
     /// Table entries that the channel sends a second.
     pub max_entries_per_second: f64,
@@ -178,6 +183,7 @@
     pub interval: Option<Duration>,
     /// Cores of an endpoint whose machine type states none.
     pub cores: f64,
+    /// Cores of an endpoint, for the machine types that state them.
     pub cores_by_machine_type: BTreeMap<MachineTypeId, f64>,
     /// What a request that crosses zones costs, in units of value.
     pub crossing_cost: f64,
--- a/tests/pilot/probes.rs
+++ b/tests/pilot/probes.rs
@@ -19,11 +19,11 @@
 
 /// When the probe that is out went.
 fn out(stage: &Stage) -> Option<std::time::Duration> {
-    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].check_started_at
+    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].check.started_at
 }
 
 fn counter(stage: &Stage) -> Option<u32> {
-    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].health_counter
+    stage.pilot.snapshot().endpoints[&(0 as EndpointId)].health.value()
 }
 
 /// A probe that is lost may be followed by the next at once. An answer to the first that comes then, in time
