--- /dev/null
+++ b/src/controller/applying.rs
@@ -0,0 +1,134 @@
+//! Applies the updates of a plan as far as the rate limit allows: published state changes here and nowhere else.
+
+use std::time::Duration;
+
+use super::Controller;
+use crate::load_shedding::ClassAdmission;
+use crate::proxies::Recipients;
+use crate::publish::{PendingUpdate, Priority, Update};
+use crate::rate_limit::Reservation;
+use crate::{Action, ClassId, EndpointId, ProxyId, TableId};
+
+impl Controller {
+    /// The action for an update, if the channel has capacity for it.
+    pub(super) fn apply(&mut self, now: Duration, pending: PendingUpdate) -> Option<Action> {
+        let PendingUpdate { priority, update } = pending;
+        match update {
+            Update::Eject(endpoint) => self.apply_ejection(now, priority, endpoint),
+            Update::Restore(endpoint) => self.apply_restoration(now, priority, endpoint),
+            Update::SetWeight(table, endpoint) => self.apply_weight(now, priority, table, endpoint),
+            Update::SetAdmission { admission, fraction } => {
+                self.apply_admission(now, priority, admission, fraction)
+            }
+            Update::AssignTable(table, proxy) => self.apply_assignment(now, priority, table, proxy),
+        }
+    }
+
+    #[must_use]
+    fn try_reserve(
+        &mut self,
+        now: Duration,
+        priority: Priority,
+        entries: usize,
+        recipients: Recipients,
+    ) -> bool {
+        let reservation = Reservation { entries, recipients, priority };
+        self.channel.try_reserve(&mut self.proxies, &self.settings.fleet, now, reservation)
+    }
+
+    fn apply_ejection(&mut self, now: Duration, priority: Priority, endpoint: EndpointId) -> Option<Action> {
+        let attached_after = self.endpoints[&endpoint].ejected_up_to_generation;
+        let untold = Recipients::OnFewerTables { than: self.layout.tables_per_subset, attached_after };
+        if !self.try_reserve(now, priority, 1, untold) {
+            return None;
+        }
+        let state = self.endpoints.get_mut(&endpoint)?;
+        state.ejected = true;
+        state.ejected_up_to_generation = self.proxies.latest_generation();
+        Some(Action::Eject { endpoint })
+    }
+
+    fn apply_restoration(
+        &mut self,
+        now: Duration,
+        priority: Priority,
+        endpoint: EndpointId,
+    ) -> Option<Action> {
+        if !self.try_reserve(now, priority, 1, Recipients::ALL) {
+            return None;
+        }
+        let state = self.endpoints.get_mut(&endpoint)?;
+        state.ejected = false;
+        state.ejected_up_to_generation = 0;
+        Some(Action::Restore { endpoint })
+    }
+
+    fn apply_weight(
+        &mut self,
+        now: Duration,
+        priority: Priority,
+        table: TableId,
+        endpoint: EndpointId,
+    ) -> Option<Action> {
+        if !self.try_reserve(now, priority, 1, Recipients::OnTable(table)) {
+            return None;
+        }
+        let weight = self.tables[table].desired_weight(endpoint);
+        self.tables[table].published.insert(endpoint, weight);
+        Some(Action::SetWeight { table, endpoint, weight })
+    }
+
+    fn apply_admission(
+        &mut self,
+        now: Duration,
+        priority: Priority,
+        admission: usize,
+        fraction: f64,
+    ) -> Option<Action> {
+        let ClassAdmission { table, class, .. } = self.admissions[admission];
+        if !self.try_reserve(now, priority, 1, Recipients::OnTable(table)) {
+            return None;
+        }
+        let latency_ratio = self.tables[table].latency_ratio;
+        let admission = &mut self.admissions[admission];
+        if admission.published.replace(fraction).is_some_and(|before| before != fraction) {
+            let percent = fraction * 100.0;
+            let name = &admission.name;
+            let text = format!("{name}: {percent:.0}% in, late by {latency_ratio:.1} contract times");
+            self.raise_event(None, text);
+        }
+        Some(Action::SetAdmission { table, class, fraction, retry: fraction >= 1.0 })
+    }
+
+    fn apply_assignment(
+        &mut self,
+        now: Duration,
+        priority: Priority,
+        table: TableId,
+        proxy: ProxyId,
+    ) -> Option<Action> {
+        let entries = self.tables[table].published_entries();
+        if entries == 0 {
+            return None;
+        }
+        let classes: Vec<ClassId> = self.admissions_at(table).map(|admission| admission.class).collect();
+        let has_no_table = self.proxies.get(proxy).is_some_and(|state| state.has_no_table);
+        // Ejections that the proxy keeps from an earlier controller are ended with the entry that restores the endpoint.
+        let keeps_ejections = !has_no_table && self.settings.fleet.keeps_ejections;
+        let restorations = if keeps_ejections { entries } else { 0 };
+        let cost = 1 + classes.len() + entries + restorations;
+        if !self.try_reserve(now, priority, cost, Recipients::Proxy(proxy)) {
+            return None;
+        }
+        self.proxies.assign(proxy, table);
+        if !has_no_table && self.proxies_eject() {
+            self.mark_unstable(now, self.tables[table].subset);
+        }
+        Some(Action::AssignTable { table, classes, proxy })
+    }
+
+    /// Whether proxies eject endpoints on their own.
+    fn proxies_eject(&self) -> bool {
+        self.settings.fleet.proxy_ejection_threshold.is_some_and(|attempts| attempts > 0.0)
+    }
+}
--- /dev/null
+++ b/src/controller/evaluation.rs
@@ -0,0 +1,102 @@
+//! The evaluation of reports, once a report period: in which order the mechanisms see what proxies reported.
+
+use std::time::Duration;
+
+use super::Controller;
+use crate::Action;
+use crate::attempt_stats::AttemptStats;
+use crate::load_shedding::{adjust_admission, mean_latency_objective, update_table_latency};
+use crate::outlier::OutlierCriteria;
+use crate::subsets::update_spillover;
+use crate::thresholds::{HEALTHY_FAILURE_RATIO, HIGH_LATENCY_RATIO};
+
+/// The fraction of earlier attempts that stays in the recent sums at each evaluation.
+const ATTEMPTS_KEPT: f64 = 0.3;
+/// The fraction of earlier requests that stays in a class's demand at each evaluation.
+const DEMAND_KEPT: f64 = 0.9;
+/// Reports tell of a change after this many report periods and the way of a message.
+const SETTLE_PERIODS: f64 = 1.5;
+
+impl Controller {
+    pub(super) fn evaluate_reports(&mut self, now: Duration) {
+        let subsets = self.evaluate_endpoints(now);
+        let admission_may_change = now >= self.next_admission_change;
+        let initial_fraction = self.settings.rules.initial_weight_fraction;
+        update_spillover(&mut self.spillover, &self.layout, &self.endpoints, now, initial_fraction);
+        let objective = mean_latency_objective(&self.admissions);
+        update_table_latency(&mut self.tables, &self.endpoints, objective);
+        for (subset, evaluated) in subsets.into_iter().enumerate() {
+            if admission_may_change {
+                let tables = self.layout.tables_of(subset);
+                adjust_admission(&mut self.admissions, &mut self.tables, tables);
+            }
+            let sheds = self.sheds_load(subset);
+            if sheds && admission_may_change {
+                self.next_admission_change = now + self.settle_time();
+            }
+            if sheds || !evaluated.is_healthy() {
+                self.mark_unstable(now, subset);
+            }
+        }
+    }
+
+    /// Moves the health and weight factor of each endpoint; gives what its evaluation showed of each subset.
+    fn evaluate_endpoints(&mut self, now: Duration) -> Vec<EvaluatedSubset> {
+        let latency_objective = mean_latency_objective(&self.admissions);
+        let criteria = OutlierCriteria {
+            now,
+            settle_time: self.settle_time(),
+            health_checks_allowed: self.settings.health_checks_allowed,
+        };
+        let subsets = self.unevaluated_by_subset();
+        self.admissions.iter_mut().for_each(|admission| admission.demand *= DEMAND_KEPT);
+        for (endpoint, state) in &mut self.endpoints {
+            let seen = std::mem::take(&mut state.unevaluated);
+            state.recent = seen.plus(state.recent, ATTEMPTS_KEPT);
+            let subset = subsets[state.subset];
+            if let Some(text) = state.evaluate_attempts(seen, subset, &criteria) {
+                self.ready.push_back(Action::RaiseEvent { endpoint: Some(*endpoint), text });
+            }
+            state.adjust_weight_factor(subset, latency_objective);
+        }
+        subsets.into_iter().map(|attempts| EvaluatedSubset { attempts, latency_objective }).collect()
+    }
+
+    fn unevaluated_by_subset(&self) -> Vec<AttemptStats> {
+        let mut subsets = vec![AttemptStats::default(); self.layout.subsets];
+        for state in self.endpoints.values().filter(|state| state.is_up()) {
+            subsets[state.subset] = state.unevaluated.plus(subsets[state.subset], 1.0);
+        }
+        subsets
+    }
+
+    fn sheds_load(&self, subset: usize) -> bool {
+        self.admissions
+            .iter()
+            .any(|admission| admission.rate < 1.0 && self.tables[admission.table].subset == subset)
+    }
+
+    pub(super) fn mark_unstable(&mut self, now: Duration, subset: usize) {
+        self.stability.mark_unstable(now, subset, self.settings.rules.slow_start_window);
+    }
+
+    /// Reports tell of a change after this time.
+    pub(super) fn settle_time(&self) -> Duration {
+        let fleet = &self.settings.fleet;
+        fleet.report_period.mul_f64(SETTLE_PERIODS) + fleet.message_delay
+    }
+}
+
+/// What the attempts since the last evaluation showed of a subset.
+struct EvaluatedSubset {
+    attempts: AttemptStats,
+    latency_objective: f64,
+}
+
+impl EvaluatedSubset {
+    fn is_healthy(&self) -> bool {
+        self.attempts.attempts >= 1.0
+            && self.attempts.failure_ratio() <= HEALTHY_FAILURE_RATIO
+            && self.attempts.latency_ratio(self.latency_objective) <= HIGH_LATENCY_RATIO
+    }
+}
