--- /dev/null
+++ b/tests/controller/main.rs
@@ -0,0 +1,10 @@
+//! What the controller decides, as short printed traces.
+
+mod health_checks;
+mod mass_attachment;
+mod ordinary_path;
+mod planned_weights;
+mod recorded;
+mod regressions;
+mod test_fleet;
+mod without_health_checks;
--- /dev/null
+++ b/tests/controller/ordinary_path.rs
@@ -0,0 +1,131 @@
+//! The ordinary path: start-up hold, health checks, drains.
+
+use crate::test_fleet::*;
+use expect_test::expect;
+use lockcroft::{EndpointStatus, HealthCheckOutcome};
+
+#[test]
+fn health_counter_sets_check_intervals_and_weight() {
+    let mut fleet = TestFleet::new(2);
+    fleet.attach(0).run_until(6000).clear_trace().print_health_checks = true;
+    fleet.health[1] = HealthCheckOutcome::Refused;
+    fleet.run_until(10_000).health[1] = HealthCheckOutcome::Passed(None);
+    let trace = fleet.run_until(12_500).lines_with(&["probe 1", "table 0: server 1"]);
+    expect![[r#"
+        6.6 probe 1
+        7.1 probe 1
+        7.6 probe 1
+        7.6 table 0: server 1 0
+        8.0 probe 1
+        9.9 probe 1
+        11.8 probe 1
+        12.3 probe 1
+        12.4 table 0: server 1 1
+    "#]]
+    .assert_eq(&trace);
+}
+
+#[test]
+fn hold_releases_each_table_once_all_endpoints_have_a_result() {
+    let mut fleet = TestFleet::new(2);
+    fleet.health[1] = HealthCheckOutcome::Failed;
+    let trace = fleet.attach(0).attach(1).run_until(5200).lines_with(&[""]);
+    expect![[r#"
+        5.0 class 1: admit 1 twice
+        5.0 class 0: admit 1 twice
+        5.0 table 0: server 0 1
+        5.0 table 0: bind proxy 0
+        5.0 table 0: bind proxy 1
+        5.0 # book, look: table released, all its servers have a result
+    "#]]
+    .assert_eq(&trace);
+}
+
+#[test]
+fn reattachments_do_not_renew_the_hold() {
+    let mut fleet = TestFleet::new(2);
+    fleet.attach(0).run_until(4000).controller.detach_proxy(0);
+    let trace = fleet.run_until(4900).attach(0).run_until(5300).lines_with(&["bind", "released"]);
+    expect![[r#"
+        5.0 table 0: bind proxy 0
+        5.0 # book, look: table released, all its servers have a result
+    "#]]
+    .assert_eq(&trace);
+}
+
+/// Drains: a proxy that attaches later in the hold was notified of nothing yet.
+#[test]
+fn drain_in_the_hold_ejects_at_default_tables_and_late_attachments() {
+    let mut fleet = TestFleet::new(4);
+    fleet.attach(0).run_until(1000).update_list(&[state(2, EndpointStatus::Draining)]).run_until(2000);
+    let trace = fleet.attach(1).run_until(3000).lines_with(&["withdraw", "released"]);
+    expect![[r#"
+        1.0 withdraw 2 true
+        2.0 withdraw 2 true
+    "#]]
+    .assert_eq(&trace);
+}
+
+/// No proxy without an endpoint: three endpoints fill the default table of a zone.
+#[test]
+fn default_tables_that_may_be_all_ejected_are_replaced_early() {
+    let mut fleet = TestFleet::new(8);
+    fleet
+        .attach(0)
+        .run_until(1000)
+        .update_list(&[0, 2, 4].map(|endpoint| state(endpoint, EndpointStatus::Removed)));
+    let trace = fleet.run_until(1100).lines_with(&["withdraw", "released", "table 0"]);
+    expect![[r#"
+        1.0 table 0: server 1 1
+        1.0 table 0: server 3 1
+        1.0 table 0: server 5 1
+        1.0 table 0: server 6 1
+        1.0 table 0: server 7 1
+        1.0 table 0: bind proxy 0
+        1.0 # book, look: table released, standing tables may hold nothing but withdrawn servers
+    "#]]
+    .assert_eq(&trace);
+}
+
+#[test]
+fn last_table_stays_when_all_endpoints_look_down() {
+    let mut fleet = TestFleet::new(2);
+    fleet.attach(0).run_until(6000).clear_trace().health.fill(HealthCheckOutcome::Refused);
+    let trace = fleet.run_until(12_000).lines_with(&["table 0: server", "withdraw"]);
+    expect![[r#"
+        7.6 table 0: server 1 0
+    "#]]
+    .assert_eq(&trace);
+}
+
+/// The same inputs give the same actions, however instances share a process.
+#[test]
+fn interleaved_instances_decide_alike() {
+    let mut pair = [TestFleet::new(4), TestFleet::new(4)];
+    for step in 1..=80 {
+        for fleet in &mut pair {
+            if step == 20 {
+                fleet.attach(3).update_list(&[started(1, 300)]);
+            }
+            fleet.run_until(step * 100);
+        }
+    }
+    assert!(pair[0].trace.lines().count() > 8);
+    assert_eq!(pair[0].trace, pair[1].trace);
+}
+
+/// Drains: an endpoint removed before this start cannot be named, but proxies may still use it.
+#[test]
+fn hold_gives_way_to_the_drain_grace_when_the_list_had_changed_before() {
+    let mut fleet = TestFleet::with(0, |settings| {
+        settings.rules.drain_grace = Some(ms(2000));
+    });
+    fleet.controller.update_endpoints(ms(0), true, 3, &[ready(0)]);
+    fleet.health = vec![HealthCheckOutcome::Passed(None)];
+    let trace = fleet.attach(0).run_until(2000).lines_with(&["table 0"]);
+    expect![[r#"
+        0.6 table 0: server 0 1
+        0.6 table 0: bind proxy 0
+    "#]]
+    .assert_eq(&trace);
+}
