--- a/src/controller/applying.rs
+++ b/src/controller/applying.rs
@@ -1,4 +1,5 @@
-//! Applies the updates of a plan as far as the rate limit allows: published state changes here and nowhere else.
+//! Applies the updates of a plan as far as the rate limit allows: published state changes here and nowhere
+//! else.
 
 use std::time::Duration;
 
@@ -113,7 +114,8 @@
         }
         let classes: Vec<ClassId> = self.admissions_at(table).map(|admission| admission.class).collect();
         let has_no_table = self.proxies.get(proxy).is_some_and(|state| state.has_no_table);
-        // Ejections that the proxy keeps from an earlier controller are ended with the entry that restores the endpoint.
+        // Ejections that the proxy keeps from an earlier controller are ended with the entry that restores
+        // the endpoint.
         let keeps_ejections = !has_no_table && self.settings.fleet.keeps_ejections;
         let restorations = if keeps_ejections { entries } else { 0 };
         let cost = 1 + classes.len() + entries + restorations;
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -19,8 +19,8 @@
 
 /// The endpoint list.
 impl Controller {
-    /// The endpoint list is at this version; `full` says that the records are all of it. Version 0 is the first: nothing was
-    /// ever taken off it.
+    /// The endpoint list is at this version; `full` says that the records are all of it. Version 0 is the
+    /// first: nothing was ever taken off it.
     pub fn update_endpoints(&mut self, now: Duration, full: bool, version: u64, records: &[EndpointRecord]) {
         self.list_is_not_first |= self.endpoints.is_empty() && version > 0;
         self.plan_is_stale = true;
@@ -79,7 +79,8 @@
         state.record = *record;
         let started = state.record_start(now, record.age.unwrap_or(window), window);
         if started || was_out && !state.is_not_ready() {
-            // A new process has a health of its own. Where health checks are not allowed, all have passed them.
+            // A new process has a health of its own. Where health checks are not allowed, all have passed
+            // them.
             state.reset_health(now + settle_time, !allowed);
             let timer = &mut state.check;
             self.health_checks.plan_first(now, record.endpoint, timer, allowed, &mut self.random);
@@ -131,8 +132,8 @@
 
 /// Proxies and the channel to them.
 impl Controller {
-    /// A proxy has attached. Its tables are those of an earlier controller, unless `has_no_table`; it may have ejected what
-    /// failed it. `request_rate` is what it usually has, in requests a second.
+    /// A proxy has attached. Its tables are those of an earlier controller, unless `has_no_table`; it may
+    /// have ejected what failed it. `request_rate` is what it usually has, in requests a second.
     pub fn attach_proxy(&mut self, proxy: ProxyId, zone: ZoneId, request_rate: f64, has_no_table: bool) {
         let subset = (self.layout.subsets == 1).then_some(0);
         self.proxies.attach(proxy, ProxyState::new(zone, request_rate, has_no_table, subset));
@@ -144,13 +145,14 @@
         self.proxies.detach(proxy);
     }
 
-    /// This many table entries wait in the channel, where the host can tell; a proxy that has stalled takes none.
+    /// This many table entries wait in the channel, where the host can tell; a proxy that has stalled takes
+    /// none.
     pub fn set_queued_entries(&mut self, entries: usize) {
         self.channel.set_queued(entries as f64);
     }
 
-    /// This many messages with this many entries went out since the last call, where the host can tell. Gives the
-    /// position to name when one of them is acknowledged.
+    /// This many messages with this many entries went out since the last call, where the host can tell. Gives
+    /// the position to name when one of them is acknowledged.
     pub fn record_sent(&mut self, messages: usize, entries: usize) -> f64 {
         let overhead = self.settings.fleet.message_overhead_entries;
         self.channel.record_sent(entries as f64 + messages as f64 * overhead)
@@ -164,22 +166,23 @@
 
 /// Plans made ahead, and state of before this start.
 impl Controller {
-    /// A plan made ahead has capacity for this fraction of a class's requests; no more is admitted, however fast its endpoints are.
+    /// A plan made ahead has capacity for this fraction of a class's requests; no more is admitted, however
+    /// fast its endpoints are.
     pub fn set_planned_fraction(&mut self, class: ClassId, fraction: f64) {
         let of_class = self.admissions.iter_mut().filter(|admission| admission.class == class);
         of_class.for_each(|admission| admission.planned_rate = fraction);
     }
 
-    /// A plan made ahead for one table: the fraction of its listed weight that each endpoint has there, none for those not
-    /// named. Where too few of them are healthy, all of the locality group stand in, as listed.
+    /// A plan made ahead for one table: the fraction of its listed weight that each endpoint has there, none
+    /// for those not named. Where too few of them are healthy, all of the locality group stand in, as listed.
     pub fn set_planned_weights(&mut self, table: TableId, fractions: BTreeMap<EndpointId, f64>) {
         if let Some(table) = self.tables.get_mut(table) {
             table.planned_weights = fractions;
         }
     }
 
-    /// Takes in what was known of an endpoint before this start and is still valid. An endpoint that was removed since is
-    /// named here, as proxies may still use it.
+    /// Takes in what was known of an endpoint before this start and is still valid. An endpoint that was
+    /// removed since is named here, as proxies may still use it.
     pub fn recover_endpoint(&mut self, now: Duration, recovered: RecoveredEndpoint) {
         let RecoveredEndpoint { record, weight_factor, slow_start, outlier_for } = recovered;
         let subset = self.layout.first_for_zone(record.zone);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,10 +1,11 @@
 //! The controller: takes inputs in, and gives out the actions that follow.
 //!
-//! A host makes one [`Controller`] an instance and calls the method named for what happened (`update_endpoints`,
-//! `health_check_finished`, `attach_proxy`, ...), which only updates state. It then pulls [`Controller::next_action`]
-//! until there is none, and comes back at [`Controller::next_due`]. Once a tick, and at news that cannot wait, a plan of
-//! updates is made; updates are sent from its top as far as the rate limit allows, and the next plan
-//! replaces what is left. What each mechanism decides stands in its own module.
+//! A host makes one [`Controller`] an instance and calls the method named for what happened
+//! (`update_endpoints`, `health_check_finished`, `attach_proxy`, ...), which only updates state. It then
+//! pulls [`Controller::next_action`] until there is none, and comes back at [`Controller::next_due`]. Once a
+//! tick, and at news that cannot wait, a plan of updates is made; updates are sent from its top as far as the
+//! rate limit allows, and the next plan replaces what is left. What each mechanism decides stands in its own
+//! module.
 
 mod applying;
 mod evaluation;
@@ -21,11 +22,22 @@
 use crate::random::Random;
 use crate::rate_limit::UpdateChannel;
 use crate::slow_start::Stability;
-use crate::state::{EndpointState, RoutingTable, Snapshot};
+use crate::state::{EndpointState, RoutingTable};
 use crate::subsets::{Spillover, SubsetLayout};
 use crate::thresholds::TICK_INTERVAL;
 use crate::{Action, EndpointId, Settings};
 
+/// What the controller believes, wants and has published, to be shown and persisted.
+#[derive(Clone, Copy)]
+pub struct Snapshot<'a> {
+    /// Every endpoint that was ever listed.
+    pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
+    /// All tables; a [`crate::TableId`] is an index into them.
+    pub tables: &'a [RoutingTable],
+    /// What is admitted, by class and table.
+    pub admissions: &'a [ClassAdmission],
+}
+
 /// One controller instance: all state that decisions rest on.
 pub struct Controller {
     settings: Settings,
@@ -124,8 +136,8 @@
         self.endpoints[&endpoint].ejected_up_to_generation >= self.newest_unassigned()
     }
 
-    /// Updates are sent from the top: what ranks no higher than one that had to wait waits as well, but for proxies that
-    /// need a table.
+    /// Updates are sent from the top: what ranks no higher than one that had to wait waits as well, but for
+    /// proxies that need a table.
     fn keep_pending_behind(&mut self, waiting: PendingUpdate) {
         let is_assignment = |update: Update| matches!(update, Update::AssignTable(..));
         let one_proxy_waits = is_assignment(waiting.update);
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,4 +1,5 @@
-//! Plans: gathers what weights and updates depend on, and orders all that should be sent, the most urgent first.
+//! Plans: gathers what weights and updates depend on, and orders all that should be sent, the most urgent
+//! first.
 
 use std::time::Duration;
 
@@ -95,8 +96,9 @@
         self.admissions.iter().filter(move |admission| admission.table == table)
     }
 
-    /// The newest attachment generation of a proxy that may still hold tables of an earlier controller; 0 if none does. Only those
-    /// that were not told of an ejection count: where many attach one by one, each would else be told for all.
+    /// The newest attachment generation of a proxy that may still hold tables of an earlier controller; 0 if
+    /// none does. Only those that were not told of an ejection count: where many attach one by one, each
+    /// would else be told for all.
     pub(super) fn newest_unassigned(&self) -> u64 {
         let unassigned = Recipients::OnFewerTables { than: self.layout.tables_per_subset, attached_after: 0 };
         self.proxies.newest_generation(unassigned)
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,115 +1,23 @@
 //! Health checks: the saturating rise/fall counter of each endpoint, and when each is checked next.
 //!
-//! Decides whether an endpoint is up, from health checks and from what proxies report of it. The counter is that
-//! of HAProxy's `rise` and `fall`: one passed check counts up, one failed check counts down, both ends saturate,
-//! and the endpoint is up from [`RISE`] on. Endpoints in between are checked more often, those that are
-//! surely down less often. Check times are spread at random, so that controllers that started together do
+//! Decides whether an endpoint is up, from health checks and from what proxies report of it. The counter is
+//! that of HAProxy's `rise` and `fall`: one passed check counts up, one failed check counts down, both ends
+//! saturate, and the endpoint is up from `RISE` on. Endpoints in between are checked more often, those that
+//! are surely down less often. Check times are spread at random, so that controllers that started together do
 //! not check in step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use crate::health_state::{HEALTH_CHECK_TIMEOUT, HealthCheckTimer};
 use crate::random::Random;
 use crate::state::EndpointState;
 use crate::thresholds::TICK_INTERVAL;
 use crate::{EndpointId, HealthCheckOutcome};
 
-/// The counter at which an endpoint is up.
-pub const RISE: u32 = 2;
-/// Failed checks after which a fully healthy endpoint is down.
-pub const FALL: u32 = 3;
-const MAX_COUNT: u32 = RISE + FALL - 1;
-
-/// A health check without an answer has failed after this time.
-pub const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-const INTERVAL_UP: Duration = Duration::from_millis(1000);
-const INTERVAL_CHANGING: Duration = Duration::from_millis(500);
-const INTERVAL_DOWN: Duration = Duration::from_millis(2000);
 /// An interval is shortened at random by up to this fraction.
 const INTERVAL_JITTER: f64 = 0.1;
 
-/// The rise/fall counter of one endpoint; unknown until the first result.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HealthCounter(Option<u32>);
-
-impl HealthCounter {
-    /// The counter of an endpoint that has passed all checks.
-    pub fn saturated() -> Self {
-        HealthCounter(Some(MAX_COUNT))
-    }
-
-    /// From 0, surely down, to the maximum, surely up; `None` before the first result.
-    pub fn value(self) -> Option<u32> {
-        self.0
-    }
-
-    /// Whether there was a result.
-    pub fn is_known(self) -> bool {
-        self.0.is_some()
-    }
-
-    /// Whether the endpoint is up.
-    pub fn is_up(self) -> bool {
-        self.0.is_some_and(|count| count >= RISE)
-    }
-
-    /// Whether the last checks have all passed.
-    pub fn is_saturated(self) -> bool {
-        self.0 == Some(MAX_COUNT)
-    }
-
-    /// Counts this many results at once, passed ones if positive and failed ones if negative. The first result
-    /// decides directly.
-    pub fn record(&mut self, results: i32) {
-        self.0 = match self.0 {
-            None if results == 0 => None,
-            None => Some(if results > 0 { MAX_COUNT } else { 0 }),
-            Some(count) => Some(count.saturating_add_signed(results).min(MAX_COUNT)),
-        };
-    }
-
-    fn check_interval(self) -> Duration {
-        match self.0 {
-            Some(0) => INTERVAL_DOWN,
-            Some(MAX_COUNT) => INTERVAL_UP,
-            _ => INTERVAL_CHANGING,
-        }
-    }
-}
-
-/// The health check of one endpoint: when the next one is due, and since when one is under way.
-#[derive(Clone, Copy, Debug)]
-pub struct HealthCheckTimer {
-    /// When the next check is due; `Duration::MAX` until the first one is planned.
-    pub next_at: Duration,
-    /// When the check that is under way was started.
-    pub started_at: Option<Duration>,
-}
-
-impl Default for HealthCheckTimer {
-    fn default() -> Self {
-        HealthCheckTimer { next_at: Duration::MAX, started_at: None }
-    }
-}
-
-impl HealthCheckTimer {
-    /// Whether no check was ever planned.
-    pub fn is_new(&self) -> bool {
-        self.next_at == Duration::MAX
-    }
-
-    fn timed_out_at(&self, time: Duration) -> bool {
-        self.started_at.is_some_and(|started| started + HEALTH_CHECK_TIMEOUT == time)
-    }
-
-    /// Whether a result that took `elapsed` belongs to the check under way and came before its timeout. An
-    /// earlier check's result comes too late to count: its timeout has counted already.
-    fn accepts(&self, now: Duration, elapsed: Duration) -> bool {
-        self.started_at
-            .is_some_and(|started| started + elapsed <= now && now < started + HEALTH_CHECK_TIMEOUT)
-    }
-}
-
 /// The times at which checks are due or time out, over all endpoints.
 #[derive(Default)]
 pub struct HealthCheckSchedule {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! lockcroft decides, for a fleet of plain proxies, which endpoints each class of requests may use and at what
-//! weight.
+//! lockcroft decides, for a fleet of plain proxies, which endpoints each class of requests may use and at
+//! what weight.
 //!
-//! This crate holds all decisions and knows no wire, no I/O and no clock: every input states the time since the instance
-//! started. Start reading at [`Controller`]; each mechanism has a module of its own, whose first paragraph says what it decides
-//! and from what:
+//! This crate holds all decisions and knows no wire, no I/O and no clock: every input states the time since
+//! the instance started. Start reading at [`Controller`]; each mechanism has a module of its own, whose first
+//! paragraph says what it decides and from what:
 //!
-//! - `health`: the rise/fall counter and the schedule of health checks,
+//! - `health`, `health_state`: the rise/fall counter and the schedule of health checks,
 //! - `outlier`: what proxies meet at an endpoint counts for its health,
 //! - `weight_reduction`: endpoints slower than their subset get less weight,
 //! - `slow_start`: weight after a start,
@@ -21,6 +21,7 @@
 mod attempt_stats;
 mod controller;
 mod health;
+mod health_state;
 mod load_shedding;
 mod outlier;
 mod proxies;
@@ -36,15 +37,16 @@
 mod weight_reduction;
 mod weights;
 
-pub use controller::Controller;
-pub use health::{HEALTH_CHECK_TIMEOUT, HealthCheckTimer, HealthCounter};
+pub use controller::{Controller, Snapshot};
+pub use health_state::{HEALTH_CHECK_TIMEOUT, HealthCheckTimer, HealthCounter};
 pub use load_shedding::ClassAdmission;
 pub use settings::{ClassSettings, FleetSettings, RuleSettings, Settings, SolverSettings};
-pub use state::{EndpointState, Restriction, RoutingTable, Snapshot};
+pub use state::{EndpointState, Restriction, RoutingTable};
 
 use std::time::Duration;
 
-/// An endpoint: a small index, given out by the host, as are those of proxies, zones, machine types and classes.
+/// An endpoint: a small index, given out by the host, as are those of proxies, zones, machine types and
+/// classes.
 pub type EndpointId = usize;
 /// A proxy.
 pub type ProxyId = usize;
@@ -123,8 +125,8 @@
     pub remaining: Duration,
 }
 
-/// One action, to be carried out by the host before it asks for the next. All actions given out at one time travel
-/// together, as one message to each proxy concerned.
+/// One action, to be carried out by the host before it asks for the next. All actions given out at one time
+/// travel together, as one message to each proxy concerned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Check the health of an endpoint and call [`Controller::health_check_finished`].
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: where the endpoints of a class are too slow as a whole, fewer of its requests are admitted.
 //!
-//! Decides, from the latency of each table once an evaluation, the admission rate of each class. The classes with the
-//! least value per work are cut first, and every class keeps a minimum. A class that may use any endpoint also makes room at
-//! those that a restricted class needs.
+//! Decides, from the latency of each table once an evaluation, the admission rate of each class. The classes
+//! with the least value per work are cut first, and every class keeps a minimum. A class that may use any
+//! endpoint also makes room at those that a restricted class needs.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -114,14 +114,16 @@
     }
 }
 
-/// An endpoint's latency as far as its load accounts for it: slowness beyond that is not mended by admitting less.
+/// An endpoint's latency as far as its load accounts for it: slowness beyond that is not mended by admitting
+/// less.
 fn attributable_latency_ratio(state: &EndpointState, latency_objective: f64) -> f64 {
     let load = state.load.filter(|load| *load < SATURATED_LOAD);
     let by_load = load.map_or(MAX_LATENCY_RATIO, |load| load / COMFORTABLE_LOAD * HIGH_LATENCY_RATIO);
     state.latency_ratio(latency_objective).min(by_load)
 }
 
-/// Moves the admission rates at the tables of one subset. `admissions` are sorted by value density, least first.
+/// Moves the admission rates at the tables of one subset. `admissions` are sorted by value density, least
+/// first.
 pub fn adjust_admission(
     admissions: &mut [ClassAdmission],
     tables: &mut [RoutingTable],
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,13 +1,14 @@
 //! Outlier detection: what proxies meet at an endpoint counts for its health beside its own health checks.
 //!
-//! Decides, from the attempts reported since the last evaluation, whether an endpoint is an outlier (Envoy's outlier
-//! detection by failure percentage). Compared with the rest of its subset: a general slump makes no outlier.
-//! An outlier is down and stays so for a while, whatever its health checks say; it comes back with a small weight.
+//! Decides, from the attempts reported since the last evaluation, whether an endpoint is an outlier (Envoy's
+//! outlier detection by failure percentage). Compared with the rest of its subset: a general slump makes no
+//! outlier. An outlier is down and stays so for a while, whatever its health checks say; it comes back with a
+//! small weight.
 
 use std::time::Duration;
 
 use crate::attempt_stats::AttemptStats;
-use crate::health::{FALL, RISE};
+use crate::health_state::{FALL, RISE};
 use crate::state::EndpointState;
 use crate::thresholds::HEALTHY_FAILURE_RATIO;
 use crate::weight_reduction::MIN_WEIGHT_FACTOR;
@@ -27,7 +28,8 @@
 }
 
 impl EndpointState {
-    /// Counts the attempts reported since the last evaluation; gives the text of an event if they show an outlier.
+    /// Counts the attempts reported since the last evaluation; gives the text of an event if they show an
+    /// outlier.
     pub(crate) fn evaluate_attempts(
         &mut self,
         seen: AttemptStats,
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -1,7 +1,8 @@
 //! Publishing: which updates are due, and in which order.
 //!
-//! Decides, from desired and published state, the updates of a plan, the most urgent first. Only what differs from what
-//! proxies hold is sent (as incremental xDS does), and entries are ranked by the requests that each moves.
+//! Decides, from desired and published state, the updates of a plan, the most urgent first. Only what differs
+//! from what proxies hold is sent (as incremental xDS does), and entries are ranked by the requests that each
+//! moves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -85,8 +86,9 @@
         updates
     }
 
-    /// Entries that differ from what was published, by priority and then by the requests that each moves. An endpoint that drains, is
-    /// removed or was started anew loses its weight without waiting for the next publication.
+    /// Entries that differ from what was published, by priority and then by the requests that each moves. An
+    /// endpoint that drains, is removed or was started anew loses its weight without waiting for the next
+    /// publication.
     pub fn changed_entries(&self, publishing: bool) -> Vec<PendingUpdate> {
         let mut ranked: Vec<RankedUpdate> = Vec::new();
         for (index, table) in self.tables.iter().enumerate().filter(|(_, table)| table.released) {
@@ -120,8 +122,8 @@
 
     /// The priority of a changed entry; `None` if it is not due.
     fn entry_priority(&self, entry: &EntryChange, running_empty: bool, publishing: bool) -> Option<Priority> {
-        // Ejections end once all proxies are on tables, and an empty table is assigned to nobody: where all endpoints
-        // were ejected, entries of those that are back come first.
+        // Ejections end once all proxies are on tables, and an empty table is assigned to nobody: where all
+        // endpoints were ejected, entries of those that are back come first.
         let is_usable = !entry.state.ejected || !self.must_be_ejected(entry.state);
         let fills = running_empty && entry.desired > entry.published && is_usable;
         let is_common = publishing && entry.desired != entry.published && !entry.state.ejected;
@@ -141,10 +143,10 @@
         state.must_be_ejected(self.now, self.start_up_hold)
     }
 
-    /// Ejections and their ends. An endpoint that must not be used is ejected at the proxies that still hold tables of an earlier
-    /// controller, start-up hold or not: no proxy may use it past the grace. One that comes back returns at its
-    /// initial weight, never at the weight it left with. `newest_unassigned` is the newest attachment generation of
-    /// these proxies.
+    /// Ejections and their ends. An endpoint that must not be used is ejected at the proxies that still hold
+    /// tables of an earlier controller, start-up hold or not: no proxy may use it past the grace. One that
+    /// comes back returns at its initial weight, never at the weight it left with. `newest_unassigned` is the
+    /// newest attachment generation of these proxies.
     pub fn changed_ejections(&self, newest_unassigned: u64) -> Vec<PendingUpdate> {
         let update = |(endpoint, state): (&EndpointId, &EndpointState)| {
             if self.must_be_ejected(state) {
@@ -198,8 +200,8 @@
     left < WEAK_FRACTION * total_weight
 }
 
-/// Gives each proxy without a full set of tables a subset, and the assignments of that subset's released tables. Proxies with most
-/// requests come first, each to the subset that has least for its weight.
+/// Gives each proxy without a full set of tables a subset, and the assignments of that subset's released
+/// tables. Proxies with most requests come first, each to the subset that has least for its weight.
 pub fn assignments(
     proxies: &mut ProxySet,
     layout: &SubsetLayout,
@@ -229,8 +231,9 @@
     updates
 }
 
-/// A table replaces the ejections that its proxy would else get one by one: where it is the shorter message, it is as urgent
-/// as they are. In a rollout, those that attach one by one would else wait while the longer message fills the queue.
+/// A table replaces the ejections that its proxy would else get one by one: where it is the shorter message,
+/// it is as urgent as they are. In a rollout, those that attach one by one would else wait while the longer
+/// message fills the queue.
 fn assignment_priority(
     table: &RoutingTable,
     generation: u64,
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,8 +1,9 @@
 //! Rate limit of updates: how many table entries may wait in the channel to the proxies.
 //!
-//! Decides, from the entries sent, the stated speed of the channel and acknowledgements, whether an update may go out now. Each
-//! priority may fill a fraction of the limits on queue and messages, so that urgent updates find room. The channel is
-//! taken to be slower than stated, as it is when things fail; once acknowledgements come, they tell.
+//! Decides, from the entries sent, the stated speed of the channel and acknowledgements, whether an update
+//! may go out now. Each priority may fill a fraction of the limits on queue and messages, so that urgent
+//! updates find room. The channel is taken to be slower than stated, as it is when things fail; once
+//! acknowledgements come, they tell.
 
 use std::time::Duration;
 
@@ -65,8 +66,8 @@
 }
 
 impl UpdateChannel {
-    /// Reserves capacity for an update of this many entries to each recipient; false if the queue or a proxy's messages
-    /// would then fill more than the priority's fraction of the limits.
+    /// Reserves capacity for an update of this many entries to each recipient; false if the queue or a
+    /// proxy's messages would then fill more than the priority's fraction of the limits.
     #[must_use]
     pub fn try_reserve(
         &mut self,
@@ -107,9 +108,9 @@
         self.reported = Some(entries);
     }
 
-    /// This many entries went out since the last call, whatever was reserved for them. Gives the position that
-    /// acknowledgements of these messages refer to: what was sent before them, as messages of one time may enter the
-    /// channel in any order.
+    /// This many entries went out since the last call, whatever was reserved for them. Gives the position
+    /// that acknowledgements of these messages refer to: what was sent before them, as messages of one time
+    /// may enter the channel in any order.
     pub fn record_sent(&mut self, entries: f64) -> f64 {
         let before = self.position;
         self.add(entries - (self.sent - before));
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: how much of its weight an endpoint has after its process started.
 //!
-//! Decides, from the time since the start, the fraction of the listed weight that an endpoint can surely do; it grows
-//! evenly from the stated initial fraction, as Envoy's and HAProxy's slow start do. While a subset is
-//! unstable, its endpoints that are warming up get nothing: proxies that fail elsewhere, that have ejected what
-//! they could not reach, or whose requests come back as admission grows, all turn to a started endpoint, however
-//! small its weight.
+//! Decides, from the time since the start, the fraction of the listed weight that an endpoint can surely do;
+//! it grows evenly from the stated initial fraction, as Envoy's and HAProxy's slow start do. While a subset
+//! is unstable, its endpoints that are warming up get nothing: proxies that fail elsewhere, that have ejected
+//! what they could not reach, or whose requests come back as admission grows, all turn to a started endpoint,
+//! however small its weight.
 
 use std::time::Duration;
 
--- a/src/startup_hold.rs
+++ b/src/startup_hold.rs
@@ -1,7 +1,8 @@
 //! The start-up hold: after a start nothing is published until health checks have converged.
 //!
-//! Decides for each table, from the time since the start and from what is known of its endpoints, when the hold ends. An empty
-//! or half-known table would take endpoints from proxies that still work on the tables of an earlier controller.
+//! Decides for each table, from the time since the start and from what is known of its endpoints, when the
+//! hold ends. An empty or half-known table would take endpoints from proxies that still work on the tables of
+//! an earlier controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,8 +27,9 @@
 }
 
 impl HoldConditions {
-    /// `drain_grace` is given where the endpoint list changed before this start: endpoints were removed that proxies may still
-    /// use and that cannot be named, so all proxies have to be on new tables within the grace.
+    /// `drain_grace` is given where the endpoint list changed before this start: endpoints were removed that
+    /// proxies may still use and that cannot be named, so all proxies have to be on new tables within the
+    /// grace.
     pub fn new(
         now: Duration,
         drain_grace: Option<Duration>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,8 +4,7 @@
 use std::time::Duration;
 
 use crate::attempt_stats::AttemptStats;
-use crate::health::{HealthCheckTimer, HealthCounter};
-use crate::load_shedding::ClassAdmission;
+use crate::health_state::{HealthCheckTimer, HealthCounter};
 use crate::{EndpointId, EndpointRecord, EndpointStatus, MachineTypeId, ZoneId};
 
 /// What is known of an endpoint.
@@ -126,7 +125,8 @@
     pub latency_ratio: f64,
     /// Failed over all attempts, weighted in the same way, where reports told of any.
     pub failure_ratio: Option<f64>,
-    /// The fraction of each endpoint's listed weight by a plan made ahead; empty: all endpoints of the subset.
+    /// The fraction of each endpoint's listed weight by a plan made ahead; empty: all endpoints of the
+    /// subset.
     pub planned_weights: BTreeMap<EndpointId, f64>,
     /// The fraction of its weight that an unrestricted table keeps at endpoints that restricted classes need.
     pub flexible_fraction: f64,
@@ -163,14 +163,3 @@
         self.published.values().filter(|weight| **weight > 0.0).count()
     }
 }
-
-/// What the controller believes, wants and has published, to be shown and persisted.
-#[derive(Clone, Copy)]
-pub struct Snapshot<'a> {
-    /// Every endpoint that was ever listed.
-    pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
-    /// All tables; a [`crate::TableId`] is an index into them.
-    pub tables: &'a [RoutingTable],
-    /// What is admitted, by class and table.
-    pub admissions: &'a [ClassAdmission],
-}
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,9 +1,9 @@
 //! Subsetting: a fleet too large for one table is cut into subsets, each run like a small fleet.
 //!
-//! Decides, from sizes at the first list, how many subsets there are, which endpoints and proxies belong to each, and how
-//! much of its requests a full subset sends to another (deterministic subsetting as in the SRE literature, with
-//! spillover between localities as in Envoy). Subsets lie in groups, one subset for each zone, so that a
-//! zone that lost its endpoints has the others of its group beside it.
+//! Decides, from sizes at the first list, how many subsets there are, which endpoints and proxies belong to
+//! each, and how much of its requests a full subset sends to another (deterministic subsetting as in the SRE
+//! literature, with spillover between localities as in Envoy). Subsets lie in groups, one subset for each
+//! zone, so that a zone that lost its endpoints has the others of its group beside it.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -60,8 +60,8 @@
         subset % self.zone_slots == zone % self.zone_slots
     }
 
-    /// The locality group of a subset. Subsets beyond the last whole group belong to it: alone, one that is lost
-    /// would have no other beside it.
+    /// The locality group of a subset. Subsets beyond the last whole group belong to it: alone, one that is
+    /// lost would have no other beside it.
     pub fn group_of(&self, subset: usize) -> usize {
         (subset / self.group_size).min(self.subsets / self.group_size - 1)
     }
@@ -122,8 +122,8 @@
     by_connections.min(proxies / settings.controllers / MIN_PROXIES_PER_SUBSET) as usize
 }
 
-/// Builds the tables of each subset, and the admissions at them sorted by value density, least first. Classes that may use
-/// the same endpoints share a table: each entry and assignment then costs once.
+/// Builds the tables of each subset, and the admissions at them sorted by value density, least first. Classes
+/// that may use the same endpoints share a table: each entry and assignment then costs once.
 pub fn build_tables(
     settings: &Settings,
     layout: &mut SubsetLayout,
@@ -179,10 +179,10 @@
     }
 }
 
-/// A subset whose endpoints are fuller than all of its group together sends a fraction of its requests to the emptiest
-/// beside it, and takes it back as they find headroom. Guards against a zone that lost endpoints, or that gets more
-/// requests than was stated, shedding load while others idle. It acts where endpoints report their load:
-/// idle ones that are warming up, or that nobody reaches, would else look like headroom.
+/// A subset whose endpoints are fuller than all of its group together sends a fraction of its requests to the
+/// emptiest beside it, and takes it back as they find headroom. Guards against a zone that lost endpoints, or
+/// that gets more requests than was stated, shedding load while others idle. It acts where endpoints report
+/// their load: idle ones that are warming up, or that nobody reaches, would else look like headroom.
 pub fn update_spillover(
     spillover: &mut [Spillover],
     layout: &SubsetLayout,
--- a/src/weight_reduction.rs
+++ b/src/weight_reduction.rs
@@ -1,10 +1,11 @@
 //! Load-based weight reduction: an endpoint that is slower than its subset gets less weight.
 //!
-//! Decides, from reported latencies once an evaluation, a factor on the listed weight of each endpoint. It falls by the
-//! ratio of the bearable latency to the measured one, and comes back by small steps while there is headroom.
+//! Decides, from reported latencies once an evaluation, a factor on the listed weight of each endpoint. It
+//! falls by the ratio of the bearable latency to the measured one, and comes back by small steps while there
+//! is headroom.
 
 use crate::attempt_stats::AttemptStats;
-use crate::health::FALL;
+use crate::health_state::FALL;
 use crate::state::EndpointState;
 use crate::thresholds::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO, SATURATED_LOAD, WEIGHT_RECOVERY_STEP};
 
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,8 +1,9 @@
 //! The weights that a table should hold: a pure function of the endpoint list, health and measurements.
 //!
-//! An endpoint that is up has its listed weight, times its slow-start factor and its load-based reduction; any other has
-//! none. Where all look down, the last published weights stay, so that no proxy is left without an endpoint. A subset
-//! that is too weak on its own takes in the others of its group, and a full one spills over to one of them.
+//! An endpoint that is up has its listed weight, times its slow-start factor and its load-based reduction;
+//! any other has none. Where all look down, the last published weights stay, so that no proxy is left without
+//! an endpoint. A subset that is too weak on its own takes in the others of its group, and a full one spills
+//! over to one of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,9 +16,11 @@
 };
 use crate::{EndpointId, RuleSettings};
 
-/// What an endpoint that is warming up gets of its usual weight while its subset is unstable or slow, if it reports headroom.
+/// What an endpoint that is warming up gets of its usual weight while its subset is unstable or slow, if it
+/// reports headroom.
 pub const CAUTIOUS_FRACTION: f64 = 0.5;
-/// Where no report of the subset's attempts came, such an endpoint counts from this part of its slow start on.
+/// Where no report of the subset's attempts came, such an endpoint counts from this part of its slow start
+/// on.
 const MIN_SLOW_START_PROGRESS: f64 = 0.5;
 
 /// An endpoint that a table may use.
@@ -120,9 +123,9 @@
         !state.is_warming_up(self.now) || !self.unstable && checks_pass
     }
 
-    /// What an endpoint that is warming up gets where it is at risk. It takes part where it reports headroom: a subset that
-    /// is unstable for want of endpoints would else keep out those that it needs. Where many attempts fail,
-    /// all may be retried at once, and would overload it before it reports so.
+    /// What an endpoint that is warming up gets where it is at risk. It takes part where it reports headroom:
+    /// a subset that is unstable for want of endpoints would else keep out those that it needs. Where many
+    /// attempts fail, all may be retried at once, and would overload it before it reports so.
     fn cautious_fraction(&self, state: &EndpointState) -> f64 {
         let failures_are_few =
             self.table.failure_ratio.is_some_and(|failing| failing <= HEALTHY_FAILURE_RATIO);
@@ -203,8 +206,8 @@
         }
     }
 
-    /// The weight that can serve in a scope, over the listed weight. Endpoints at risk count little: alone they would get the
-    /// requests of all that the scope has lost.
+    /// The weight that can serve in a scope, over the listed weight. Endpoints at risk count little: alone
+    /// they would get the requests of all that the scope has lost.
     fn strength(&self, scope: Scope) -> f64 {
         let fractions = self.inputs.members.iter().map(|member| (member, self.fraction_in(scope, member)));
         let in_scope = fractions.filter(|(_, fraction)| *fraction > 0.0);
