--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -73,6 +73,7 @@
 
 impl Controller {
     /// An instance that knows nothing yet. Two with the same settings, seed and inputs act alike.
+    #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller {
             settings,
@@ -99,6 +100,7 @@
     }
 
     /// What is believed of each endpoint, the tables as desired and published, and what is admitted.
+    #[must_use]
     pub fn snapshot(&self) -> Snapshot<'_> {
         Snapshot { endpoints: &self.endpoints, tables: &self.tables, admissions: &self.admissions }
     }
@@ -107,6 +109,7 @@
 /// Outputs.
 impl Controller {
     /// When [`Controller::next_action`] has to be called at the latest.
+    #[must_use]
     pub fn next_due(&self) -> Duration {
         self.health_checks.next_due().map_or(self.next_tick, |due| self.next_tick.min(due))
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -98,6 +98,7 @@
 
 impl EndpointState {
     /// Whether the endpoint is up by its health counter.
+    #[must_use]
     pub fn is_up(&self) -> bool {
         self.health.is_up()
     }
--- a/src/health_state.rs
+++ b/src/health_state.rs
@@ -21,26 +21,31 @@
 
 impl HealthCounter {
     /// The counter of an endpoint that has passed all checks.
+    #[must_use]
     pub fn saturated() -> Self {
         HealthCounter(Some(MAX_COUNT))
     }
 
     /// From 0, surely down, to the maximum, surely up; `None` before the first result.
+    #[must_use]
     pub fn value(self) -> Option<u32> {
         self.0
     }
 
     /// Whether there was a result.
+    #[must_use]
     pub fn is_known(self) -> bool {
         self.0.is_some()
     }
 
     /// Whether the endpoint is up.
+    #[must_use]
     pub fn is_up(self) -> bool {
         self.0.is_some_and(|count| count >= RISE)
     }
 
     /// Whether the last checks have all passed.
+    #[must_use]
     pub fn is_saturated(self) -> bool {
         self.0 == Some(MAX_COUNT)
     }
@@ -81,6 +86,7 @@
 
 impl HealthCheckTimer {
     /// Whether no check was ever planned.
+    #[must_use]
     pub fn is_new(&self) -> bool {
         self.next_at == Duration::MAX
     }
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -47,6 +47,7 @@
 
 impl ClassAdmission {
     /// Everything is admitted.
+    #[must_use]
     pub fn new(settings: &ClassSettings, class: ClassId, table: TableId) -> Self {
         ClassAdmission {
             class,
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::FleetSettings;
-use crate::proxies::{ProxySet, Recipients};
+use crate::proxies::{NewMessages, ProxySet, Recipients};
 use crate::publish::Priority;
 
 /// The channel is taken to be so much slower than stated,
@@ -80,9 +80,10 @@
         let queue = self.queued(now, limits.max_entries_per_second);
         let queued = if priority < Priority::Drain { queue.pessimistic } else { queue.urgent };
         let is_new = !self.messaged.contains(&recipients);
-        let new = match is_new {
-            true => proxies.new_messages(recipients, now, limits.message_window),
-            false => Default::default(),
+        let new = if is_new {
+            proxies.new_messages(recipients, now, limits.message_window)
+        } else {
+            NewMessages::default()
         };
         let cost =
             (entries * proxies.count(recipients)) as f64 + new.count as f64 * limits.message_overhead_entries;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -15,6 +15,7 @@
 
 impl EndpointState {
     /// The fraction of its weight that it can do, from `initial_fraction` at its start to 1.
+    #[must_use]
     pub fn slow_start_factor(&self, now: Duration, initial_fraction: f64) -> f64 {
         let remaining = self.warmed_up_at.saturating_sub(now).as_secs_f64();
         let window = (self.warmed_up_at - self.started_at).as_secs_f64().max(1e-6);
--- a/src/state.rs
+++ b/src/state.rs
@@ -41,6 +41,7 @@
 
 impl EndpointState {
     /// An endpoint of which nothing but its record is known.
+    #[must_use]
     pub fn new(record: EndpointRecord, subset: usize) -> Self {
         EndpointState {
             record,
@@ -70,17 +71,20 @@
     }
 
     /// Whether it is draining or removed.
+    #[must_use]
     pub fn is_not_ready(&self) -> bool {
         self.record.status != EndpointStatus::Ready
     }
 
     /// Whether its process started so recently that it cannot do all of its weight yet.
+    #[must_use]
     pub fn is_warming_up(&self, now: Duration) -> bool {
         now < self.warmed_up_at
     }
 
     /// Whether proxies must not use it, whatever tables they hold. Tables of an earlier controller give an
     /// endpoint that is warming up all of its weight, so it is kept out while some proxy may hold one.
+    #[must_use]
     pub fn must_be_ejected(&self, now: Duration, start_up_hold: bool) -> bool {
         self.is_not_ready() || start_up_hold && self.is_warming_up(now)
     }
@@ -97,6 +101,7 @@
 
 impl Restriction {
     /// Whether an endpoint may be used.
+    #[must_use]
     pub fn allows(&self, record: &EndpointRecord) -> bool {
         let zone_allowed = self.zones.as_ref().is_none_or(|zones| zones.contains(&record.zone));
         let allows_type = |types: &Vec<MachineTypeId>| types.contains(&record.machine_type);
@@ -104,6 +109,7 @@
     }
 
     /// Whether anything is excluded.
+    #[must_use]
     pub fn is_restricted(&self) -> bool {
         self.zones.is_some() || self.machine_types.is_some()
     }
@@ -134,6 +140,7 @@
 
 impl RoutingTable {
     /// An empty table before its release.
+    #[must_use]
     pub fn new(subset: usize, restriction: Restriction) -> Self {
         RoutingTable {
             subset,
@@ -149,16 +156,19 @@
     }
 
     /// The weight that an endpoint should have; 0 where it has no entry.
+    #[must_use]
     pub fn desired_weight(&self, endpoint: EndpointId) -> f64 {
         self.desired.get(&endpoint).copied().unwrap_or(0.0)
     }
 
     /// The weight that an endpoint has at the proxies; 0 where it has no entry.
+    #[must_use]
     pub fn published_weight(&self, endpoint: EndpointId) -> f64 {
         self.published.get(&endpoint).copied().unwrap_or(0.0)
     }
 
     /// How many entries a proxy gets with the whole table.
+    #[must_use]
     pub fn published_entries(&self) -> usize {
         self.published.values().filter(|weight| **weight > 0.0).count()
     }
