--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -268,8 +268,8 @@
         let zones = places.zones.join(", ");
         let zone = places.zone(&text(node, "zone"));
         let zone = zone.map_err(|wrong| self.document.error(node, wrong, Some(&zones)));
-        let address = text(node, "address").parse();
-        let address = address.map_err(|wrong: String| self.document.error(node, wrong, None));
+        let address = text(node, "address").parse::<Address>();
+        let address = address.map_err(|wrong| self.document.error(node, wrong.to_string(), None));
         let rate = node.attribute("visits-per-s").map_or(1.0, |rate| rate.parse().unwrap_or(1.0));
         match (zone, address) {
             (Ok(zone), Ok(address)) => {
@@ -315,7 +315,7 @@
                 node.attribute("level").and_then(|level| level.parse().ok()).unwrap_or(Level::Operator);
             match text(node, "address").parse() {
                 Ok(address) => doors.push(ListenerConfig { address, level }),
-                Err(wrong) => self.faults.push(self.document.error(node, wrong, None)),
+                Err(wrong) => self.faults.push(self.document.error(node, wrong.to_string(), None)),
             }
         }
         doors
--- a/crates/fleet/src/berth.rs
+++ b/crates/fleet/src/berth.rs
@@ -105,7 +105,7 @@
     /// # Errors
     /// What the proxy says is no sheet of states.
     pub fn take_states(&mut self, answer: &str) -> Result<(), String> {
-        self.states = read_states(answer)?;
+        self.states = read_states(answer).map_err(|error| error.to_string())?;
         Ok(())
     }
 }
--- a/crates/fleet/src/helm.rs
+++ b/crates/fleet/src/helm.rs
@@ -338,7 +338,7 @@
                 }
             }
             PendingRequest::Stat => {
-                let rows = read_stat(answer)?;
+                let rows = read_stat(answer).map_err(|error| error.to_string())?;
                 let told = berth.counters.take(&rows);
                 let stream = berth.stream;
                 self.due.insert((now + self.report_period, Timer::Look(proxy, stream)));
