--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -114,12 +114,12 @@
         let empty = laying.answers.is_empty();
         for answer in laying.answers {
             out.push_str(&answer);
-            self.session.end(out);
+            self.session.end_answer(out);
         }
         if empty {
-            return self.session.line(&[], held, out);
+            return self.session.execute_line(&[], held, out);
         }
-        if self.session.lasting() || laying.after != SessionState::Stay {
+        if self.session.is_interactive() || laying.after != SessionState::Stay {
             laying.after
         } else {
             SessionState::Close
@@ -138,7 +138,7 @@
         let (prepared, refused) = (self.prepared.as_mut(), &mut laying.refused);
         let desk = prepared.map_or(&mut laying.laid, |(_, held, _)| held);
         let mut out = String::new();
-        laying.after = self.session.command(command, &mut Noting { held: desk, refused }, &mut out);
+        laying.after = self.session.execute(command, &mut Noting { held: desk, refused }, &mut out);
         laying.answers.push(out);
         if changes(command)
             && let Some((_, _, commands)) = &mut self.prepared
@@ -149,7 +149,7 @@
 
     /// What concerns the connection and its sets rather than a table.
     fn own(&mut self, command: &Command, laying: &mut TableTransaction) -> Option<Result<String, String>> {
-        if !self.session.may(Level::Admin) {
+        if !self.session.allows(Level::Admin) {
             return None;
         }
         let held = &mut laying.laid;
--- a/crates/proxy/src/post.rs
+++ b/crates/proxy/src/post.rs
@@ -113,9 +113,9 @@
             let address = node.attribute("address").unwrap_or_default();
             let wrong = |wrong: String| document.error(node, wrong, Some("IP:PORT"));
             match node.tag_name().name() {
-                "control" => match address.parse() {
+                "control" => match address.parse::<Address>() {
                     Ok(address) => control.push(address),
-                    Err(why) => faults.push(wrong(why)),
+                    Err(why) => faults.push(wrong(why.to_string())),
                 },
                 "server" => match address.parse() {
                     Ok(address) => standing.push((name, address)),
--- a/crates/proxy/tests/desk.rs
+++ b/crates/proxy/tests/desk.rs
@@ -20,7 +20,7 @@
 
 fn tell(held: &mut RoutingState, line: &str) -> String {
     let (mut session, mut out) = (Session::new(Level::Admin), String::new());
-    session.line(&split(line), held, &mut out);
+    session.execute_line(&split(line), held, &mut out);
     out
 }
 
--- a/crates/runtime-api/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -16,10 +16,10 @@
 }
 
 fn codec(text: &str) -> usize {
-    let (mut feed, mut words) = (CommandReader::default(), 0);
+    let (mut reader, mut words) = (CommandReader::default(), 0);
     for piece in text.as_bytes().chunks(PIECE) {
-        feed.push(piece);
-        while let Ok(Some(commands)) = feed.next_line() {
+        reader.push(piece);
+        while let Ok(Some(commands)) = reader.next_line() {
             words += commands.iter().map(|command| command.words.len()).sum::<usize>();
         }
     }
@@ -47,9 +47,9 @@
 fn time(name: &str, unit: &str, count: usize, mut run: impl FnMut() -> usize) {
     let mut times: Vec<Duration> = (0..7)
         .map(|_| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             black_box(run());
-            begun.elapsed()
+            started_at.elapsed()
         })
         .collect();
     times.sort();
@@ -79,9 +79,9 @@
         ..StatRow::default()
     };
     let rows: Vec<StatRow> = (0..640).map(row).collect();
-    let sheet = write_stat(&rows);
+    let table = write_stat(&rows);
     time("show stat written", "rows", 640 * 50, || (0..50).map(|_| write_stat(&rows).len()).sum());
     time("show stat read", "rows", 640 * 50, || {
-        (0..50).filter_map(|_| read_stat(&sheet).ok()).map(|r| r.len()).sum()
+        (0..50).filter_map(|_| read_stat(&table).ok()).map(|r| r.len()).sum()
     });
 }
--- a/crates/runtime-api/src/address.rs
+++ b/crates/runtime-api/src/address.rs
@@ -1,4 +1,4 @@
-//! Sockets by address, of either family.
+//! Stream sockets by address, of the Unix or the TCP family.
 
 use std::fmt;
 use std::io;
@@ -6,28 +6,35 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 
-/// Where a socket listens: a path, or an address of IP.
+/// Where a socket listens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Address {
+    /// A path of the file system; `unix:PATH`, or the path alone if it is absolute.
     Unix(PathBuf),
+    /// IP address and port; `IP:PORT`.
     Tcp(SocketAddr),
 }
 
+/// Text that is no [`Address`].
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{0:?} is neither unix:PATH nor IP:PORT")]
+pub struct InvalidAddress(pub String);
+
 impl FromStr for Address {
-    type Err = String;
+    type Err = InvalidAddress;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, InvalidAddress> {
         if text.starts_with('/') {
             return Ok(Address::Unix(text.into()));
         }
         if let Some(path) = text.strip_prefix("unix:") {
             return Ok(Address::Unix(path.into()));
         }
-        let wrong = |_| format!("{text:?} is neither unix:PATH nor IP:PORT");
-        text.parse().map(Address::Tcp).map_err(wrong)
+        text.parse().map(Address::Tcp).map_err(|_| InvalidAddress(text.to_string()))
     }
 }
 
@@ -45,14 +52,16 @@
 
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
 
+/// Connects to an address.
+///
 /// # Errors
-/// As the socket says.
+/// The connection can't be made.
 pub async fn dial(address: &Address) -> io::Result<Box<dyn Stream>> {
     Ok(match address {
         Address::Unix(path) => Box::new(UnixStream::connect(path).await?),
         Address::Tcp(address) => {
             let stream = TcpStream::connect(address).await?;
-            // Orders are small and wait for their answers: they must not wait for more to go along.
+            // Commands are small and wait for their answers: Nagle's algorithm would delay them.
             stream.set_nodelay(true)?;
             Box::new(stream)
         }
@@ -61,15 +70,17 @@
 
 /// A listening socket of either family.
 pub enum Listener {
+    /// On a path.
     Unix(UnixListener),
+    /// On an IP address.
     Tcp(TcpListener),
 }
 
 impl Listener {
-    /// Takes the place of a socket file that nobody listens on any more.
+    /// Listens on an address. A socket file on which nobody listens any more is replaced.
     ///
     /// # Errors
-    /// As the socket says; a path on which someone still listens is in use.
+    /// The socket can't be bound; a path on which someone still listens is in use.
     pub async fn bind(address: &Address) -> io::Result<Self> {
         Ok(match address {
             Address::Unix(path) => {
@@ -85,8 +96,10 @@
         })
     }
 
+    /// Waits for the next connection.
+    ///
     /// # Errors
-    /// As the socket says.
+    /// The connection can't be accepted.
     pub async fn accept(&self) -> io::Result<Box<dyn Stream>> {
         Ok(match self {
             Listener::Unix(listener) => Box::new(listener.accept().await?.0),
--- /dev/null
+++ b/crates/runtime-api/src/command_handler.rs
@@ -0,0 +1,65 @@
+//! What carries commands out behind a session.
+
+use crate::level::Level;
+use crate::tokenizer::Command;
+
+/// A command that a handler knows.
+#[derive(Clone, Copy, Debug)]
+pub struct CommandEntry {
+    /// The command as `help` shows it: plain words first, then arguments that begin with `<`, `[` or `@`.
+    pub words: &'static str,
+    /// The level that the command needs.
+    pub level: Level,
+    /// One line of help.
+    pub help: &'static str,
+}
+
+impl CommandEntry {
+    /// How many plain words the command begins with, if these words begin with all of them; else 0.
+    fn matching_words(&self, words: &[&str]) -> usize {
+        let plain = self.words.split(' ').take_while(|word| !word.starts_with(['<', '[', '@']));
+        let mut count = 0;
+        for expected in plain {
+            if words.get(count) != Some(&expected) {
+                return 0;
+            }
+            count += 1;
+        }
+        count
+    }
+
+    /// The entry that a command's words begin with; of several the longest.
+    pub(crate) fn find<'a>(entries: &'a [CommandEntry], words: &[&str]) -> Option<&'a CommandEntry> {
+        let (_, entry) = entries
+            .iter()
+            .map(|entry| (entry.matching_words(words), entry))
+            .filter(|(count, _)| *count > 0)
+            .max_by_key(|(count, _)| *count)?;
+        Some(entry)
+    }
+}
+
+/// What a handler answers to a command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CommandResult {
+    /// This text.
+    Text(String),
+    /// This text, and then whatever [`CommandHandler::more`] gives from this position on, until the connection
+    /// ends.
+    Follow(String, u64),
+}
+
+/// Carries commands out.
+pub trait CommandHandler {
+    /// The commands that it knows.
+    fn entries(&self) -> &'static [CommandEntry];
+
+    /// Carries out a command, of which the entry was found among [`CommandHandler::entries`].
+    fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult;
+
+    /// What there is to follow from a position on; the position moves with it.
+    fn more(&mut self, position: &mut u64) -> String {
+        let _ = position;
+        String::new()
+    }
+}
--- a/crates/runtime-api/src/command_reader.rs
+++ b/crates/runtime-api/src/command_reader.rs
@@ -1,31 +1,62 @@
-//! Bytes as they come off a socket, in pieces of any size, to lines of commands.
+//! The server's end: bytes, as they come off a socket in pieces of any size, to lines of commands.
 
 use bytes::BytesMut;
+use thiserror::Error;
 
 use crate::line_buffer::LineBuffer;
 use crate::tokenizer::{Command, split};
 
-/// A line, and a payload, may be so long; the guide's `tune.bufsize`.
+/// Longest line, and longest payload; HAProxy's `tune.bufsize`.
 pub const MAX_LINE_BYTES: usize = 16_384;
 
-/// A line that has no end within [`MAX_LINE_BYTES`] bytes: the stream can't be followed any further.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A line or payload is longer than [`MAX_LINE_BYTES`]: the connection can't be followed any further.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("Line too long")]
 pub struct LineTooLong;
 
-/// Collects bytes, gives out whole lines.
+/// Collects bytes and gives out whole lines of commands.
 #[derive(Default)]
 pub struct CommandReader {
     lines: LineBuffer,
-    /// A line whose payload is still coming, and the line that ends it.
-    open: Option<(Vec<Command>, String, String)>,
+    /// The line whose payload is being read.
+    incomplete: Option<PayloadLine>,
+}
+
+/// A line of commands whose payload is still to come.
+struct PayloadLine {
+    commands: Vec<Command>,
+    payload: String,
+    /// The line that ends the payload.
+    terminator: String,
+}
+
+impl PayloadLine {
+    /// Adds a line of the payload.
+    fn push(&mut self, line: &str) -> Result<(), LineTooLong> {
+        if self.payload.len() + line.len() >= MAX_LINE_BYTES {
+            return Err(LineTooLong);
+        }
+        self.payload.push_str(line);
+        self.payload.push('\n');
+        Ok(())
+    }
+
+    /// The commands, of which the last gets the payload.
+    fn finish(mut self) -> Vec<Command> {
+        if let Some(last) = self.commands.last_mut() {
+            last.payload = Some(self.payload);
+        }
+        self.commands
+    }
 }
 
 impl CommandReader {
-    /// Where to read into, with room for what a socket has at a time.
+    /// Where to read into, with room for one read off a socket.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.lines.buffer()
     }
 
+    /// Adds bytes that were read elsewhere.
     pub fn push(&mut self, bytes: &[u8]) {
         self.lines.buffer().extend_from_slice(bytes);
     }
@@ -33,36 +64,30 @@
     /// The commands of the next whole line with its payload; `None` until there is one.
     ///
     /// # Errors
-    /// [`LineTooLong`], for good.
+    /// [`LineTooLong`]; the reader can't be used any further.
     pub fn next_line(&mut self) -> Result<Option<Vec<Command>>, LineTooLong> {
-        while let Some(line) = self.raw_line()? {
-            let Some((mut commands, mut payload, end)) = self.open.take() else {
-                let mut commands = split(&line);
-                match opens_payload(&mut commands) {
-                    Some(end) => self.open = Some((commands, String::new(), end)),
-                    None => return Ok(Some(commands)),
+        while let Some(line) = self.next_raw_line()? {
+            match self.incomplete.take() {
+                Some(incomplete) if line == incomplete.terminator => return Ok(Some(incomplete.finish())),
+                Some(mut incomplete) => {
+                    incomplete.push(&line)?;
+                    self.incomplete = Some(incomplete);
                 }
-                continue;
-            };
-            if line == end {
-                if let Some(last) = commands.last_mut() {
-                    last.payload = Some(payload);
+                None => {
+                    let mut commands = split(&line);
+                    let Some(terminator) = take_payload_marker(&mut commands) else {
+                        return Ok(Some(commands));
+                    };
+                    self.incomplete = Some(PayloadLine { commands, payload: String::new(), terminator });
                 }
-                return Ok(Some(commands));
-            }
-            if payload.len() + line.len() >= MAX_LINE_BYTES {
-                return Err(LineTooLong);
             }
-            payload.push_str(&line);
-            payload.push('\n');
-            self.open = Some((commands, payload, end));
         }
         Ok(None)
     }
 
-    fn raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
-        let long = self.lines.next_len().unwrap_or(self.lines.waiting().len());
-        if long > MAX_LINE_BYTES {
+    fn next_raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
+        let len = self.lines.next_len().unwrap_or(self.lines.waiting().len());
+        if len > MAX_LINE_BYTES {
             return Err(LineTooLong);
         }
         let text = |line: &[u8]| String::from_utf8_lossy(line).trim_end_matches('\r').to_string();
@@ -70,10 +95,11 @@
     }
 }
 
-/// A last word `<<` asks for a payload up to an empty line, `<<END` for one up to the line `END`.
-fn opens_payload(commands: &mut [Command]) -> Option<String> {
+/// Removes a last word `<<` or `<<END`, which announces a payload up to an empty line, or up to the line `END`;
+/// the line that ends the payload.
+fn take_payload_marker(commands: &mut [Command]) -> Option<String> {
     let last = commands.last_mut()?;
-    let end = last.words.last()?.strip_prefix("<<")?.to_string();
+    let terminator = last.words.last()?.strip_prefix("<<")?.to_string();
     last.words.pop();
-    Some(end)
+    Some(terminator)
 }
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -1,20 +1,28 @@
-//! The runtime API in the manner of HAProxy's socket (its Management Guide, "Unix Socket commands"):
-//! lines of commands go in, answers that end with an empty line come out. The codec and the sessions
-//! are free of I/O; `serve` and `request` put them on sockets.
+//! The runtime API in the manner of HAProxy's socket (its Management Guide, "Unix Socket commands"): lines of
+//! commands go in, answers that end with an empty line come out. The codec ([`CommandReader`],
+//! [`ResponseReader`], [`tables`]) and the [`Session`] are free of I/O; [`serve`] and [`request`] put them on
+//! sockets.
+#![warn(missing_docs)]
 
 mod address;
+mod client;
+mod command_handler;
 mod command_reader;
+mod level;
 mod line_buffer;
 mod response_reader;
-mod serve;
+mod server;
 mod session;
 pub mod tables;
 mod tokenizer;
 
-pub use address::{Address, Listener, Stream, dial};
+pub use address::{Address, InvalidAddress, Listener, Stream, dial};
+pub use client::{RequestError, request};
+pub use command_handler::{CommandEntry, CommandHandler, CommandResult};
 pub use command_reader::{CommandReader, LineTooLong, MAX_LINE_BYTES};
+pub use level::{Level, UnknownLevel};
 pub use line_buffer::LineBuffer;
 pub use response_reader::ResponseReader;
-pub use serve::{MAX_RESPONSE_BYTES, MAX_SESSIONS, RequestError, request, serve};
-pub use session::{CommandEntry, CommandHandler, CommandResult, Level, Session, SessionState};
+pub use server::{MAX_RESPONSE_BYTES, MAX_SESSIONS, serve};
+pub use session::{Session, SessionState};
 pub use tokenizer::{Command, escaped, split};
--- a/crates/runtime-api/src/line_buffer.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -2,43 +2,44 @@
 
 use bytes::{Buf, BytesMut};
 
-/// What is read off a socket at a time.
-pub const PIECE: usize = 4096;
+/// Room for one read off a socket, in bytes.
+pub const READ_BYTES: usize = 4096;
 
-/// Collects bytes, gives out whole lines.
+/// Collects bytes and gives out whole lines.
 #[derive(Default)]
 pub struct LineBuffer {
     buffer: BytesMut,
-    /// What was looked through already without an end of line.
-    seen: usize,
+    /// How much of the buffer was searched for an end of line, so that no byte is searched twice.
+    searched: usize,
 }
 
 impl LineBuffer {
-    /// Where to read into, with room for what a socket has at a time.
+    /// Where to read into, with room for one read off a socket.
     pub fn buffer(&mut self) -> &mut BytesMut {
-        self.buffer.reserve(PIECE);
+        self.buffer.reserve(READ_BYTES);
         &mut self.buffer
     }
 
     /// Bytes that were not given out yet.
+    #[must_use]
     pub fn waiting(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// How long the next whole line is; `None` until there is one.
+    /// The length of the next whole line in bytes, without its end; `None` until there is one.
     pub fn next_len(&mut self) -> Option<usize> {
-        let end = self.buffer[self.seen..].iter().position(|byte| *byte == b'\n');
-        let end = end.map(|end| end + self.seen);
-        self.seen = end.unwrap_or(self.buffer.len());
+        let end = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
+        let end = end.map(|end| end + self.searched);
+        self.searched = end.unwrap_or(self.buffer.len());
         end
     }
 
     /// Takes the next whole line, without its end; `None` until there is one.
-    pub fn next_line<T>(&mut self, take: impl FnOnce(&[u8]) -> T) -> Option<T> {
+    pub fn next_line<T>(&mut self, convert: impl FnOnce(&[u8]) -> T) -> Option<T> {
         let end = self.next_len()?;
-        let taken = take(&self.buffer[..end]);
+        let line = convert(&self.buffer[..end]);
         self.buffer.advance(end + 1);
-        self.seen = 0;
-        Some(taken)
+        self.searched = 0;
+        Some(line)
     }
 }
--- a/crates/runtime-api/src/tokenizer.rs
+++ b/crates/runtime-api/src/tokenizer.rs
@@ -1,65 +1,76 @@
-//! One line of commands, taken apart: `;` sets commands apart, blanks set words apart, and `\` takes
-//! the meaning off the character behind it.
+//! One line of commands, taken apart: `;` separates commands, blanks separate words, and `\` takes the meaning
+//! off the character behind it.
 
-/// One command, as words; with the lines that came behind `<<`, if it asked for them.
+/// One command as words.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Command {
+    /// The words, without escapes.
     pub words: Vec<String>,
+    /// The lines that came behind `<<`, if the command asked for them.
     pub payload: Option<String>,
 }
 
 impl Command {
-    pub fn word(&self, place: usize) -> Option<&str> {
-        self.words.get(place).map(String::as_str)
+    fn new(words: Vec<String>) -> Self {
+        Command { words, payload: None }
+    }
+
+    /// The word at a position, from 0.
+    #[must_use]
+    pub fn word(&self, position: usize) -> Option<&str> {
+        self.words.get(position).map(String::as_str)
     }
 
     /// The words in one line, for messages and logs.
+    #[must_use]
     pub fn text(&self) -> String {
         self.words.join(" ")
     }
 }
 
 /// The commands of a line; empty ones are left out.
+#[must_use]
 pub fn split(line: &str) -> Vec<Command> {
-    if !line.contains('\\') {
-        let words = |command: &str| -> Vec<String> {
-            command.split([' ', '\t']).filter(|word| !word.is_empty()).map(str::to_string).collect()
-        };
-        let commands = line.split(';').map(words).filter(|words| !words.is_empty());
-        return commands.map(|words| Command { words, payload: None }).collect();
+    if line.contains('\\') {
+        return split_escaped(line);
     }
-    split_escaped(line)
+    let words = |command: &str| -> Vec<String> {
+        command.split([' ', '\t']).filter(|word| !word.is_empty()).map(str::to_string).collect()
+    };
+    line.split(';').map(words).filter(|words| !words.is_empty()).map(Command::new).collect()
 }
 
 fn split_escaped(line: &str) -> Vec<Command> {
     let mut commands = Vec::new();
-    let (mut words, mut word) = (Vec::new(), None::<String>);
-    let mut signs = line.chars();
-    while let Some(sign) = signs.next() {
-        match sign {
-            '\\' => word.get_or_insert_default().extend(signs.next()),
+    let mut words = Vec::new();
+    let mut word: Option<String> = None;
+    let mut characters = line.chars();
+    while let Some(character) = characters.next() {
+        match character {
+            '\\' => word.get_or_insert_default().extend(characters.next()),
             ';' => {
                 words.extend(word.take());
-                commands.push(Command { words: std::mem::take(&mut words), payload: None });
+                commands.push(Command::new(std::mem::take(&mut words)));
             }
             ' ' | '\t' => words.extend(word.take()),
-            _ => word.get_or_insert_default().push(sign),
+            _ => word.get_or_insert_default().push(character),
         }
     }
     words.extend(word);
-    commands.push(Command { words, payload: None });
+    commands.push(Command::new(words));
     commands.retain(|command| !command.words.is_empty());
     commands
 }
 
-/// A word written so that it is read as it is.
+/// A word with escapes, so that it is read as it is.
+#[must_use]
 pub fn escaped(word: &str) -> String {
     let mut text = String::with_capacity(word.len());
-    for sign in word.chars() {
-        if matches!(sign, '\\' | ';' | ' ' | '\t') {
+    for character in word.chars() {
+        if matches!(character, '\\' | ';' | ' ' | '\t') {
             text.push('\\');
         }
-        text.push(sign);
+        text.push(character);
     }
     text
 }
--- a/crates/runtime-api/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-/// Says back what it was told.
+/// Answers with the words that it gets.
 struct Echo;
 
 const ENTRIES: [CommandEntry; 2] = [
@@ -30,20 +30,20 @@
 }
 
 fn talk(level: Level, text: &str) -> (String, SessionState) {
-    let (mut feed, mut session, mut out) = (CommandReader::default(), Session::new(level), String::new());
-    feed.push(text.as_bytes());
-    let mut after = SessionState::Stay;
-    while let Ok(Some(commands)) = feed.next_line() {
-        after = session.line(&commands, &mut Echo, &mut out);
-        if after != SessionState::Stay {
+    let (mut reader, mut session, mut out) = (CommandReader::default(), Session::new(level), String::new());
+    reader.push(text.as_bytes());
+    let mut state = SessionState::Stay;
+    while let Ok(Some(commands)) = reader.next_line() {
+        state = session.execute_line(&commands, &mut Echo, &mut out);
+        if state != SessionState::Stay {
             break;
         }
     }
-    (out, after)
+    (out, state)
 }
 
 #[test]
-fn one_line_of_commands_and_then_the_end() {
+fn a_connection_closes_after_one_line() {
     assert_eq!(
         talk(Level::User, "show echo a; show echo b\\ c\n"),
         ("a\n\nb c\n\n".into(), SessionState::Close)
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn prompt_mode_stays() {
+fn prompt_keeps_the_connection_open() {
     assert_eq!(talk(Level::User, "prompt\nshow echo a\n"), ("\n> a\n\n> ".into(), SessionState::Stay));
     assert_eq!(talk(Level::User, "prompt i\nshow echo a\n"), ("\na\n\n".into(), SessionState::Stay));
     assert_eq!(talk(Level::User, "prompt i\nprompt n\nshow echo a\n").1, SessionState::Close);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn levels_are_kept_and_only_lowered() {
+fn levels_are_enforced_and_only_lowered() {
     assert_eq!(talk(Level::Operator, "set echo x\n").0, "Permission denied\n\n");
     assert_eq!(talk(Level::Admin, "set echo x\n").0, "x\n\n");
     assert_eq!(talk(Level::Admin, "user; operator; show cli level\n").0, "\n\nuser\n\n");
@@ -68,25 +68,25 @@
 
 #[test]
 fn unknown_commands_get_the_list_for_their_level() {
-    let (said, _) = talk(Level::User, "shw echo\n");
-    assert!(said.starts_with("Unknown command") && said.contains("show echo [<word>]"), "{said}");
-    assert!(!said.contains("set echo"), "{said}");
+    let (answer, _) = talk(Level::User, "shw echo\n");
+    assert!(answer.starts_with("Unknown command") && answer.contains("show echo [<word>]"), "{answer}");
+    assert!(!answer.contains("set echo"), "{answer}");
 }
 
 #[test]
-fn payloads_end_with_their_line() {
+fn payloads_end_with_their_terminator() {
     assert_eq!(talk(Level::User, "show echo <<\na 1\nb 2\n\n").0, "a 1\nb 2\n\n");
     assert_eq!(talk(Level::User, "show echo <<end\na\n\nb\nend\n").0, "a\n\nb\n\n");
 }
 
 #[test]
-fn lines_without_an_end_are_given_up() {
-    let mut feed = CommandReader::default();
+fn a_line_without_an_end_is_an_error() {
+    let mut reader = CommandReader::default();
     let mut ended = None;
     for _ in 0..(1 << 20) / 1024 {
-        feed.push(&[b'x'; 1024]);
-        if let Err(LineTooLong) = feed.next_line() {
-            ended = Some(feed.buffer().len());
+        reader.push(&[b'x'; 1024]);
+        if let Err(LineTooLong) = reader.next_line() {
+            ended = Some(reader.buffer().len());
             break;
         }
     }
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn states_and_counters_come_back_as_they_were_written() {
+fn states_and_counters_are_read_as_they_were_written() {
     let state = StateRow {
         backend: "t0".into(),
         server: "e1".into(),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn sheets_that_are_no_sheets_are_refused() {
+fn malformed_tables_are_refused() {
     for wrong in ["", "garbage", "# pxname,svname\nx\n", "# pxname,svname,stot,\na,b,many,\n"] {
         assert!(read_stat(wrong).is_err(), "{wrong:?}");
     }
@@ -140,7 +140,7 @@
 
     /// How the bytes are cut up makes no difference.
     #[test]
-    fn pieces_do_not_matter(lines in proptest::collection::vec("[a-z;\\\\ ]{0,30}", 1..8), cuts in proptest::collection::vec(1..20_usize, 1..50)) {
+    fn lines_are_the_same_in_any_pieces(lines in proptest::collection::vec("[a-z;\\\\ ]{0,30}", 1..8), cuts in proptest::collection::vec(1..20_usize, 1..50)) {
         let text = lines.join("\n") + "\n";
         let mut whole = CommandReader::default();
         whole.push(text.as_bytes());
@@ -159,26 +159,26 @@
     }
 
     #[test]
-    fn escaped_words_come_back(word in "[ -~]{1,20}") {
+    fn escaped_words_are_read_as_they_are(word in "[ -~]{1,20}") {
         let commands = split(&format!("show {}", escaped(&word)));
         prop_assert_eq!(&commands[0].words[1], &word);
     }
 
     /// Whatever comes, nothing panics, and a session answers every line.
     #[test]
-    fn garbage_is_answered(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
-        let mut feed = CommandReader::default();
-        feed.push(&bytes);
+    fn arbitrary_bytes_are_answered(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
+        let mut reader = CommandReader::default();
+        reader.push(&bytes);
         let mut session = Session::new(Level::Admin);
-        while let Ok(Some(commands)) = feed.next_line() {
+        while let Ok(Some(commands)) = reader.next_line() {
             let mut out = String::new();
-            session.line(&commands, &mut Echo, &mut out);
+            session.execute_line(&commands, &mut Echo, &mut out);
             prop_assert!(out.ends_with('\n') || out.ends_with("> ") || commands.iter().any(|c| c.words == ["quit"]));
         }
     }
 
     #[test]
-    fn answers_are_told_apart(texts in proptest::collection::vec("([a-z]{1,8}\n){0,3}", 1..6), prompt in any::<bool>(), cut in 1..9_usize) {
+    fn answers_are_separated(texts in proptest::collection::vec("([a-z]{1,8}\n){0,3}", 1..6), prompt in any::<bool>(), cut in 1..9_usize) {
         let end = if prompt { "\n> " } else { "\n" };
         let all: String = texts.iter().map(|text| text.clone() + end).collect();
         let (mut answers, mut got) = (ResponseReader::default(), Vec::new());
