--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -1,4 +1,4 @@
-//! Visits a second through one proxy on one core, and the time that it adds, against the same load
+//! Requests a second through one proxy on one core, and the latency that it adds, against the same load
 //! sent to the endpoint directly. Load, endpoint and proxy each have a thread of their own.
 //! Run: cargo bench -p lockcroft-proxy --bench forward
 
@@ -15,11 +15,11 @@
 
 const CLIENTS: usize = 64;
 const SPAN: Duration = Duration::from_secs(5);
-/// Times are told as the median of so many windows, and the worst: this machine is not alone.
+/// Latencies are reported as the median of this many windows, and the worst, as other load may disturb some.
 const WINDOWS: usize = 20;
 
-/// Runs on a thread of its own, and gives one thing back.
-fn apart<T: Send + 'static, F: Future<Output = ()>>(
+/// Runs on a thread of its own, and gives one value back.
+fn on_own_thread<T: Send + 'static, F: Future<Output = ()>>(
     name: &str,
     work: impl FnOnce(mpsc::Sender<T>) -> F + Send + 'static,
 ) -> T {
@@ -59,9 +59,9 @@
     }
 }
 
-async fn one(stream: &mut TcpStream, bytes: &mut [u8]) -> bool {
-    let visit = b"GET /look HTTP/1.1\r\nhost: x\r\nx-patience-ms: 2000\r\n\r\n";
-    if stream.write_all(visit).await.is_err() {
+async fn send_request(stream: &mut TcpStream, bytes: &mut [u8]) -> bool {
+    let request = b"GET /look HTTP/1.1\r\nhost: x\r\nx-patience-ms: 2000\r\n\r\n";
+    if stream.write_all(request).await.is_err() {
         return false;
     }
     let mut seen = 0;
@@ -77,24 +77,24 @@
     }
 }
 
-/// Visits answered, and their times in microseconds from when they were due. No rate: as many as
-/// go through, each client with one in hand.
+/// Requests answered per second, and their latencies in microseconds from when they were due. Without a rate
+/// each client sends the next request once the last is answered.
 async fn load(to: SocketAddr, rate: Option<f64>) -> (f64, Vec<Histogram<u64>>) {
     let empty = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     let times = std::rc::Rc::new(std::cell::RefCell::new(vec![empty; WINDOWS]));
     // All connect and call once before it counts.
-    let begun = Instant::now() + Duration::from_millis(300);
+    let started_at = Instant::now() + Duration::from_millis(300);
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
             let times = times.clone();
             spawn_local(async move {
                 let (mut stream, mut bytes) = (TcpStream::connect(to).await.expect("connected"), [0; 1024]);
                 let _ = stream.set_nodelay(true);
-                one(&mut stream, &mut bytes).await;
-                tokio::time::sleep_until(begun.into()).await;
+                send_request(&mut stream, &mut bytes).await;
+                tokio::time::sleep_until(started_at.into()).await;
                 let gap = rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(CLIENTS as f64 / rate));
-                let mut due = begun + gap.mul_f64(client as f64 / CLIENTS as f64);
-                while begun.elapsed() < SPAN {
+                let mut due = started_at + gap.mul_f64(client as f64 / CLIENTS as f64);
+                while started_at.elapsed() < SPAN {
                     if rate.is_some() {
                         // Timers are a millisecond coarse and would send in bursts: this thread spins.
                         while Instant::now() < due {
@@ -102,8 +102,8 @@
                         }
                     }
                     let sent = if rate.is_some() { due } else { Instant::now() };
-                    if one(&mut stream, &mut bytes).await {
-                        let window = sent.saturating_duration_since(begun).as_nanos() * WINDOWS as u128
+                    if send_request(&mut stream, &mut bytes).await {
+                        let window = sent.saturating_duration_since(started_at).as_nanos() * WINDOWS as u128
                             / SPAN.as_nanos();
                         let window = (window as usize).min(WINDOWS - 1);
                         times.borrow_mut()[window].saturating_record(sent.elapsed().as_micros() as u64);
@@ -118,12 +118,12 @@
     }
     let all = times.borrow().clone();
     let count: u64 = all.iter().map(Histogram::len).sum();
-    (count as f64 / begun.elapsed().as_secs_f64(), all)
+    (count as f64 / started_at.elapsed().as_secs_f64(), all)
 }
 
-fn tell(name: &str, to: SocketAddr, rate: Option<f64>) -> f64 {
+fn report(name: &str, to: SocketAddr, rate: Option<f64>) -> f64 {
     let name = name.to_string();
-    apart("load", move |done| async move {
+    on_own_thread("load", move |done| async move {
         let (got, times) = load(to, rate).await;
         let at = |quantile: f64| {
             let mut all: Vec<u64> = times.iter().map(|window| window.value_at_quantile(quantile)).collect();
@@ -133,69 +133,69 @@
         let worst = times.iter().map(|window| window.value_at_quantile(0.99)).max().unwrap_or(0);
         let (p50, p99, p999) = (at(0.5), at(0.99), at(0.999));
         println!(
-            "{name:44} {got:7.0} visits/s  p50 {p50:5} p99 {p99:5} p99.9 {p999:6} us, p99 of the worst window {worst:6}"
+            "{name:44} {got:7.0} requests/s  p50 {p50:5} p99 {p99:5} p99.9 {p999:6} us, p99 of the worst window {worst:6}"
         );
         let _ = done.send(got);
     })
 }
 
 fn proxy(endpoint: SocketAddr, socket: std::path::PathBuf) -> SocketAddr {
-    apart("proxy", move |started| async move {
+    on_own_thread("proxy", move |started| async move {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
-        let mut post = ProxyConfig::new("p", any, vec![Address::Unix(socket)], classes);
-        post.standing = vec![("e1".into(), endpoint)];
-        let proxy = Proxy::start(post).await.expect("started");
+        let mut config = ProxyConfig::new("p", any, vec![Address::Unix(socket)], classes);
+        config.standing = vec![("e1".into(), endpoint)];
+        let proxy = Proxy::start(config).await.expect("started");
         started.send(proxy.visits).expect("awaited");
         std::future::pending::<()>().await;
     })
 }
 
-fn lines(socket: &std::path::Path, line: impl Fn(usize) -> String, at_once: usize) {
+fn commands(socket: &std::path::Path, command: impl Fn(usize) -> String, at_once: usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let address = Address::Unix(socket.to_path_buf());
     for some in (0..600).collect::<Vec<_>>().chunks(at_once) {
-        let lines: Vec<String> = some.iter().map(|i| line(*i)).collect();
+        let lines: Vec<String> = some.iter().map(|i| command(*i)).collect();
         let _ = runtime.block_on(request(&address, &lines.join("; "), Duration::from_secs(5)));
     }
 }
 
-/// Changes 600 lines, in sets of 300, again and again.
-fn swaps(socket: &std::path::Path) {
-    let begun = Instant::now();
+/// Changes 600 entries, in batches of 300, again and again.
+fn change_weights(socket: &std::path::Path) {
+    let started_at = Instant::now();
     let mut weight = 1;
-    while begun.elapsed() < SPAN {
+    while started_at.elapsed() < SPAN {
         weight = 3 - weight;
-        lines(socket, |i| format!("set weight standing/x{i} {weight}"), 300);
+        commands(socket, |i| format!("set weight standing/x{i} {weight}"), 300);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn main() {
-    let endpoint = apart("endpoint", endpoint);
+    let endpoint = on_own_thread("endpoint", endpoint);
     let folder = std::env::temp_dir().join(format!("forward-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let socket = folder.join("p.sock");
     let through = proxy(endpoint, socket.clone());
-    tell("warm-up, thrown away", through, None);
-    tell("direct to the endpoint, as many as go", endpoint, None);
-    let most = tell("through the proxy, as many as go", through, None);
+    report("warm-up, discarded", through, None);
+    report("direct to the endpoint, as many as go", endpoint, None);
+    let most = report("through the proxy, as many as go", through, None);
     let half = Some(most / 2.0);
-    tell("direct, at half of that", endpoint, half);
-    tell("through the proxy, at half of that", through, half);
+    report("direct, at half of that", endpoint, half);
+    report("through the proxy, at half of that", through, half);
     let add = |i| format!("add server standing/x{i} {endpoint} weight 1; enable server standing/x{i}");
-    lines(&socket, add, 100);
-    tell("warm-up with 600 lines, thrown away", through, half);
-    tell("the same, with 600 lines", through, half);
-    let swapping = {
+    commands(&socket, add, 100);
+    report("warm-up with 600 entries, discarded", through, half);
+    report("the same, with 600 entries", through, half);
+    let changing = {
         let socket = socket.clone();
-        std::thread::spawn(move || swaps(&socket))
+        std::thread::spawn(move || change_weights(&socket))
     };
-    tell("the same, the 600 changed every 20 ms", through, half);
-    let _ = swapping.join();
+    report("the same, the 600 changed every 20 ms", through, half);
+    let _ = changing.join();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let orders = "set var proc.level_look int(1000); set var proc.again_look int(1)";
-    let _ = runtime.block_on(request(&Address::Unix(socket), orders, Duration::from_secs(5)));
-    tell("level and second tries on, as many as go", through, None);
+    let enable = "set var proc.level_look int(1000); set var proc.again_look int(1)";
+    let _ = runtime.block_on(request(&Address::Unix(socket), enable, Duration::from_secs(5)));
+    report("admission and retries on, as many as go", through, None);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/proxy/src/commands/error.rs
+++ b/crates/proxy/src/commands/error.rs
@@ -3,6 +3,9 @@
 
 use thiserror::Error;
 
+/// The text of an answer; empty where there is nothing to report.
+pub(super) type CommandOutput = Result<String, CommandError>;
+
 /// A command that was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
--- a/crates/proxy/src/commands/maps.rs
+++ b/crates/proxy/src/commands/maps.rs
@@ -3,8 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use super::CommandOutput;
-use super::error::CommandError;
+use super::error::{CommandError, CommandOutput};
 use crate::routing::RoutingState;
 
 type ClassMap = BTreeMap<String, String>;
--- a/crates/proxy/src/commands/mod.rs
+++ b/crates/proxy/src/commands/mod.rs
@@ -10,17 +10,11 @@
 use lockcroft_runtime_api::{Command, CommandEntry, CommandHandler, CommandResult, Level};
 
 pub use error::CommandError;
+pub use servers::MAX_BACKENDS;
 pub(crate) use variables::parse_int_expression;
 
 use crate::routing::RoutingState;
 
-/// Servers can be added to the backends `t0` up to, but not including, this number. HAProxy can't add
-/// backends at run time, so every proxy's settings name all of them.
-pub const MAX_BACKENDS: usize = 1024;
-
-/// The text of an answer; empty where the command has nothing to tell.
-type CommandOutput = Result<String, CommandError>;
-
 const COMMANDS: [CommandEntry; 21] = [
     command(Level::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
     command(Level::Admin, "del server <b>/<s>", "delete a server that is in maintenance"),
--- a/crates/proxy/src/commands/servers.rs
+++ b/crates/proxy/src/commands/servers.rs
@@ -3,10 +3,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::error::CommandError;
-use super::{CommandOutput, MAX_BACKENDS};
+use super::error::{CommandError, CommandOutput};
 use crate::routing::{Backend, MAX_WEIGHT, RoutingState, STANDING, TableEntry};
 
+/// Servers can be added to the backends `t0` up to, but not including, this number. HAProxy can't add
+/// backends at run time, so every proxy's settings name all of them.
+pub const MAX_BACKENDS: usize = 1024;
+
 /// `backend/server`, as commands name an entry.
 #[derive(Clone, Copy)]
 struct EntryPath<'a> {
--- a/crates/proxy/src/commands/show.rs
+++ b/crates/proxy/src/commands/show.rs
@@ -4,8 +4,7 @@
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
 };
 
-use super::CommandOutput;
-use super::error::CommandError;
+use super::error::{CommandError, CommandOutput};
 use crate::routing::{Frontend, RoutingState, TableEntry};
 
 impl RoutingState {
--- a/crates/proxy/src/commands/variables.rs
+++ b/crates/proxy/src/commands/variables.rs
@@ -1,7 +1,6 @@
 //! Commands on variables of the process.
 
-use super::CommandOutput;
-use super::error::CommandError;
+use super::error::{CommandError, CommandOutput};
 use crate::routing::RoutingState;
 
 impl RoutingState {
--- a/crates/proxy/src/io/folder_watch.rs
+++ b/crates/proxy/src/io/folder_watch.rs
@@ -79,7 +79,7 @@
             }
         });
         if let Err(error) = &watcher {
-            warn!(target: "lockcroft::table_files", "no file events, looks alone will tell: {error}");
+            warn!(target: "lockcroft::table_files", "no file events, changes are found by polling alone: {error}");
         }
         let watcher = watcher.ok().map(|watcher| CoveredFolders { watcher, folders: Vec::new() });
         SharedWatcher { folder: folder.into(), changes, watcher: Mutex::new(watcher) }
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Applies snapshots and keeps the status file.
+/// Applies snapshots and writes the status file.
 struct Follower {
     worker: Rc<Worker>,
     folder: PathBuf,
@@ -101,7 +101,7 @@
     fn warn_once(&mut self, error: &io::Error) {
         let error = error.to_string();
         if self.logged_error != error {
-            warn!(target: "lockcroft::table_files", folder = %self.folder.display(), "what is held stands: {error}");
+            warn!(target: "lockcroft::table_files", folder = %self.folder.display(), "the folder cannot be read, the applied tables stay: {error}");
             self.logged_error = error;
         }
     }
@@ -133,7 +133,7 @@
         if is_known {
             return false;
         }
-        warn!(target: "lockcroft::table_files", epoch, version, "refused: {why}");
+        warn!(target: "lockcroft::table_files", epoch, version, "rejected: {why}");
         self.status.refused = Some((epoch, version, why).into()).into();
         true
     }
@@ -182,7 +182,7 @@
         let written = run_blocking(Priority::WriteStatus, move || write_status(&folder, &status)).await;
         if let Err(error) = written {
             // The controller goes on with what it knew before.
-            warn!(target: "lockcroft::table_files", "status: {error}");
+            warn!(target: "lockcroft::table_files", "the status cannot be written: {error}");
         }
     }
 }
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -88,7 +88,7 @@
             tokio::task::yield_now().await;
         }
         let session_state = queue.finish(transaction, &mut self.state(), out);
-        tracing::debug!(target: "lockcroft::command", commands = count, "line");
+        tracing::debug!(target: "lockcroft::command", commands = count, "executed");
         session_state
     }
 
--- a/crates/proxy/src/routing/entry.rs
+++ b/crates/proxy/src/routing/entry.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Limits;
+use super::limits::Limits;
 use crate::attempts::AttemptOutcome;
 
 /// The mean latency is an exponential mean over about this many attempts, as in HAProxy's `rtime`.
--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -16,10 +16,10 @@
 const ADMIT_ALL: i64 = 1000;
 
 /// Prefix of the variable that holds the admission rate of a class.
-const ADMISSION_VARIABLE: &str = "level";
+pub(crate) const ADMISSION_VARIABLE: &str = "level";
 
 /// Prefix of the variable that allows one retry after proof of non-execution.
-const RETRY_VARIABLE: &str = "again";
+pub(crate) const RETRY_VARIABLE: &str = "again";
 
 /// Counters of one class of requests.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/proxy/src/routing/state.rs
+++ b/crates/proxy/src/routing/state.rs
@@ -9,8 +9,8 @@
 
 use super::backend::Backend;
 use super::entry::TableEntry;
+use super::limits::{Limits, MAX_WEIGHT, STANDING};
 use super::requests::Frontend;
-use super::{Limits, MAX_WEIGHT, STANDING};
 
 /// All by which a proxy routes. A copy is cheap, as it shares all backends until one of them changes.
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/snapshot_commands.rs
+++ b/crates/proxy/src/snapshot_commands.rs
@@ -8,7 +8,7 @@
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry as SnapshotEntry};
 use lockcroft_table_store::AppliedSnapshot;
 
-use crate::routing::{Backend, RoutingState, TableEntry};
+use crate::routing::{ADMISSION_VARIABLE, Backend, RETRY_VARIABLE, RoutingState, TableEntry};
 
 /// Turns one snapshot after the other into commands.
 #[derive(Clone, Debug, Default)]
@@ -130,8 +130,8 @@
     }
 
     fn write_class(&mut self, state: &RoutingState, class: &str, assignment: &ProxyAssignment) {
-        self.write_class_variable(state, "level", class, i64::from(assignment.level));
-        self.write_class_variable(state, "again", class, i64::from(assignment.again));
+        self.write_class_variable(state, ADMISSION_VARIABLE, class, i64::from(assignment.level));
+        self.write_class_variable(state, RETRY_VARIABLE, class, i64::from(assignment.again));
         let table = table_name(assignment.table);
         if state.map.get(class) != Some(&table) {
             let action = if state.map.contains_key(class) { "set" } else { "add" };
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Ejects and restores entries of a table that the snapshot doesn't hold.
+    /// Ejects and restores entries of a table that the snapshot doesn't contain.
     fn write_ejections(&mut self, name: &str, backend: &Backend) {
         for entry in backend.lines() {
             let ejected = self.ejected.contains(&*entry.name);
--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -1,4 +1,4 @@
-//! A line of commands on its way to take effect: all of it, or nothing. Commands change a staged copy of the
+//! A line of commands that takes effect as a whole or not at all. Commands change a staged copy of the
 //! routing state, a few at a time, so that requests go on meanwhile by the state as it was.
 
 use std::collections::VecDeque;
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The proxy on sockets: endpoints that fail in every way, clients that do nothing, orders cut short.
+//! The proxy on sockets: endpoints that fail in every way, idle clients, commands cut short.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -14,21 +14,21 @@
 use tokio::time::{sleep, timeout};
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const UNREAD: &str = "HTTP/1.1 503 Busy\r\nx-unread: 1\r\ncontent-length: 0\r\n\r\n";
+const REJECTED_UNREAD: &str = "HTTP/1.1 503 Busy\r\nx-unread: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// What an endpoint does with a connection that brought a whole head.
+/// What an endpoint does with a connection on which a whole head came.
 #[derive(Clone, Copy)]
-enum Does {
-    Says(&'static str),
-    /// The same, and closes.
-    SaysAndCloses(&'static str),
-    SaysAfter(Duration),
-    Nothing,
-    ClosesUnread,
+enum Behavior {
+    Answers(&'static str),
+    /// The same, and closes the connection.
+    AnswersAndCloses(&'static str),
+    AnswersAfter(Duration),
+    NeverAnswers,
+    ClosesAtOnce,
 }
 
 /// An endpoint, and how many heads it was sent.
-async fn endpoint(does: Does) -> (SocketAddr, Rc<Cell<usize>>) {
+async fn endpoint(behavior: Behavior) -> (SocketAddr, Rc<Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
     let count = Rc::new(Cell::new(0));
@@ -37,7 +37,7 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let counted = counted.clone();
             spawn_local(async move {
-                if matches!(does, Does::ClosesUnread) {
+                if matches!(behavior, Behavior::ClosesAtOnce) {
                     return;
                 }
                 let (mut bytes, mut seen) = (vec![0; 300_000], 0);
@@ -48,17 +48,17 @@
                     }
                     seen = 0;
                     counted.set(counted.get() + 1);
-                    match does {
-                        Does::Says(text) => drop(stream.write_all(text.as_bytes()).await),
-                        Does::SaysAndCloses(text) => {
+                    match behavior {
+                        Behavior::Answers(text) => drop(stream.write_all(text.as_bytes()).await),
+                        Behavior::AnswersAndCloses(text) => {
                             let _ = stream.write_all(text.as_bytes()).await;
                             return;
                         }
-                        Does::SaysAfter(time) => {
+                        Behavior::AnswersAfter(time) => {
                             sleep(time).await;
                             let _ = stream.write_all(OK.as_bytes()).await;
                         }
-                        Does::Nothing | Does::ClosesUnread => std::future::pending().await,
+                        Behavior::NeverAnswers | Behavior::ClosesAtOnce => std::future::pending().await,
                     }
                 }
             });
@@ -67,34 +67,34 @@
     (address, count)
 }
 
-struct Stage {
+struct Fixture {
     proxy: Proxy,
     control: Address,
     _folder: tempfile::TempDir,
 }
 
-/// A proxy with these servers standing, second tries ordered.
-async fn stage(standing: &[SocketAddr], change: impl FnOnce(&mut ProxyConfig)) -> Stage {
+/// A proxy with these endpoints in its default table and retries enabled.
+async fn start(endpoints: &[SocketAddr], change: impl FnOnce(&mut ProxyConfig)) -> Fixture {
     let folder = tempfile::tempdir().expect("a folder");
     let control = Address::Unix(folder.path().join("c.sock"));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let classes = vec![("look".to_string(), Duration::from_millis(700))];
-    let mut post = ProxyConfig::new("p", any, vec![control.clone()], classes);
-    post.standing = standing.iter().enumerate().map(|(i, at)| (format!("e{i}"), *at)).collect();
-    change(&mut post);
-    let proxy = Proxy::start(post).await.expect("started");
-    let stage = Stage { proxy, control, _folder: folder };
-    stage.tell("set var proc.again_look int(1)").await;
-    stage
+    let mut config = ProxyConfig::new("p", any, vec![control.clone()], classes);
+    config.standing = endpoints.iter().enumerate().map(|(i, address)| (format!("e{i}"), *address)).collect();
+    change(&mut config);
+    let proxy = Proxy::start(config).await.expect("started");
+    let fixture = Fixture { proxy, control, _folder: folder };
+    fixture.command("set var proc.again_look int(1)").await;
+    fixture
 }
 
-impl Stage {
-    async fn tell(&self, line: &str) -> String {
+impl Fixture {
+    async fn command(&self, line: &str) -> String {
         request(&self.control, line, Duration::from_secs(5)).await.expect("answered")
     }
 
     /// Status of the final answer.
-    async fn visit(&self) -> u16 {
+    async fn request_status(&self) -> u16 {
         status(&self.send("GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await)
     }
 
@@ -102,14 +102,14 @@
     async fn send(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.proxy.visits).await.expect("connected");
         stream.write_all(text.as_bytes()).await.expect("sent");
-        let mut said = Vec::new();
-        let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut said)).await.expect("it ends");
-        String::from_utf8_lossy(&said).into_owned()
+        let mut response = Vec::new();
+        let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut response)).await.expect("it ends");
+        String::from_utf8_lossy(&response).into_owned()
     }
 }
 
-fn status(said: &str) -> u16 {
-    said.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+fn status(response: &str) -> u16 {
+    response.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -117,90 +117,98 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// The first server fails in this way, the second is well: the final status, and what each was sent.
-async fn fails(does: Does) -> (u16, usize, usize) {
-    let (bad, well) = (endpoint(does).await, endpoint(Does::Says(OK)).await);
-    let stage = stage(&[bad.0, well.0], |_| {}).await;
-    // The heavier line comes first.
-    stage.tell("set weight standing/e1 1").await;
-    let said = stage.visit().await;
-    (said, bad.1.get(), well.1.get())
+/// The first endpoint fails in this way, the second is healthy: the final status, and how many requests each got.
+async fn with_faulty_endpoint(behavior: Behavior) -> (u16, usize, usize) {
+    let (faulty, healthy) = (endpoint(behavior).await, endpoint(Behavior::Answers(OK)).await);
+    let fixture = start(&[faulty.0, healthy.0], |_| {}).await;
+    // The heavier entry comes first.
+    fixture.command("set weight standing/e1 1").await;
+    let status = fixture.request_status().await;
+    (status, faulty.1.get(), healthy.1.get())
 }
 
 #[test]
-fn what_may_have_run_is_not_tried_again() {
+fn a_request_that_may_have_been_executed_is_not_retried() {
     run(async {
-        assert_eq!(fails(Does::Nothing).await, (504, 1, 0));
-        assert_eq!(fails(Does::SaysAndCloses("HT")).await, (502, 1, 0));
-        assert_eq!(fails(Does::SaysAndCloses("")).await, (502, 1, 0));
+        assert_eq!(with_faulty_endpoint(Behavior::NeverAnswers).await, (504, 1, 0));
+        assert_eq!(with_faulty_endpoint(Behavior::AnswersAndCloses("HT")).await, (502, 1, 0));
+        assert_eq!(with_faulty_endpoint(Behavior::AnswersAndCloses("")).await, (502, 1, 0));
         assert_eq!(
-            fails(Does::SaysAndCloses("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhal")).await,
+            with_faulty_endpoint(Behavior::AnswersAndCloses(
+                "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhal"
+            ))
+            .await,
             (502, 1, 0)
         );
-        assert_eq!(fails(Does::Says("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n")).await, (500, 1, 0));
-        // Closed without a word: the bytes were written, whatever became of them.
-        let (said, _, second) = fails(Does::ClosesUnread).await;
-        assert_eq!((said, second), (502, 0));
+        assert_eq!(
+            with_faulty_endpoint(Behavior::Answers("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n")).await,
+            (500, 1, 0)
+        );
+        // Closed without an answer: the bytes were written, whatever became of them.
+        let (status, _, second) = with_faulty_endpoint(Behavior::ClosesAtOnce).await;
+        assert_eq!((status, second), (502, 0));
     });
 }
 
 #[test]
-fn proof_brings_one_second_try() {
+fn proof_of_non_execution_allows_one_retry() {
     run(async {
-        assert_eq!(fails(Does::Says(UNREAD)).await, (200, 1, 1));
+        assert_eq!(with_faulty_endpoint(Behavior::Answers(REJECTED_UNREAD)).await, (200, 1, 1));
         let nobody = TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr()).expect("an address");
-        let well = endpoint(Does::Says(OK)).await;
-        let first = stage(&[nobody, well.0], |_| {}).await;
+        let healthy = endpoint(Behavior::Answers(OK)).await;
+        let first = start(&[nobody, healthy.0], |_| {}).await;
         for _ in 0..4 {
-            assert_eq!(first.visit().await, 200);
+            assert_eq!(first.request_status().await, 200);
         }
-        assert_eq!(well.1.get(), 4);
-        // Not where it is not ordered, and never a third.
-        first.tell("set var proc.again_look int(0)").await;
-        let said = [first.visit().await, first.visit().await];
-        assert!(said.contains(&502) && said.contains(&200), "{said:?}");
+        assert_eq!(healthy.1.get(), 4);
+        // Not where retries are not enabled, and never a third attempt.
+        first.command("set var proc.again_look int(0)").await;
+        let statuses = [first.request_status().await, first.request_status().await];
+        assert!(statuses.contains(&502) && statuses.contains(&200), "{statuses:?}");
         let (one, two, three) = (
-            endpoint(Does::Says(UNREAD)).await,
-            endpoint(Does::Says(UNREAD)).await,
-            endpoint(Does::Says(UNREAD)).await,
+            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
         );
-        let all = stage(&[one.0, two.0, three.0], |_| {}).await;
-        assert_eq!(all.visit().await, 503);
+        let all = start(&[one.0, two.0, three.0], |_| {}).await;
+        assert_eq!(all.request_status().await, 503);
         assert_eq!(one.1.get() + two.1.get() + three.1.get(), 2);
     });
 }
 
 #[test]
-fn a_budget_caps_second_tries_and_large_bodies_have_none() {
+fn the_budget_limits_retries_and_streamed_bodies_have_none() {
     run(async {
-        let (bad, well) = (endpoint(Does::Says(UNREAD)).await, endpoint(Does::Says(OK)).await);
-        let stage =
-            stage(&[bad.0, well.0], |post| (post.second_share, post.max_buffered_body_bytes) = (0.01, 1000))
-                .await;
-        stage.tell("set weight standing/e1 1").await;
+        let (faulty, healthy) =
+            (endpoint(Behavior::Answers(REJECTED_UNREAD)).await, endpoint(Behavior::Answers(OK)).await);
+        let fixture = start(&[faulty.0, healthy.0], |config| {
+            (config.second_share, config.max_buffered_body_bytes) = (0.01, 1000)
+        })
+        .await;
+        fixture.command("set weight standing/e1 1").await;
         for _ in 0..20 {
-            stage.visit().await;
+            fixture.request_status().await;
         }
-        assert!(well.1.get() <= 2, "{} second tries for 20 first ones", well.1.get());
+        assert!(healthy.1.get() <= 2, "{} retries for 20 first attempts", healthy.1.get());
         let body = "x".repeat(200_000);
         let large = format!(
             "POST /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        let before = well.1.get();
-        assert_eq!(status(&stage.send(&large).await), 503);
-        assert_eq!(well.1.get(), before);
+        let before = healthy.1.get();
+        assert_eq!(status(&fixture.send(&large).await), 503);
+        assert_eq!(healthy.1.get(), before);
     });
 }
 
-/// A kept connection that the endpoint has closed is no try: the visit goes there over a new one.
+/// An idle connection that the endpoint has closed is no attempt: the request goes there over a new one.
 #[test]
-fn a_closed_connection_is_dialled_anew() {
+fn a_closed_idle_connection_is_replaced() {
     run(async {
-        let (closes, count) = endpoint(Does::SaysAndCloses(OK)).await;
-        let stage = stage(&[closes], |_| {}).await;
+        let (closes, count) = endpoint(Behavior::AnswersAndCloses(OK)).await;
+        let fixture = start(&[closes], |_| {}).await;
         for _ in 0..5 {
-            assert_eq!(stage.visit().await, 200);
+            assert_eq!(fixture.request_status().await, 200);
             sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(count.get(), 5);
@@ -208,86 +216,86 @@
 }
 
 #[test]
-fn a_server_that_leaves_ends_its_visits_and_gets_no_more() {
+fn a_deleted_endpoint_finishes_its_requests_and_gets_no_more() {
     run(async {
-        let (slow, count) = endpoint(Does::SaysAfter(Duration::from_millis(300))).await;
-        let stage = Rc::new(stage(&[slow], |_| {}).await);
-        let under_way = spawn_local({
-            let stage = stage.clone();
-            async move { stage.visit().await }
+        let (slow, count) = endpoint(Behavior::AnswersAfter(Duration::from_millis(300))).await;
+        let fixture = Rc::new(start(&[slow], |_| {}).await);
+        let in_flight = spawn_local({
+            let fixture = fixture.clone();
+            async move { fixture.request_status().await }
         });
         sleep(Duration::from_millis(100)).await;
         assert!(
-            stage
-                .tell("set server standing/e0 state maint; del server standing/e0")
+            fixture
+                .command("set server standing/e0 state maint; del server standing/e0")
                 .await
                 .contains("deleted")
         );
-        assert_eq!(stage.visit().await, 503, "none is left");
-        assert_eq!(under_way.await.expect("ended"), 200);
+        assert_eq!(fixture.request_status().await, 503, "none is left");
+        assert_eq!(in_flight.await.expect("ended"), 200);
         assert_eq!(count.get(), 1);
         assert!(
-            stage.send("GET /look HTTP/1.1\r\nconnection: close\r\n\r\n").await.contains("retry-after: 1")
+            fixture.send("GET /look HTTP/1.1\r\nconnection: close\r\n\r\n").await.contains("retry-after: 1")
         );
-        stage.tell("set map classes look t9").await;
-        assert_eq!(stage.visit().await, 503, "bound to nothing");
-        assert_eq!(status(&stage.send("GET /other HTTP/1.1\r\nconnection: close\r\n\r\n").await), 404);
+        fixture.command("set map classes look t9").await;
+        assert_eq!(fixture.request_status().await, 503, "its table does not exist");
+        assert_eq!(status(&fixture.send("GET /other HTTP/1.1\r\nconnection: close\r\n\r\n").await), 404);
     });
 }
 
 #[test]
-fn a_level_binds_in_mid_burst_and_for_the_same_clients() {
+fn an_admission_rate_applies_at_once_and_to_the_same_clients() {
     run(async {
-        let (well, count) = endpoint(Does::Says(OK)).await;
-        let stage = stage(&[well], |_| {}).await;
-        stage.tell("set var proc.level_look int(0)").await;
-        assert_eq!((stage.visit().await, count.get()), (503, 0));
-        stage.tell("set var proc.level_look int(400)").await;
-        let mut let_in = 0;
+        let (healthy, count) = endpoint(Behavior::Answers(OK)).await;
+        let fixture = start(&[healthy], |_| {}).await;
+        fixture.command("set var proc.level_look int(0)").await;
+        assert_eq!((fixture.request_status().await, count.get()), (503, 0));
+        fixture.command("set var proc.level_look int(400)").await;
+        let mut admitted = 0;
         for client in 0..200 {
             let text = format!("GET /look HTTP/1.1\r\nx-client: c{client}\r\nconnection: close\r\n\r\n");
-            let (first, again) = (status(&stage.send(&text).await), status(&stage.send(&text).await));
+            let (first, again) = (status(&fixture.send(&text).await), status(&fixture.send(&text).await));
             assert_eq!(first, again, "client {client}");
-            let_in += usize::from(first == 200);
+            admitted += usize::from(first == 200);
         }
-        assert!((55..=105).contains(&let_in), "{let_in} of 200 at 0.4");
+        assert!((55..=105).contains(&admitted), "{admitted} of 200 at 0.4");
     });
 }
 
 #[test]
-fn room_is_waited_for_and_the_latest_are_refused() {
+fn requests_wait_for_capacity_and_the_latest_are_rejected() {
     run(async {
-        let (slow, _) = endpoint(Does::SaysAfter(Duration::from_millis(100))).await;
-        let change = |post: &mut ProxyConfig| {
-            (post.limits.outstanding_most, post.waiting_most) = (1, 2);
-            post.queue_timeout = Duration::from_millis(600);
+        let (slow, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(100))).await;
+        let change = |config: &mut ProxyConfig| {
+            (config.limits.outstanding_most, config.waiting_most) = (1, 2);
+            config.queue_timeout = Duration::from_millis(600);
         };
-        let stage = Rc::new(stage(&[slow], change).await);
-        let visits: Vec<_> = (0..5)
+        let fixture = Rc::new(start(&[slow], change).await);
+        let requests: Vec<_> = (0..5)
             .map(|_| {
-                let stage = stage.clone();
-                spawn_local(async move { (stage.visit().await, Instant::now()) })
+                let fixture = fixture.clone();
+                spawn_local(async move { (fixture.request_status().await, Instant::now()) })
             })
             .collect();
-        let mut said = Vec::new();
-        for visit in visits {
-            said.push(visit.await.expect("ended").0);
+        let mut statuses = Vec::new();
+        for request in requests {
+            statuses.push(request.await.expect("ended").0);
         }
-        said.sort_unstable();
-        assert_eq!(said, [200, 200, 200, 503, 503]);
+        statuses.sort_unstable();
+        assert_eq!(statuses, [200, 200, 200, 503, 503]);
     });
 }
 
 #[test]
-fn silent_and_slow_clients_keep_nobody_waiting() {
+fn silent_and_slow_clients_do_not_delay_others() {
     run(async {
-        let (well, _) = endpoint(Does::Says(OK)).await;
-        let stage = stage(&[well], |post| post.header_timeout = Duration::from_secs(2)).await;
+        let (healthy, _) = endpoint(Behavior::Answers(OK)).await;
+        let fixture = start(&[healthy], |config| config.header_timeout = Duration::from_secs(2)).await;
         let mut silent = Vec::new();
         for _ in 0..2000 {
-            silent.push(TcpStream::connect(stage.proxy.visits).await.expect("connected"));
+            silent.push(TcpStream::connect(fixture.proxy.visits).await.expect("connected"));
         }
-        let mut slow = TcpStream::connect(stage.proxy.visits).await.expect("connected");
+        let mut slow = TcpStream::connect(fixture.proxy.visits).await.expect("connected");
         slow.write_all(b"GET /look HTTP/1.1\r\n\r\nGET /look HTTP/1.1\r\n\r\n").await.expect("sent");
         let mut byte = [0];
         let slowly = spawn_local(async move {
@@ -301,7 +309,7 @@
         });
         let begun = Instant::now();
         for _ in 0..50 {
-            assert_eq!(stage.visit().await, 200);
+            assert_eq!(fixture.request_status().await, 200);
         }
         assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
         // Those who say nothing are cut off in time.
@@ -311,95 +319,96 @@
             Ok(Ok(0) | Err(_))
         ));
         for _ in 0..50 {
-            assert_eq!(stage.visit().await, 200);
+            assert_eq!(fixture.request_status().await, 200);
         }
         assert_eq!(slowly.await.expect("ran"), 6, "one that reads is not cut off");
     });
 }
 
 #[test]
-fn half_a_line_is_nothing_and_the_rest_makes_it_whole() {
+fn an_incomplete_line_of_commands_has_no_effect() {
     run(async {
-        let (one, two) = (endpoint(Does::Says(OK)).await, endpoint(Does::Says(OK)).await);
-        let stage = stage(&[one.0], |_| {}).await;
+        let (one, two) = (endpoint(Behavior::Answers(OK)).await, endpoint(Behavior::Answers(OK)).await);
+        let fixture = start(&[one.0], |_| {}).await;
         let line = format!(
             "add server t0/n {} weight 1; set server t0/n state ready; set map classes look t0\n",
             two.0
         );
         let (first, rest) = line.split_at(line.len() - 20);
-        // A pilot that dies in the middle.
-        let mut dies = dial(&stage.control).await.expect("dialled");
+        // A controller that dies in the middle.
+        let mut dies = dial(&fixture.control).await.expect("dialled");
         dies.write_all(first.as_bytes()).await.expect("sent");
         drop(dies);
-        let mut stalls = dial(&stage.control).await.expect("dialled");
+        let mut stalls = dial(&fixture.control).await.expect("dialled");
         stalls.write_all(first.as_bytes()).await.expect("sent");
         sleep(Duration::from_millis(100)).await;
-        assert_eq!((stage.visit().await, one.1.get(), two.1.get()), (200, 1, 0));
+        assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 0));
         stalls.write_all(rest.as_bytes()).await.expect("sent");
-        let mut said = String::new();
-        stalls.read_to_string(&mut said).await.expect("answered");
-        assert_eq!(said, "New server registered.\n\n\n\n");
-        assert_eq!((stage.visit().await, one.1.get(), two.1.get()), (200, 1, 1));
+        let mut response = String::new();
+        stalls.read_to_string(&mut response).await.expect("answered");
+        assert_eq!(response, "New server registered.\n\n\n\n");
+        assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 1));
     });
 }
 
 #[test]
-fn a_set_of_which_one_order_is_refused_changes_nothing() {
+fn a_batch_with_a_refused_command_changes_nothing() {
     run(async {
-        let stage = stage(&[endpoint(Does::Says(OK)).await.0], |_| {}).await;
-        let digest = stage.tell("get var proc.digest").await;
-        let said = stage.tell("set weight standing/e0 0; set weight standing/e9 1; show backend").await;
+        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let digest = fixture.command("get var proc.digest").await;
+        let response =
+            fixture.command("set weight standing/e0 0; set weight standing/e9 1; show backend").await;
         assert_eq!(
-            said.matches("Not done, as an order of its set was refused: No such server.").count(),
+            response.matches("Not done, as an order of its set was refused: No such server.").count(),
             2,
-            "{said}"
+            "{response}"
         );
-        assert_eq!(stage.tell("get weight standing/e0").await, "256 (initial 256)\n\n");
-        assert_eq!(stage.visit().await, 200);
-        assert_eq!(stage.tell("get var proc.digest").await, digest);
-        stage.tell("set weight standing/e0 255").await;
-        assert_ne!(stage.tell("get var proc.digest").await, digest);
+        assert_eq!(fixture.command("get weight standing/e0").await, "256 (initial 256)\n\n");
+        assert_eq!(fixture.request_status().await, 200);
+        assert_eq!(fixture.command("get var proc.digest").await, digest);
+        fixture.command("set weight standing/e0 255").await;
+        assert_ne!(fixture.command("get var proc.digest").await, digest);
     });
 }
 
 #[test]
-fn what_is_older_and_comes_late_changes_nothing_and_is_told_so() {
+fn commands_of_older_epochs_and_versions_are_refused() {
     run(async {
-        let stage = stage(&[endpoint(Does::Says(OK)).await.0], |_| {}).await;
+        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let first = "prompt i\nset var proc.epoch int(5)\nset weight standing/e0 100\n";
-        let mut old = dial(&stage.control).await.expect("dialled");
+        let mut old = dial(&fixture.control).await.expect("dialled");
         old.write_all(first.as_bytes()).await.expect("sent");
         let mut bytes = [0; 256];
-        while stage.tell("get weight standing/e0").await != "100 (initial 256)\n\n" {
+        while fixture.command("get weight standing/e0").await != "100 (initial 256)\n\n" {
             sleep(Duration::from_millis(5)).await;
         }
         let _ = old.read(&mut bytes).await;
-        assert_eq!(stage.tell("set var proc.epoch int(6); set weight standing/e0 60").await, "\n\n");
+        assert_eq!(fixture.command("set var proc.epoch int(6); set weight standing/e0 60").await, "\n\n");
         old.write_all(b"set weight standing/e0 7\n").await.expect("sent");
-        let mut said = String::new();
-        while !said.contains("Superseded") {
+        let mut response = String::new();
+        while !response.contains("Superseded") {
             let read =
                 timeout(Duration::from_secs(2), old.read(&mut bytes)).await.expect("in time").expect("read");
-            said += &String::from_utf8_lossy(&bytes[..read]);
+            response += &String::from_utf8_lossy(&bytes[..read]);
         }
-        assert_eq!(stage.tell("get weight standing/e0").await, "60 (initial 256)\n\n");
-        // Two sets prepared, the later one committed first.
+        assert_eq!(fixture.command("get weight standing/e0").await, "60 (initial 256)\n\n");
+        // Two batches are prepared, and the later one is committed first.
         let (mut a, mut b) =
-            (dial(&stage.control).await.expect("dialled"), dial(&stage.control).await.expect("dialled"));
+            (dial(&fixture.control).await.expect("dialled"), dial(&fixture.control).await.expect("dialled"));
         for (stream, weight) in [(&mut a, 11), (&mut b, 22)] {
             let text = format!("prompt i\nprepare map tables\nset weight standing/e0 {weight}\n");
             stream.write_all(text.as_bytes()).await.expect("sent");
-            let mut said = String::new();
-            while !said.ends_with("\n\n\n") {
+            let mut response = String::new();
+            while !response.ends_with("\n\n\n") {
                 let read = timeout(Duration::from_secs(2), stream.read(&mut bytes))
                     .await
                     .expect("in time")
                     .expect("read");
-                said += &String::from_utf8_lossy(&bytes[..read]);
+                response += &String::from_utf8_lossy(&bytes[..read]);
             }
         }
         assert_eq!(
-            stage.tell("get weight standing/e0").await,
+            fixture.command("get weight standing/e0").await,
             "60 (initial 256)\n\n",
             "prepared is not in force"
         );
@@ -408,26 +417,26 @@
         a.write_all(b"commit map @1 tables\n").await.expect("sent");
         let read = a.read(&mut bytes).await.expect("read");
         assert!(String::from_utf8_lossy(&bytes[..read]).contains("Version number out of range."));
-        assert_eq!(stage.tell("get weight standing/e0").await, "22 (initial 256)\n\n");
+        assert_eq!(fixture.command("get weight standing/e0").await, "22 (initial 256)\n\n");
     });
 }
 
 #[test]
-fn heads_that_read_two_ways_get_400_and_an_end() {
+fn ambiguous_heads_get_400_and_the_connection_ends() {
     run(async {
-        let (well, count) = endpoint(Does::Says(OK)).await;
-        let stage = stage(&[well], |_| {}).await;
+        let (healthy, count) = endpoint(Behavior::Answers(OK)).await;
+        let fixture = start(&[healthy], |_| {}).await;
         for head in [
             "content-length: 3\r\ncontent-length: 3\r\n\r\nabc",
             "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
             "transfer-encoding: chunked\r\n\r\nzz\r\nabc",
             "x: a\r\n folded\r\n\r\n",
         ] {
-            let said = stage.send(&format!("POST /look HTTP/1.1\r\nhost: x\r\n{head}")).await;
-            assert!(said.starts_with("HTTP/1.1 400 "), "{head:?}: {said:?}");
+            let response = fixture.send(&format!("POST /look HTTP/1.1\r\nhost: x\r\n{head}")).await;
+            assert!(response.starts_with("HTTP/1.1 400 "), "{head:?}: {response:?}");
         }
         assert_eq!(count.get(), 0);
-        let sound = "POST /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-        assert_eq!(status(&stage.send(sound).await), 200);
+        let valid = "POST /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+        assert_eq!(status(&fixture.send(valid).await), 200);
     });
 }
--- a/crates/proxy/tests/table_files.rs
+++ b/crates/proxy/tests/table_files.rs
@@ -1,4 +1,4 @@
-//! A proxy that reads its tables from a folder, on real files and sockets, with no pilot anywhere.
+//! A proxy that reads its tables from a snapshot folder, on real files and sockets, without a controller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-const KEEP: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: true };
+const RETENTION: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: true };
 
 /// An endpoint that answers with its own name.
 async fn endpoint(name: &'static str) -> SocketAddr {
@@ -33,13 +33,13 @@
     address
 }
 
-struct Stage {
+struct Fixture {
     folder: tempfile::TempDir,
     proxy: Option<Proxy>,
     endpoints: Vec<(&'static str, SocketAddr)>,
 }
 
-impl Stage {
+impl Fixture {
     async fn new() -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::create_dir(folder.path().join("tables")).expect("made");
@@ -48,7 +48,7 @@
         std::fs::set_permissions(&keys, std::fs::Permissions::from_mode(0o600)).expect("set");
         let endpoints =
             vec![("e0", endpoint("e0").await), ("e1", endpoint("e1").await), ("e2", endpoint("e2").await)];
-        Stage { folder, proxy: None, endpoints }
+        Fixture { folder, proxy: None, endpoints }
     }
 
     fn tables(&self) -> PathBuf {
@@ -56,47 +56,47 @@
     }
 
     fn writer(&self) -> SnapshotWriter {
-        let keys = read_keys(&self.folder.path().join("keys")).expect("sound");
+        let keys = read_keys(&self.folder.path().join("keys")).expect("valid");
         SnapshotWriter::take(&self.tables(), "p", keys).expect("taken")
     }
 
-    /// A proxy that stands on the first endpoint.
-    async fn start(&mut self, look_every: Duration) {
+    /// Starts a proxy with the first endpoint in its default table.
+    async fn start(&mut self, poll_interval: Duration) {
         if let Some(proxy) = self.proxy.take() {
             proxy.stop().await;
         }
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
-        let mut post = ProxyConfig::new("r1", any, vec![], classes);
-        post.standing = vec![("e0".into(), self.endpoints[0].1)];
+        let mut config = ProxyConfig::new("r1", any, vec![], classes);
+        config.standing = vec![("e0".into(), self.endpoints[0].1)];
         let keys = self.folder.path().join("keys");
-        post.files = Some(TableFilesConfig { folder: self.tables(), keys, look_every });
-        self.proxy = Some(Proxy::start(post).await.expect("started"));
+        config.files = Some(TableFilesConfig { folder: self.tables(), keys, look_every: poll_interval });
+        self.proxy = Some(Proxy::start(config).await.expect("started"));
     }
 
-    /// A table of these endpoints for the proxy.
-    fn content(&self, lines: &[usize], withdrawn: &[&str]) -> SnapshotContent {
-        let line = |i: &usize| {
+    /// A snapshot with a table of these endpoints for the proxy.
+    fn content(&self, endpoints: &[usize], ejected: &[&str]) -> SnapshotContent {
+        let entry = |i: &usize| {
             let (name, address) = self.endpoints[*i];
             (name.to_string(), TableEntry { address, weight: 256 })
         };
-        let bound = ProxyAssignment { table: 0, level: 1000, again: false };
+        let assignment = ProxyAssignment { table: 0, level: 1000, again: false };
         SnapshotContent {
-            tables: BTreeMap::from([(0, Table { lines: lines.iter().map(line).collect() })]),
+            tables: BTreeMap::from([(0, Table { lines: endpoints.iter().map(entry).collect() })]),
             groups: BTreeMap::from([(
                 0,
                 ProxyGroup {
                     proxies: BTreeSet::from(["r1".into()]),
-                    bound: BTreeMap::from([("look".into(), bound)]),
+                    bound: BTreeMap::from([("look".into(), assignment)]),
                 },
             )]),
-            withdrawn: withdrawn.iter().map(|name| (*name).to_string()).collect(),
+            withdrawn: ejected.iter().map(|name| (*name).to_string()).collect(),
         }
     }
 
-    async fn visit(&self) -> String {
-        let at = self.proxy.as_ref().expect("started").visits;
-        let mut stream = TcpStream::connect(at).await.expect("connected");
+    async fn request(&self) -> String {
+        let address = self.proxy.as_ref().expect("started").visits;
+        let mut stream = TcpStream::connect(address).await.expect("connected");
         stream
             .write_all(b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
             .await
@@ -106,31 +106,34 @@
         text.rsplit("\r\n\r\n").next().unwrap_or_default().to_string()
     }
 
-    /// Whom six visits reach.
+    /// The endpoints that six requests reach.
     async fn reached(&self) -> BTreeSet<String> {
         let mut names = BTreeSet::new();
         for _ in 0..6 {
-            names.insert(self.visit().await);
+            names.insert(self.request().await);
         }
         names
     }
 
-    /// Until the proxy has written that it laid, or refused, what is wanted.
-    async fn told(&self, wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool) -> Duration {
-        let begun = Instant::now();
+    /// Waits until the proxy's status file is as wanted; how long that took.
+    async fn wait_for_status(
+        &self,
+        wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool,
+    ) -> Duration {
+        let started_at = Instant::now();
         while !StatusReader::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
             assert!(
-                begun.elapsed() < Duration::from_secs(10),
+                started_at.elapsed() < Duration::from_secs(10),
                 "{:?}",
                 StatusReader::of(&self.tables(), "r1")
             );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        begun.elapsed()
+        started_at.elapsed()
     }
 
-    async fn laid(&self, epoch: u64, version: u64) -> Duration {
-        self.told(|status| {
+    async fn wait_until_applied(&self, epoch: u64, version: u64) -> Duration {
+        self.wait_for_status(|status| {
             status.laid.last().is_some_and(|laid| (laid.epoch, laid.version) == (epoch, version))
         })
         .await
@@ -147,56 +150,59 @@
 }
 
 #[test]
-fn it_follows_each_generation_and_starts_from_the_last() {
+fn each_snapshot_is_applied_and_a_restart_begins_with_the_last() {
     run(async {
-        let mut stage = Stage::new().await;
-        let mut writer = stage.writer();
-        stage.start(Duration::from_secs(5)).await;
-        assert_eq!(stage.reached().await, names(&["e0"]), "the standing table");
-        writer.write(&stage.content(&[1, 2], &[]), KEEP).expect("written");
-        // Long before it would look by itself: the system told it.
-        assert!(stage.laid(1, 1).await < Duration::from_secs(4));
-        assert_eq!(stage.reached().await, names(&["e1", "e2"]));
-        writer.write(&stage.content(&[0, 1, 2], &["e2"]), KEEP).expect("written");
-        stage.laid(1, 2).await;
-        assert_eq!(stage.reached().await, names(&["e0", "e1"]), "who is withdrawn gets nothing");
-        // The pilot is gone for good, the proxy is started anew: it has its tables.
+        let mut fixture = Fixture::new().await;
+        let mut writer = fixture.writer();
+        fixture.start(Duration::from_secs(5)).await;
+        assert_eq!(fixture.reached().await, names(&["e0"]), "the default table");
+        writer.write(&fixture.content(&[1, 2], &[]), RETENTION).expect("written");
+        // Long before the poll interval has passed: a file event tells.
+        assert!(fixture.wait_until_applied(1, 1).await < Duration::from_secs(4));
+        assert_eq!(fixture.reached().await, names(&["e1", "e2"]));
+        writer.write(&fixture.content(&[0, 1, 2], &["e2"]), RETENTION).expect("written");
+        fixture.wait_until_applied(1, 2).await;
+        assert_eq!(fixture.reached().await, names(&["e0", "e1"]), "an ejected endpoint gets nothing");
+        // The controller is gone for good and the proxy is restarted: it has its tables.
         drop(writer);
-        stage.start(Duration::from_millis(50)).await;
-        stage.told(|status| status.laid.len() == 1 && status.laid[0].version == 2).await;
-        assert_eq!(stage.reached().await, names(&["e0", "e1"]));
-        // Another pilot has put it on no table yet: it keeps them, and what was withdrawn stays so.
-        let mut next = stage.writer();
-        let bare = SnapshotContent { withdrawn: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
-        next.write(&bare, KEEP).expect("written");
-        stage.laid(2, 1).await;
-        assert_eq!(stage.reached().await, names(&["e1"]));
+        fixture.start(Duration::from_millis(50)).await;
+        fixture.wait_for_status(|status| status.laid.len() == 1 && status.laid[0].version == 2).await;
+        assert_eq!(fixture.reached().await, names(&["e0", "e1"]));
+        // Another controller has assigned no table to it yet: it keeps them, and what was ejected stays so.
+        let mut next = fixture.writer();
+        let without_tables =
+            SnapshotContent { withdrawn: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
+        next.write(&without_tables, RETENTION).expect("written");
+        fixture.wait_until_applied(2, 1).await;
+        assert_eq!(fixture.reached().await, names(&["e1"]));
     });
 }
 
 #[test]
-fn what_is_not_sound_changes_nothing() {
+fn an_invalid_snapshot_changes_nothing() {
     run(async {
-        let mut stage = Stage::new().await;
-        let mut writer = stage.writer();
-        stage.start(Duration::from_millis(30)).await;
-        writer.write(&stage.content(&[1], &[]), KEEP).expect("written");
-        stage.laid(1, 1).await;
-        // The next generation is spoilt before anybody looks: written elsewhere, then moved in.
-        spoil(&stage.tables(), 1, 2);
-        stage
-            .told(|status| status.refused.as_ref().is_some_and(|refused| refused.why.contains("a copy of")))
+        let mut fixture = Fixture::new().await;
+        let mut writer = fixture.writer();
+        fixture.start(Duration::from_millis(30)).await;
+        writer.write(&fixture.content(&[1], &[]), RETENTION).expect("written");
+        fixture.wait_until_applied(1, 1).await;
+        // The next snapshot is a copy of the first under another number, put in place at once.
+        forge(&fixture.tables(), 1, 2);
+        fixture
+            .wait_for_status(|status| {
+                status.refused.as_ref().is_some_and(|refused| refused.why.contains("a copy of"))
+            })
             .await;
-        assert_eq!(stage.reached().await, names(&["e1"]));
-        writer.write(&stage.content(&[2], &[]), KEEP).expect_err("its place is taken");
-        writer.write(&stage.content(&[2], &[]), KEEP).expect("the next number is free");
-        stage.told(|status| status.refused.is_none()).await;
-        assert_eq!(stage.reached().await, names(&["e2"]), "and what is sound is laid");
+        assert_eq!(fixture.reached().await, names(&["e1"]));
+        writer.write(&fixture.content(&[2], &[]), RETENTION).expect_err("its number is taken");
+        writer.write(&fixture.content(&[2], &[]), RETENTION).expect("the next number is free");
+        fixture.wait_for_status(|status| status.refused.is_none()).await;
+        assert_eq!(fixture.reached().await, names(&["e2"]), "and a valid snapshot is applied");
     });
 }
 
-/// The old generation's files under a new number, made current.
-fn spoil(tables: &Path, from: u64, to: u64) {
+/// Makes a copy of an old snapshot under a new number current.
+fn forge(tables: &Path, from: u64, to: u64) {
     let epoch = tables.join("e1");
     let (old, new) = (epoch.join(format!("g{from}")), epoch.join(format!("g{to}")));
     std::fs::create_dir(&new).expect("made");
