--- /dev/null
+++ b/crates/runtime-api/tests/error_texts.rs
@@ -0,0 +1,44 @@
+//! The texts of errors, which users and controllers see.
+
+use lockcroft_runtime_api::tables::{read_stat, read_states};
+use lockcroft_runtime_api::{Address, Level};
+
+const STATES_HEADER: &str =
+    "be_name srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_check_health srv_port";
+
+fn stat_error(text: &str) -> String {
+    read_stat(text).expect_err("malformed").to_string()
+}
+
+fn states_error(rows: &str) -> String {
+    read_states(&format!("1\n# {STATES_HEADER}\n{rows}\n")).expect_err("malformed").to_string()
+}
+
+#[test]
+fn malformed_counters_are_located() {
+    assert_eq!(stat_error(""), "no header of show stat");
+    assert_eq!(stat_error("garbage"), "no header of show stat");
+    assert_eq!(stat_error("# pxname,svname,stot,\nt0,e1,1,\nt0,e2,many,\n"), "row 2: not a whole number: \"many\"");
+    assert_eq!(stat_error("# pxname,svname,stot,\nt0,e1\n"), "row 1: 2 of 4 columns");
+    assert_eq!(stat_error("# pxname,svname,stot,\n,e1,1,\n"), "row 1: 4 of 4 columns");
+}
+
+#[test]
+fn malformed_states_are_located() {
+    let error = |text: &str| read_states(text).expect_err("malformed").to_string();
+    assert_eq!(error(""), "show servers state: version 1 expected, not None");
+    assert_eq!(error("2\n# be_name\n"), "show servers state: version 1 expected, not Some(\"2\")");
+    assert_eq!(error("1\n"), "no header");
+    assert_eq!(error("1\n# be_name srv_name\nt0 e1\n"), "no column srv_addr");
+    assert_eq!(states_error("t0 e1 127.0.0.1"), "row 1: 3 columns");
+    assert_eq!(states_error("t0 e1 a 2 0 many 0 80"), "row 1: srv_uweight: \"many\"");
+    assert_eq!(states_error("t0 e1 a 2 0 1 0 70000"), "out of range integral type conversion attempted");
+}
+
+#[test]
+fn words_that_are_not_known_are_quoted() {
+    let address = "nowhere".parse::<Address>().expect_err("no address").to_string();
+    assert_eq!(address, "\"nowhere\" is neither unix:PATH nor IP:PORT");
+    let level = "root".parse::<Level>().expect_err("no level").to_string();
+    assert_eq!(level, "\"root\" is none of user, operator, admin");
+}
