--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -19,7 +19,8 @@
 fn new_state(policy: LoadBalancingPolicy) -> RoutingState {
     let address = |i: u16| SocketAddr::from(([127, 0, 0, 1], 8000 + i));
     let default_table: Vec<_> = (0..4).map(|i| (format!("e{i}"), address(i))).collect();
-    let limits = Limits { way: policy, outstanding_most: 3, shuns_after: 3, shuns_for: Duration::from_secs(2) };
+    let limits =
+        Limits { way: policy, outstanding_most: 3, shuns_after: 3, shuns_for: Duration::from_secs(2) };
     RoutingState::new("r1", &CLASSES.map(String::from), &default_table, limits, 7)
 }
 
@@ -33,32 +34,107 @@
     let endpoint = format!("{backend}/e{}", rng.generate_range(0..6_u8));
     let number = rng.generate_range(0..280_u16);
     match rng.generate_range(0..22_u8) {
-        0 | 1 => format!("add server {endpoint} 127.0.0.1:{} weight {number}; enable server {endpoint}", 9000 + number),
-        2 => format!("add server {endpoint} {}", pick(rng, &["nowhere", "127.0.0.1:81", "127.0.0.1:81 backup"])),
+        0 | 1 => format!(
+            "add server {endpoint} 127.0.0.1:{} weight {number}; enable server {endpoint}",
+            9000 + number
+        ),
+        2 => format!(
+            "add server {endpoint} {}",
+            pick(rng, &["nowhere", "127.0.0.1:81", "127.0.0.1:81 backup"])
+        ),
         3 => format!("disable server {endpoint}; del server {endpoint}"),
         4 => format!("del server {endpoint}"),
         5 | 6 => format!("set weight {endpoint} {number}"),
         7 => format!("set server {endpoint} weight {number}%"),
         8 => format!("set server {endpoint} state {}", pick(rng, &["ready", "drain", "maint", "asleep"])),
-        9 => format!("set server {endpoint} addr {}", pick(rng, &["127.0.0.2", "127.0.0.2 port 90", "x", "127.0.0.2 port x", "127.0.0.2 a b"])),
-        10 => format!("set map classes {} {}", pick(rng, &["look-up", "search", "none"]), pick(rng, &["standing", "t0", "t1"])),
-        11 => pick(rng, &["set map", "add map classes", "clear map other", "del map classes none", "commit map classes", "set map classes a", "show map", "prepare map"]).into(),
-        12 => format!("{} map @{} classes look-up t1", pick(rng, &["add", "set"]), rng.generate_range(0..5_u8)),
-        13 => pick(rng, &["prepare map classes", "commit map @1 classes", "commit map @2 classes", "show map classes"]).into(),
-        14 => pick(rng, &["prepare map tables", "commit map @1 tables", "commit map @3 tables", "commit map x tables"]).into(),
+        9 => format!(
+            "set server {endpoint} addr {}",
+            pick(rng, &["127.0.0.2", "127.0.0.2 port 90", "x", "127.0.0.2 port x", "127.0.0.2 a b"])
+        ),
+        10 => format!(
+            "set map classes {} {}",
+            pick(rng, &["look-up", "search", "none"]),
+            pick(rng, &["standing", "t0", "t1"])
+        ),
+        11 => pick(
+            rng,
+            &[
+                "set map",
+                "add map classes",
+                "clear map other",
+                "del map classes none",
+                "commit map classes",
+                "set map classes a",
+                "show map",
+                "prepare map",
+            ],
+        )
+        .into(),
+        12 => {
+            format!("{} map @{} classes look-up t1", pick(rng, &["add", "set"]), rng.generate_range(0..5_u8))
+        }
+        13 => pick(
+            rng,
+            &["prepare map classes", "commit map @1 classes", "commit map @2 classes", "show map classes"],
+        )
+        .into(),
+        14 => pick(
+            rng,
+            &["prepare map tables", "commit map @1 tables", "commit map @3 tables", "commit map x tables"],
+        )
+        .into(),
         15 => format!("set var proc.level_look_up int({number}); set var proc.again_search int(1)"),
-        16 => pick(rng, &["set var sess.x int(1)", "set var proc.x str(a)", "get var proc.x", "get var proc.level_look_up"]).into(),
+        16 => pick(
+            rng,
+            &[
+                "set var sess.x int(1)",
+                "set var proc.x str(a)",
+                "get var proc.x",
+                "get var proc.level_look_up",
+            ],
+        )
+        .into(),
         17 => format!("set var proc.epoch int({})", rng.generate_range(1..4_u8)),
-        18 => pick(rng, &["show stat", "show servers state", "show servers state t0", "show servers state x", "show info", "show backend"]).into(),
+        18 => pick(
+            rng,
+            &[
+                "show stat",
+                "show servers state",
+                "show servers state t0",
+                "show servers state x",
+                "show map classes",
+                "show backend",
+            ],
+        )
+        .into(),
         19 => format!("get weight {endpoint}; get weight e1"),
-        20 => pick(rng, &["get var proc.version", "get var proc.digest", "get var proc.epoch", "show", "set server", ""]).into(),
-        _ => pick(rng, &["prompt i", "prompt", "prompt n", "help", "show cli level", "shw", "show map tables"]).into(),
+        20 => pick(
+            rng,
+            &["get var proc.version", "get var proc.digest", "get var proc.epoch", "show", "set server", ""],
+        )
+        .into(),
+        _ => {
+            pick(rng, &["prompt i", "prompt", "prompt n", "help", "show cli level", "shw", "show map tables"])
+                .into()
+        }
     }
 }
 
 /// What the transcript holds in place of long answers: a hash (FNV-1a).
 fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+fn random_table(rng: &mut WyRand) -> Table {
+    let mut lines = BTreeMap::new();
+    for i in 0..6_u16 {
+        if rng.generate_range(0..3_u8) > 0 {
+            let address = SocketAddr::from(([127, 0, 0, 1], 9000 + i + rng.generate_range(0..2_u16)));
+            lines.insert(format!("e{i}"), TableEntry { address, weight: rng.generate_range(1..257_u32) });
+        }
+    }
+    Table { lines }
 }
 
 struct Run {
@@ -74,11 +150,14 @@
         for _ in 0..self.rng.generate_range(0..6_u8) {
             self.now += Duration::from_millis(self.rng.generate_range(0..300_u64));
             let class = pick(&mut self.rng, &CLASSES);
-            let admitted = self.state.lets_in(class, f64::from(self.rng.generate_range(0..1000_u16)) / 1000.0);
+            let admitted =
+                self.state.lets_in(class, f64::from(self.rng.generate_range(0..1000_u16)) / 1000.0);
             let excluded = self.in_flight.last().map(|chosen| chosen.server.clone());
             let choice = self.state.choose(self.now, class, excluded.as_deref());
             let found = match &choice {
-                Choice::Endpoint(chosen) => format!("{}/{} {}", chosen.backend, chosen.server, chosen.address),
+                Choice::Endpoint(chosen) => {
+                    format!("{}/{} {}", chosen.backend, chosen.server, chosen.address)
+                }
                 _ => "none".to_string(),
             };
             self.transcript += &format!("{class} {admitted} {found}\n");
@@ -87,7 +166,8 @@
             }
             if !self.in_flight.is_empty() && self.rng.generate_range(0..3_u8) > 0 {
                 let chosen = self.in_flight.remove(0);
-                let outcomes = [AttemptOutcome::Answered(200), AttemptOutcome::Answered(503), AttemptOutcome::Late];
+                let outcomes =
+                    [AttemptOutcome::Answered(200), AttemptOutcome::Answered(503), AttemptOutcome::Late];
                 let outcome = outcomes[self.rng.generate_range(0..outcomes.len())];
                 let latency = Duration::from_millis(self.rng.generate_range(1..500_u64));
                 self.state.ended(self.now, &chosen, outcome, latency);
@@ -95,28 +175,26 @@
         }
     }
 
+    /// Carries out a line of commands, with requests between its steps.
     fn commands(&mut self, queue: &mut CommandQueue) {
-        let count = self.rng.generate_range(1..4_u8);
+        let count = self.rng.generate_range(1..8_u8);
         let line: Vec<String> = (0..count).map(|_| command(&mut self.rng)).collect();
         let line = line.join("; ");
         let mut out = String::new();
-        let after = queue.line(&split(&line), &mut self.state, &mut out);
+        let mut transaction = queue.begin(split(&line), &self.state);
+        while !queue.step(&mut transaction) {
+            self.requests();
+        }
+        self.requests();
+        let after = queue.finish(transaction, &mut self.state, &mut out);
         self.transcript += &format!("{line}\n{out}{after:?}\n");
     }
 
     fn snapshot(&mut self, commands: &mut FileCommands, version: u64) {
-        let mut table = || Table {
-            lines: (0..6_u16)
-                .filter(|_| self.rng.generate_range(0..3_u8) > 0)
-                .map(|i| {
-                    let address = SocketAddr::from(([127, 0, 0, 1], 9000 + i + self.rng.generate_range(0..2_u16)));
-                    (format!("e{i}"), TableEntry { address, weight: self.rng.generate_range(1..257_u32) })
-                })
-                .collect(),
-        };
-        let tables = BTreeMap::from([(0, table()), (1, table())]);
+        let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
         let assignment = |table: u32| ProxyAssignment { table, level: 900 + table, again: table == 0 };
-        let all = BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
+        let all =
+            BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
         let bound = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
         let withdrawn = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
         let tables = if bound.is_empty() { BTreeMap::new() } else { tables };
@@ -136,7 +214,8 @@
         in_flight: Vec::new(),
         transcript: String::new(),
     };
-    let mut queues = [CommandQueue::new(Level::Admin), CommandQueue::new(Level::Admin), CommandQueue::new(Level::User)];
+    let mut queues =
+        [CommandQueue::new(Level::Admin), CommandQueue::new(Level::Admin), CommandQueue::new(Level::User)];
     let mut snapshots = FileCommands::default();
     for step in 0..400 {
         let queue = run.rng.generate_range(0..queues.len());
@@ -155,22 +234,98 @@
     for seed in 0..20 {
         let run = run(policy, seed);
         let lines = run.transcript.lines().count();
-        summary += &format!("{seed}: {lines} lines, hash {:016x}, digest {}\n", hash(&run.transcript), run.state.digest());
+        summary += &format!(
+            "{seed}: {lines} lines, hash {:016x}, digest {}\n",
+            hash(&run.transcript),
+            run.state.digest()
+        );
     }
     expected.assert_eq(&summary);
 }
 
 #[test]
 fn round_robin_transcripts_stay_as_recorded() {
-    check(LoadBalancingPolicy::SmoothWeightedRoundRobin, &expect![[""]]);
+    check(
+        LoadBalancingPolicy::SmoothWeightedRoundRobin,
+        &expect![[r#"
+            0: 8085 lines, hash 17be103363861359, digest 1897481244127450682
+            1: 8649 lines, hash 54b0f77a770d6c56, digest 6818336914592923074
+            2: 8296 lines, hash 214d84b6c0c3fe0e, digest 6759689251129285120
+            3: 8405 lines, hash 81eb9b5abe748b79, digest 5166962963478674878
+            4: 7964 lines, hash ced118d918607c0a, digest 1404222781840866350
+            5: 8209 lines, hash d4119692fcdcd826, digest 7462280365276593553
+            6: 8658 lines, hash 9273bf22e2a3ce9b, digest 5282710621272408522
+            7: 8299 lines, hash 4be290dc3a754ea4, digest 8341160765679522225
+            8: 8054 lines, hash 9fd615a59f7b64bb, digest 4696793006446960578
+            9: 8017 lines, hash 20ce0c312400fef5, digest 3793316410495389991
+            10: 8296 lines, hash b5bb4fe569cbd161, digest 8885720600597935351
+            11: 8440 lines, hash 599535a8ce8247cd, digest 6880999877642267481
+            12: 8224 lines, hash fdd4c96553ebb8af, digest 5679357922826616422
+            13: 8595 lines, hash c5f5fe19a5d8e155, digest 645990818551885616
+            14: 8174 lines, hash b0a230eb31c1b3c6, digest 1758498198796706029
+            15: 8431 lines, hash d9ec75ec968c7e21, digest 1604962089983347998
+            16: 8164 lines, hash 101f5734a0feba05, digest 7006359751744866715
+            17: 8404 lines, hash 24eec2e4925591a0, digest 3125703751388549376
+            18: 8034 lines, hash 67cd8e1e18d7870f, digest 6785265608097673656
+            19: 8506 lines, hash 1a1bdb43e8229f4c, digest 1018970276074821098
+        "#]],
+    );
 }
 
 #[test]
 fn weighted_random_transcripts_stay_as_recorded() {
-    check(LoadBalancingPolicy::WeightedRandom, &expect![[""]]);
+    check(
+        LoadBalancingPolicy::WeightedRandom,
+        &expect![[r#"
+            0: 8073 lines, hash 6bd84ad10f1ef37b, digest 5033844077978641667
+            1: 8524 lines, hash def0533fd94b1cd4, digest 9084350377456338248
+            2: 8346 lines, hash 81b9722c4636d323, digest 2426279694526302964
+            3: 8413 lines, hash bdce7e45b6fc510a, digest 5166962963478674878
+            4: 8073 lines, hash 00bdb8a17ad89519, digest 3102197534359743705
+            5: 8298 lines, hash d50c593aa95c5998, digest 4110646098300371203
+            6: 8495 lines, hash 11253162b67be32d, digest 6473289652191176354
+            7: 8300 lines, hash 314fd6e86f41c6db, digest 8341160765679522225
+            8: 7930 lines, hash 3346609b90027fd5, digest 4696793006446960578
+            9: 8213 lines, hash 2f57e09f537ec7a7, digest 4851356711660554531
+            10: 8186 lines, hash 0b4b1a1f76b922f4, digest 5025497465015343810
+            11: 8326 lines, hash f2b5da8fea05e552, digest 1751107156751682893
+            12: 8093 lines, hash 8be2204210d96aef, digest 5259669906965812485
+            13: 8222 lines, hash 2d70dd73e287026c, digest 1919963880818881590
+            14: 7898 lines, hash f659baba66750b12, digest 8096091209724446308
+            15: 8276 lines, hash beb8d2e9802f5373, digest 2333131544505942959
+            16: 7975 lines, hash 28df1e817d643cd5, digest 6336927629695579289
+            17: 8396 lines, hash 85b867040be51e11, digest 9067688030737833988
+            18: 8271 lines, hash 1f733064d7190d88, digest 4840544018000058385
+            19: 8534 lines, hash cde98dee32e688d9, digest 2030696118850796105
+        "#]],
+    );
 }
 
 #[test]
 fn two_choices_transcripts_stay_as_recorded() {
-    check("pair".parse().expect("a policy"), &expect![[""]]);
+    check(
+        "pair".parse().expect("a policy"),
+        &expect![[r#"
+            0: 8119 lines, hash f550b8fdf85c1fa0, digest 809866563347169335
+            1: 8389 lines, hash 4bd56300be58e481, digest 4243957211881600423
+            2: 8339 lines, hash 816a44d675ee15b8, digest 2426279694526302964
+            3: 8000 lines, hash 6ce56650da04cc7d, digest 1271243156171072935
+            4: 7910 lines, hash a1d3d44f663f06af, digest 1731800481125423777
+            5: 8109 lines, hash 4fabb9ca91a8d4ae, digest 7817641989689639210
+            6: 8479 lines, hash f28ce1f74d432a15, digest 741037057596747299
+            7: 8299 lines, hash d0542e4a6e63edeb, digest 8341160765679522225
+            8: 7970 lines, hash 7ccd28be8c75eb76, digest 915715217297166858
+            9: 8256 lines, hash 813f7a875f09f0ae, digest 4851356711660554531
+            10: 8201 lines, hash d4ba0e221c069de1, digest 2579861101311034109
+            11: 8347 lines, hash f015f6d48ede4374, digest 1751107156751682893
+            12: 8046 lines, hash f1cb938896212ebd, digest 664154360796679426
+            13: 8194 lines, hash fd74757af0ebafae, digest 4804767918886279878
+            14: 7907 lines, hash 2578bf9cefedede8, digest 8096091209724446308
+            15: 8127 lines, hash 4db5876bfdda61b1, digest 2333131544505942959
+            16: 8121 lines, hash 06c699eff9a03ce9, digest 6336927629695579289
+            17: 8486 lines, hash 1a2efec6d1adcd74, digest 9067688030737833988
+            18: 8091 lines, hash 132c48f280232fb0, digest 3602983940564095111
+            19: 8548 lines, hash 98a1a4eedace0110, digest 7917822534423604720
+        "#]],
+    );
 }
--- a/crates/runtime-api/tests/error_texts.rs
+++ b/crates/runtime-api/tests/error_texts.rs
@@ -18,7 +18,10 @@
 fn malformed_counters_are_located() {
     assert_eq!(stat_error(""), "no header of show stat");
     assert_eq!(stat_error("garbage"), "no header of show stat");
-    assert_eq!(stat_error("# pxname,svname,stot,\nt0,e1,1,\nt0,e2,many,\n"), "row 2: not a whole number: \"many\"");
+    assert_eq!(
+        stat_error("# pxname,svname,stot,\nt0,e1,1,\nt0,e2,many,\n"),
+        "row 2: not a whole number: \"many\""
+    );
     assert_eq!(stat_error("# pxname,svname,stot,\nt0,e1\n"), "row 1: 2 of 4 columns");
     assert_eq!(stat_error("# pxname,svname,stot,\n,e1,1,\n"), "row 1: 4 of 4 columns");
 }
