--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use lockcroft_config::{ConfigError, ConfigErrors, Document, LogConfig, parse_duration};
-use lockcroft_runtime_api::Address;
+use lockcroft_runtime_api::{Address, InvalidAddress};
 use roxmltree::Node;
+use thiserror::Error;
 
 use crate::choose::LoadBalancingPolicy;
 use crate::routing::Limits;
@@ -181,6 +182,15 @@
     }
 }
 
+/// What is wrong with an element that the schema allows.
+#[derive(Debug, Error)]
+enum ElementError {
+    #[error(transparent)]
+    ControlAddress(#[from] InvalidAddress),
+    #[error("{0:?} is no address")]
+    SocketAddress(String),
+}
+
 /// Elements that may stand several times, and the errors found in them.
 #[derive(Default)]
 struct Lists {
@@ -194,23 +204,24 @@
     fn read(document: &Document, root: Node<'_, '_>) -> Self {
         let mut lists = Lists::default();
         for node in root.descendants().filter(Node::is_element) {
-            if let Err(message) = lists.read_element(node) {
-                lists.errors.push(document.error(node, message, Some("IP:PORT")));
+            if let Err(error) = lists.read_element(node) {
+                lists.errors.push(document.error(node, error.to_string(), Some("IP:PORT")));
             }
         }
         lists
     }
 
-    fn read_element(&mut self, node: Node<'_, '_>) -> Result<(), String> {
+    fn read_element(&mut self, node: Node<'_, '_>) -> Result<(), ElementError> {
         let name = node.attribute("name").unwrap_or_default().to_string();
         let address = node.attribute("address").unwrap_or_default();
         match node.tag_name().name() {
             "control" => {
-                let address = Address::from_str(address).map_err(|error| error.to_string())?;
+                let address = Address::from_str(address)?;
                 self.control_addresses.push(address);
             }
             "server" => {
-                let address = address.parse().map_err(|_| format!("{address:?} is no address"))?;
+                let address =
+                    address.parse().map_err(|_| ElementError::SocketAddress(address.to_string()))?;
                 self.default_table.push((name, address));
             }
             "class" => {
--- /dev/null
+++ b/crates/proxy/tests/config.rs
@@ -0,0 +1,95 @@
+//! The configuration file of a proxy.
+
+use std::path::Path;
+use std::time::Duration;
+
+use expect_test::expect;
+use lockcroft_proxy::{LoadBalancingPolicy, ProxyConfig};
+
+const ALL: &str = r#"<proxy name="r1">
+  <visits address="127.0.0.1:8080" clients-most="11" silent-most="12s" keep-most-bytes="13"/>
+  <control address="unix:/run/r1.sock"/>
+  <files folder="tables" keys="keys" look-every="14s"/>
+  <choosing way="pair" seed="15" shuns-after="16" shuns-for="17s"/>
+  <tries connect-within="18ms" idle-most="19s" try-most="20s" second-share="0.21"/>
+  <limits outstanding-most="22" waiting-most="23" waiting-for="24ms" retry-after="25s" stall-a-line="26us"/>
+  <classes><class name="look-up" patience="2s"/></classes>
+  <standing><server name="e1" address="127.0.0.1:8101"/></standing>
+</proxy>"#;
+
+const REQUIRED: &str = r#"<proxy name="r1">
+  <visits address="127.0.0.1:8080"/>
+  <control address="127.0.0.1:81"/>
+  <classes><class name="look-up" patience="2s"/></classes>
+</proxy>"#;
+
+fn open(text: &str) -> Result<ProxyConfig, String> {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("proxy.xml");
+    std::fs::write(&file, text).expect("written");
+    let config = ProxyConfig::open(&file);
+    config.map_err(|errors| errors.to_string().replace(&file.display().to_string(), "FILE"))
+}
+
+#[test]
+fn every_attribute_sets_its_field() {
+    let config = open(ALL).expect("valid");
+    assert_eq!(config.max_clients, 11);
+    assert_eq!(config.header_timeout, Duration::from_secs(12));
+    assert_eq!(config.max_buffered_body_bytes, 13);
+    assert_eq!(config.control_addresses, ["unix:/run/r1.sock".parse().expect("an address")]);
+    let files = config.files.expect("stated");
+    assert!(files.folder.ends_with("tables") && files.folder != Path::new("tables"), "{files:?}");
+    assert!(files.keys.ends_with("keys") && files.keys != Path::new("keys"), "{files:?}");
+    assert_eq!(files.look_every, Duration::from_secs(14));
+    assert_eq!(config.limits.way, LoadBalancingPolicy::PowerOfTwoChoices);
+    assert_eq!(config.seed, 15);
+    assert_eq!(config.limits.shuns_after, 16);
+    assert_eq!(config.limits.shuns_for, Duration::from_secs(17));
+    assert_eq!(config.connect_timeout, Duration::from_millis(18));
+    assert_eq!(config.idle_most, Duration::from_secs(19));
+    assert_eq!(config.try_most, Duration::from_secs(20));
+    assert!((config.second_share - 0.21).abs() < 1e-9);
+    assert_eq!(config.limits.outstanding_most, 22);
+    assert_eq!(config.waiting_most, 23);
+    assert_eq!(config.queue_timeout, Duration::from_millis(24));
+    assert_eq!(config.retry_after, Duration::from_secs(25));
+    assert_eq!(config.stall_per_command, Duration::from_micros(26));
+    assert_eq!(config.classes, [("look-up".to_string(), Duration::from_secs(2))]);
+    assert_eq!(config.standing, [("e1".to_string(), "127.0.0.1:8101".parse().expect("an address"))]);
+}
+
+#[test]
+fn what_is_not_stated_has_its_default() {
+    let config = open(REQUIRED).expect("valid");
+    assert_eq!(config.max_clients, 4096);
+    assert_eq!(config.header_timeout, Duration::from_secs(10));
+    assert_eq!(config.max_buffered_body_bytes, 65_536);
+    assert_eq!(config.limits.way, LoadBalancingPolicy::SmoothWeightedRoundRobin);
+    assert_eq!((config.seed, config.limits.outstanding_most, config.limits.shuns_after), (0, 0, 0));
+    assert_eq!(config.limits.shuns_for, Duration::from_secs(5));
+    assert_eq!(config.connect_timeout, Duration::from_millis(500));
+    assert_eq!(config.idle_most, Duration::from_secs(15));
+    assert_eq!(config.try_most, Duration::from_secs(60));
+    assert!((config.second_share - 0.1).abs() < 1e-9);
+    assert_eq!(config.waiting_most, 100);
+    assert_eq!(config.queue_timeout, Duration::from_millis(100));
+    assert_eq!(config.retry_after, Duration::from_secs(1));
+    assert_eq!(config.stall_per_command, Duration::ZERO);
+    assert!(config.standing.is_empty() && config.files.is_none());
+}
+
+#[test]
+fn all_errors_of_a_file_are_located() {
+    let wrong = ALL
+        .replace("unix:/run/r1.sock", "127.0.0.1:99999")
+        .replace("127.0.0.1:8101", "127.0.0.1:99998")
+        .replace("127.0.0.1:8080", "127.0.0.1:99997");
+    expect![[r#"
+        FILE:3: /proxy/control: "127.0.0.1:99999" is neither unix:PATH nor IP:PORT; allowed: IP:PORT
+        FILE:9: /proxy/standing/server: "127.0.0.1:99998" is no address; allowed: IP:PORT
+        FILE:1: /proxy: visits: "127.0.0.1:99997" is no address; allowed: IP:PORT"#]]
+    .assert_eq(&open(&wrong).expect_err("wrong"));
+    let wrong = ALL.replace("look-every=\"14s\"", "look-every=\"soon\"");
+    expect![[r#"FILE:4: /proxy/files: attribute look-every: "soon" does not fit; allowed: a time with its unit (us, ms, s, min, h), such as 500ms"#]].assert_eq(&open(&wrong).expect_err("wrong"));
+}
