--- /dev/null
+++ b/crates/proxy/tests/table_files.rs
@@ -0,0 +1,216 @@
+//! A proxy that reads its tables from a snapshot folder, on real files and sockets, without a controller.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+use lockcroft_proxy::{Proxy, ProxyConfig, TableFilesConfig};
+use lockcroft_table_format::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
+use lockcroft_table_store::{RetentionPolicy, SnapshotWriter, StatusReader, read_keys};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{LocalSet, spawn_local};
+
+const RETENTION: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: true };
+
+/// An endpoint that answers with its own name.
+async fn endpoint(name: &'static str) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
+    let address = listener.local_addr().expect("bound");
+    spawn_local(async move {
+        while let Ok((mut stream, _)) = listener.accept().await {
+            spawn_local(async move {
+                let mut bytes = [0; 4096];
+                while let Ok(1..) = stream.read(&mut bytes).await {
+                    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{name}", name.len());
+                    let _ = stream.write_all(answer.as_bytes()).await;
+                }
+            });
+        }
+    });
+    address
+}
+
+struct Fixture {
+    folder: tempfile::TempDir,
+    proxy: Option<Proxy>,
+    endpoints: Vec<(&'static str, SocketAddr)>,
+}
+
+impl Fixture {
+    async fn new() -> Self {
+        let folder = tempfile::tempdir().expect("a folder");
+        std::fs::create_dir(folder.path().join("tables")).expect("made");
+        let keys = folder.path().join("keys");
+        std::fs::write(&keys, format!("k1 {}\n", "ab".repeat(32))).expect("written");
+        std::fs::set_permissions(&keys, std::fs::Permissions::from_mode(0o600)).expect("set");
+        let endpoints =
+            vec![("e0", endpoint("e0").await), ("e1", endpoint("e1").await), ("e2", endpoint("e2").await)];
+        Fixture { folder, proxy: None, endpoints }
+    }
+
+    fn tables(&self) -> PathBuf {
+        self.folder.path().join("tables")
+    }
+
+    fn writer(&self) -> SnapshotWriter {
+        let keys = read_keys(&self.folder.path().join("keys")).expect("valid");
+        SnapshotWriter::take(&self.tables(), "p", keys).expect("taken")
+    }
+
+    /// Starts a proxy with the first endpoint in its default table.
+    async fn start(&mut self, poll_interval: Duration) {
+        if let Some(proxy) = self.proxy.take() {
+            proxy.stop().await;
+        }
+        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let classes = vec![("look".to_string(), Duration::from_secs(2))];
+        let mut config = ProxyConfig::new("r1", any, vec![], classes);
+        config.standing = vec![("e0".into(), self.endpoints[0].1)];
+        let keys = self.folder.path().join("keys");
+        config.files = Some(TableFilesConfig { folder: self.tables(), keys, look_every: poll_interval });
+        self.proxy = Some(Proxy::start(config).await.expect("started"));
+    }
+
+    /// A snapshot with a table of these endpoints for the proxy.
+    fn content(&self, endpoints: &[usize], ejected: &[&str]) -> SnapshotContent {
+        let entry = |i: &usize| {
+            let (name, address) = self.endpoints[*i];
+            (name.to_string(), TableEntry { address, weight: 256 })
+        };
+        let assignment = ProxyAssignment { table: 0, level: 1000, again: false };
+        SnapshotContent {
+            tables: BTreeMap::from([(0, Table { lines: endpoints.iter().map(entry).collect() })]),
+            groups: BTreeMap::from([(
+                0,
+                ProxyGroup {
+                    proxies: BTreeSet::from(["r1".into()]),
+                    bound: BTreeMap::from([("look".into(), assignment)]),
+                },
+            )]),
+            withdrawn: ejected.iter().map(|name| (*name).to_string()).collect(),
+        }
+    }
+
+    async fn request(&self) -> String {
+        let address = self.proxy.as_ref().expect("started").visits;
+        let mut stream = TcpStream::connect(address).await.expect("connected");
+        stream
+            .write_all(b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+            .await
+            .expect("written");
+        let mut text = String::new();
+        stream.read_to_string(&mut text).await.expect("answered");
+        text.rsplit("\r\n\r\n").next().unwrap_or_default().to_string()
+    }
+
+    /// The endpoints that six requests reach.
+    async fn reached(&self) -> BTreeSet<String> {
+        let mut names = BTreeSet::new();
+        for _ in 0..6 {
+            names.insert(self.request().await);
+        }
+        names
+    }
+
+    /// Waits until the proxy's status file is as wanted; how long that took.
+    async fn wait_for_status(
+        &self,
+        wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool,
+    ) -> Duration {
+        let started_at = Instant::now();
+        while !StatusReader::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
+            assert!(
+                started_at.elapsed() < Duration::from_secs(10),
+                "{:?}",
+                StatusReader::of(&self.tables(), "r1")
+            );
+            tokio::time::sleep(Duration::from_millis(2)).await;
+        }
+        started_at.elapsed()
+    }
+
+    async fn wait_until_applied(&self, epoch: u64, version: u64) -> Duration {
+        self.wait_for_status(|status| {
+            status.laid.last().is_some_and(|laid| (laid.epoch, laid.version) == (epoch, version))
+        })
+        .await
+    }
+}
+
+fn run(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, test);
+}
+
+fn names(names: &[&str]) -> BTreeSet<String> {
+    names.iter().map(|name| (*name).to_string()).collect()
+}
+
+#[test]
+fn each_snapshot_is_applied_and_a_restart_begins_with_the_last() {
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut writer = fixture.writer();
+        fixture.start(Duration::from_secs(5)).await;
+        assert_eq!(fixture.reached().await, names(&["e0"]), "the default table");
+        writer.write(&fixture.content(&[1, 2], &[]), RETENTION).expect("written");
+        // Long before the poll interval has passed: a file event tells.
+        assert!(fixture.wait_until_applied(1, 1).await < Duration::from_secs(4));
+        assert_eq!(fixture.reached().await, names(&["e1", "e2"]));
+        writer.write(&fixture.content(&[0, 1, 2], &["e2"]), RETENTION).expect("written");
+        fixture.wait_until_applied(1, 2).await;
+        assert_eq!(fixture.reached().await, names(&["e0", "e1"]), "an ejected endpoint gets nothing");
+        // The controller is gone for good and the proxy is restarted: it has its tables.
+        drop(writer);
+        fixture.start(Duration::from_millis(50)).await;
+        fixture.wait_for_status(|status| status.laid.len() == 1 && status.laid[0].version == 2).await;
+        assert_eq!(fixture.reached().await, names(&["e0", "e1"]));
+        // Another controller has assigned no table to it yet: it keeps them, and what was ejected stays so.
+        let mut next = fixture.writer();
+        let without_tables =
+            SnapshotContent { withdrawn: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
+        next.write(&without_tables, RETENTION).expect("written");
+        fixture.wait_until_applied(2, 1).await;
+        assert_eq!(fixture.reached().await, names(&["e1"]));
+    });
+}
+
+#[test]
+fn an_invalid_snapshot_changes_nothing() {
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut writer = fixture.writer();
+        fixture.start(Duration::from_millis(30)).await;
+        writer.write(&fixture.content(&[1], &[]), RETENTION).expect("written");
+        fixture.wait_until_applied(1, 1).await;
+        // The next snapshot is a copy of the first under another number, put in place at once.
+        forge(&fixture.tables(), 1, 2);
+        fixture
+            .wait_for_status(|status| {
+                status.refused.as_ref().is_some_and(|refused| refused.why.contains("a copy of"))
+            })
+            .await;
+        assert_eq!(fixture.reached().await, names(&["e1"]));
+        writer.write(&fixture.content(&[2], &[]), RETENTION).expect_err("its number is taken");
+        writer.write(&fixture.content(&[2], &[]), RETENTION).expect("the next number is free");
+        fixture.wait_for_status(|status| status.refused.is_none()).await;
+        assert_eq!(fixture.reached().await, names(&["e2"]), "and a valid snapshot is applied");
+    });
+}
+
+/// Makes a copy of an old snapshot under a new number current.
+fn forge(tables: &Path, from: u64, to: u64) {
+    let epoch = tables.join("e1");
+    let (old, new) = (epoch.join(format!("g{from}")), epoch.join(format!("g{to}")));
+    std::fs::create_dir(&new).expect("made");
+    for entry in std::fs::read_dir(old).expect("there") {
+        let entry = entry.expect("there");
+        std::fs::copy(entry.path(), new.join(entry.file_name())).expect("copied");
+    }
+    let link = epoch.join("forged");
+    std::os::unix::fs::symlink(format!("g{to}"), &link).expect("made");
+    std::fs::rename(link, epoch.join("current")).expect("swapped");
+}
