--- a/crates/host/src/setting_values.rs
+++ b/crates/host/src/setting_values.rs
@@ -1,5 +1,5 @@
-//! Settings as a flat map of dotted names to values, as the forms that operators write come to be read, and
-//! the one place where those names become the typed [`Settings`].
+//! Settings as a flat map of dotted names to values, as the forms that operators write are read. This is the one
+//! place where those names become the typed [`Settings`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,15 @@
 /// One stated value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingValue {
+    /// A number; not a number where the stated one can't be held.
     Number(f64),
+    /// True or false.
     Flag(bool),
+    /// A text.
     Text(String),
 }
 
-/// Names are those of the XML form with `_` for `-`. Names of nested values are joined by dots, and the members
+/// All stated values by name. Names are those of the XML form with `_` for `-`. Names of nested values are joined by dots, and the members
 /// of lists are numbered from 0: `classes.0.patience_us`. What was not stated is not there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingValues(pub BTreeMap<String, SettingValue>);
@@ -128,6 +131,7 @@
         self.number(name).filter(|limit| *limit > 0.0).unwrap_or(f64::INFINITY)
     }
 
+    /// A text.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
             Some(SettingValue::Text(value)) => Some(value),
@@ -142,19 +146,20 @@
 
     /// How many members the list of this name has.
     pub fn count(&self, name: &str) -> usize {
-        (0..).take_while(|i| self.has_below(&format!("{name}.{i}"))).count()
+        (0..).take_while(|index| self.has_below(&format!("{name}.{index}"))).count()
     }
 
     /// The texts of a list.
     pub fn texts(&self, name: &str) -> Vec<&str> {
-        (0..).map_while(|i| self.text(&format!("{name}.{i}"))).collect()
+        (0..).map_while(|index| self.text(&format!("{name}.{index}"))).collect()
     }
 
-    /// Where the texts of one list stand in another; `None` if the list is not there.
+    /// The positions of the texts of one list in another; `None` if the list is not there.
     pub fn positions(&self, list: &str, among: &str) -> Option<Vec<usize>> {
-        let (some, all) = (self.texts(list), self.texts(among));
-        let found = some.iter().filter_map(|one| all.iter().position(|name| name == one)).collect();
-        (!some.is_empty()).then_some(found)
+        let texts = self.texts(list);
+        let all = self.texts(among);
+        let positions = texts.iter().filter_map(|text| all.iter().position(|other| other == text)).collect();
+        (!texts.is_empty()).then_some(positions)
     }
 
     fn has_below(&self, prefix: &str) -> bool {
--- a/crates/host/tests/settings.rs
+++ b/crates/host/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The typed settings hold what look-ups by name give, key by key, for forms such as three deployments use.
+//! The typed settings hold what lookups by name give, key by key, for forms such as three deployments use.
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
     })
 }
 
-fn assert_equal_to_look_ups(values: &SettingValues, settings: &Settings) {
+fn assert_equal_to_lookups(values: &SettingValues, settings: &Settings) {
     let (fleet, rules, solver) = (&settings.fleet, &settings.rules, &settings.solver);
     assert_eq!(settings.zones, values.texts("zones"));
     assert_eq!(settings.machine_types, values.texts("kinds"));
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn typed_settings_equal_look_ups_by_name() {
+fn typed_settings_equal_lookups_by_name() {
     for form in [full(), sparse(), odd(), json!({})] {
         let values = setting_values(&form).expect("an object");
         let settings = parse_settings(&form.to_string()).expect("an object");
-        assert_equal_to_look_ups(&values, &settings);
+        assert_equal_to_lookups(&values, &settings);
     }
 }
 
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn what_is_not_stated_has_its_default() {
+fn settings_that_are_not_stated_have_their_default() {
     let settings = parse_settings("{}").expect("an object");
     assert_eq!(settings, Settings::default());
-    let message = parse_settings("[]").expect_err("no object");
-    assert_eq!(message, "settings: not an object");
+    let error = parse_settings("[]").expect_err("no object");
+    assert_eq!(error.to_string(), "settings: not an object");
 }
--- a/crates/platform/src/connection_admission.rs
+++ b/crates/platform/src/connection_admission.rs
@@ -1,97 +1,115 @@
-//! ConnectionAdmission of connections. Anybody can connect and not join, by hundreds, and say nothing. Those are let go
-//! after a while, and sooner where descriptors run short, so that proxies always find room. Whoever is let go
-//! gets a last call first: a joining that came in time and was not read yet still counts.
+//! Which connections may stay open. Anybody can connect, never attach, and say nothing, by hundreds. Such connections
+//! are closed after a timeout, and sooner where descriptors run short, so that proxies always find a free one. Before
+//! one is closed, what it has sent by then is read (the final read): an attachment that came in time still counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::stream::ConnectionId;
+/// Names a connection; numbers rise in the order in which connections are accepted, and none is given out twice.
+pub type ConnectionId = u64;
 
-/// A connection that has not joined is let go after so long; where room is short, the oldest after so long.
-const STAY: Duration = Duration::from_millis(1500);
-const STAY_SHORT: Duration = Duration::from_millis(300);
-/// While one that was let go still holds its descriptor, the next is looked at after so long.
-const LEAVING: Duration = Duration::from_millis(2);
-/// So many collectors of one zone may be connected: one that comes again does not wait for its old
-/// connection to be seen to end.
-pub const COLLECTORS: usize = 3;
-/// Descriptors that stay free of connections from outside, beside one for each server's probe: standard
-/// streams, the listener, signals, the runtime's own and the list's.
-const KEPT: usize = 32;
+/// A connection that has not attached is closed after this time.
+const ATTACH_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Where descriptors run short, the oldest unattached connection is closed once it is this old.
+const ATTACH_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(300);
+/// While a connection that is being closed still holds its descriptor, capacity is asked for again after this time.
+const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How many collectors of one zone may be connected: one that comes again does not wait for its old connection to be
+/// seen to end.
+pub const MAX_COLLECTORS_PER_ZONE: usize = 3;
+/// Descriptors that stay free of connections from outside, beside one for each endpoint's health check: standard
+/// streams, the listener, signals, the runtime's own and discovery's.
+const RESERVED_DESCRIPTORS: usize = 32;
 
+/// Counts descriptors, and the age of connections that have not attached.
 pub struct ConnectionAdmission {
-    sockets: usize,
-    unjoined: BTreeMap<ConnectionId, Duration>,
-    /// Had their last call, and still hold a descriptor.
-    leaving: BTreeSet<ConnectionId>,
-    /// All that hold a descriptor.
+    max_descriptors: usize,
+    /// When each connection that has not attached was accepted.
+    unattached: BTreeMap<ConnectionId, Duration>,
+    /// Connections whose final read was asked for and which still hold a descriptor.
+    closing: BTreeSet<ConnectionId>,
+    /// How many connections hold a descriptor.
     open: usize,
 }
 
-/// What is to be done about someone who connects.
+/// What to do about the next connection in the listener's queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Acceptance {
+    /// Accept it.
     Accept,
-    /// Let this one, which has not joined, go first.
+    /// Close this connection, which has not attached, before asking again.
     Evict(ConnectionId),
-    /// Nobody can go yet.
+    /// Nothing can be closed yet: ask again after this time.
     Wait(Duration),
 }
 
 impl ConnectionAdmission {
-    pub fn new(sockets: usize) -> Self {
-        ConnectionAdmission { sockets, unjoined: BTreeMap::new(), leaving: BTreeSet::new(), open: 0 }
+    pub fn new(max_descriptors: usize) -> Self {
+        ConnectionAdmission {
+            max_descriptors,
+            unattached: BTreeMap::new(),
+            closing: BTreeSet::new(),
+            open: 0,
+        }
     }
 
-    /// Whether there is room for one more, with so many servers that may be probed at once.
-    pub fn has_room(&self, probes: usize) -> bool {
-        self.open < self.sockets.saturating_sub(KEPT + probes).max(1)
+    /// Whether a descriptor is left for one more connection, with this many endpoints that may be checked at once.
+    pub fn has_capacity(&self, endpoints: usize) -> bool {
+        self.open < self.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + endpoints).max(1)
     }
 
-    /// Asked before a connection is taken.
-    pub fn acceptance(&self, now: Duration, probes: usize) -> Acceptance {
-        if self.has_room(probes) {
+    /// What to do before a connection is accepted.
+    pub fn acceptance(&self, now: Duration, endpoints: usize) -> Acceptance {
+        if self.has_capacity(endpoints) {
             return Acceptance::Accept;
         }
-        match self.unjoined.first_key_value() {
-            _ if !self.leaving.is_empty() => Acceptance::Wait(LEAVING),
-            Some((connection, since)) if *since + STAY_SHORT <= now => Acceptance::Evict(*connection),
-            Some((_, since)) => Acceptance::Wait(*since + STAY_SHORT - now),
-            // Full of those who joined: rather a descriptor too many than a proxy without a pilot.
-            None => Acceptance::Accept,
+        if !self.closing.is_empty() {
+            return Acceptance::Wait(CLOSING_POLL_INTERVAL);
+        }
+        let Some((connection, accepted_at)) = self.unattached.first_key_value() else {
+            // All connections are attached: one descriptor too many is better than a proxy without a controller.
+            return Acceptance::Accept;
+        };
+        let evictable_at = *accepted_at + ATTACH_TIMEOUT_WHEN_FULL;
+        if evictable_at <= now {
+            Acceptance::Evict(*connection)
+        } else {
+            Acceptance::Wait(evictable_at - now)
         }
     }
 
     pub fn accepted(&mut self, now: Duration, connection: ConnectionId) {
         self.open += 1;
-        self.unjoined.insert(connection, now);
+        self.unattached.insert(connection, now);
     }
 
-    pub fn joined(&mut self, connection: ConnectionId) {
-        self.unjoined.remove(&connection);
-        self.leaving.remove(&connection);
+    pub fn attached(&mut self, connection: ConnectionId) {
+        self.unattached.remove(&connection);
+        self.closing.remove(&connection);
     }
 
-    /// It is to go, once what it may have said until now was read.
-    pub fn last_call(&mut self, connection: ConnectionId) {
-        self.unjoined.remove(&connection);
-        self.leaving.insert(connection);
+    /// The connection is to be closed once what it has sent by now was read.
+    pub fn closing(&mut self, connection: ConnectionId) {
+        self.unattached.remove(&connection);
+        self.closing.insert(connection);
     }
 
-    /// It ended, and its descriptor is free again.
+    /// The connection ended, and its descriptor is free again.
     pub fn closed(&mut self, connection: ConnectionId) {
         self.open = self.open.saturating_sub(1);
-        self.joined(connection);
+        self.attached(connection);
     }
 
-    /// Those that have not joined and whose time is over.
+    /// Connections that have not attached within the timeout.
     pub fn overdue(&self, now: Duration) -> Vec<ConnectionId> {
-        // Connections rise with time.
-        let late = self.unjoined.iter().take_while(|(_, since)| **since + STAY <= now);
-        late.map(|(connection, _)| *connection).collect()
+        // Connections are numbered in the order in which they are accepted, so the oldest come first.
+        let overdue =
+            self.unattached.iter().take_while(|(_, accepted_at)| **accepted_at + ATTACH_TIMEOUT <= now);
+        overdue.map(|(connection, _)| *connection).collect()
     }
 
+    /// When the next unattached connection becomes overdue.
     pub fn next_due(&self) -> Option<Duration> {
-        self.unjoined.first_key_value().map(|(_, since)| *since + STAY)
+        self.unattached.first_key_value().map(|(_, accepted_at)| *accepted_at + ATTACH_TIMEOUT)
     }
 }
--- /dev/null
+++ b/crates/platform/src/io/shared.rs
@@ -0,0 +1,114 @@
+//! What all tasks share: the control plane, the clock and the handles of connections. All tasks run on one thread, and
+//! none holds a borrow of the control plane over an await.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant, SystemTime};
+
+use tokio::sync::Notify;
+
+use super::connection::{ConnectionHandle, Shutdown};
+use super::health_checks;
+use crate::config::Config;
+use crate::connection_admission::ConnectionId;
+use crate::control_plane::{ControlPlane, Effect};
+
+pub struct Shared {
+    pub control_plane: RefCell<ControlPlane>,
+    started_at: Instant,
+    /// Wakes the loop of ticks: something came that may have to be decided on.
+    pub input_arrived: Notify,
+    handles: RefCell<BTreeMap<ConnectionId, Rc<ConnectionHandle>>>,
+    last_connection: Cell<ConnectionId>,
+}
+
+impl Shared {
+    pub fn new(config: &Config) -> Rc<Self> {
+        Rc::new(Shared {
+            control_plane: RefCell::new(ControlPlane::new(config)),
+            started_at: Instant::now(),
+            input_arrived: Notify::new(),
+            handles: RefCell::default(),
+            last_connection: Cell::new(0),
+        })
+    }
+
+    /// The time since the start, as decisions count it.
+    pub fn now(&self) -> Duration {
+        self.started_at.elapsed()
+    }
+
+    /// A time since the start as an instant of the runtime's clock.
+    pub fn instant(&self, time: Duration) -> tokio::time::Instant {
+        (self.started_at + time).into()
+    }
+
+    /// Adds a connection that was accepted.
+    pub fn add_connection(&self) -> (ConnectionId, Rc<ConnectionHandle>) {
+        let connection = self.last_connection.get() + 1;
+        self.last_connection.set(connection);
+        let handle = Rc::new(ConnectionHandle::default());
+        self.handles.borrow_mut().insert(connection, handle.clone());
+        self.control_plane.borrow_mut().connection_accepted(self.now(), connection);
+        self.input_arrived.notify_one();
+        (connection, handle)
+    }
+
+    /// Removes a connection whose socket is closed.
+    pub fn remove_connection(self: &Rc<Self>, connection: ConnectionId) {
+        self.handles.borrow_mut().remove(&connection);
+        self.control_plane.borrow_mut().connection_closed(connection);
+        self.after_input();
+    }
+
+    pub fn connections(&self) -> usize {
+        self.handles.borrow().len()
+    }
+
+    /// Whether all that was to be written to any connection is out.
+    pub fn all_written(&self) -> bool {
+        self.handles.borrow().values().all(|handle| handle.is_idle())
+    }
+
+    /// Does what can't wait for the next decisions, and has those made soon.
+    pub fn after_input(self: &Rc<Self>) {
+        let effects = self.control_plane.borrow_mut().take_effects();
+        self.carry_out(effects);
+        self.input_arrived.notify_one();
+    }
+
+    /// Decides by now, and does what comes of it.
+    pub fn decide(self: &Rc<Self>) {
+        let effects = self.control_plane.borrow_mut().decide(self.now());
+        self.carry_out(effects);
+    }
+
+    pub fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Write { connection, text } => self.with(connection, |handle| handle.write(&text)),
+                Effect::Close { connection } => {
+                    self.with(connection, |handle| handle.shut_down(Shutdown::AfterWrites));
+                }
+                Effect::FinalRead { connection } => self.with(connection, ConnectionHandle::final_read),
+                Effect::Abort { connection } => {
+                    self.with(connection, |handle| handle.shut_down(Shutdown::Now));
+                }
+                Effect::CheckHealth { endpoint, address } => health_checks::start(self, endpoint, address),
+            }
+        }
+    }
+
+    /// Calls this on the handle of a connection, unless its socket is closed by now.
+    fn with(&self, connection: ConnectionId, call: impl FnOnce(&ConnectionHandle)) {
+        if let Some(handle) = self.handles.borrow().get(&connection) {
+            call(handle);
+        }
+    }
+}
+
+/// The time in Unix milliseconds.
+pub fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+}
--- a/crates/platform/tests/controller/bytes.rs
+++ b/crates/platform/tests/controller/bytes.rs
@@ -73,14 +73,14 @@
             14 => stage.refuses = Some(2),
             17 => {
                 stage.stalled.clear();
-                stage.controller.written(2);
+                stage.control_plane.write_completed(2);
             }
             19 => {
                 stage.join(20, 4, false);
             }
             21 => stage.refuses = None,
             24 => stage.list(&list(4, true, &["s-a", "s-ccc", "s-new"].map(|name| entry(name, "up", 0)))),
-            26 => stage.controller.closed(1),
+            26 => stage.control_plane.connection_closed(1),
             27 => {
                 stage.join(21, 3, false);
             }
--- a/crates/platform/tests/controller/channel.rs
+++ b/crates/platform/tests/controller/channel.rs
@@ -66,12 +66,12 @@
     ] {
         settings["settings"]["specifics"][name] = json!(value);
     }
-    let mut controller = ControlPlane::new(&Config::read(&settings.to_string()).expect("sound"));
+    let mut control_plane = ControlPlane::new(&Config::parse(&settings.to_string()).expect("sound"));
     let names: Vec<String> = (0..200).map(|at| format!("s-{at}")).collect();
     let since = |at: usize| if at < 100 { 0 } else { WALL - 1000 };
     let entries = names.iter().enumerate().map(|(at, name)| entry(name, "up", since(at)));
     let whole = list(2, true, &entries.collect::<Vec<Value>>());
-    controller.listed(Duration::ZERO, WALL, &whole).expect("sound");
+    control_plane.update_endpoints(Duration::ZERO, WALL, &whole).expect("sound");
     let mut channel = Channel { pace, queue: VecDeque::new(), answers: VecDeque::new(), most: 0 };
     let step = Duration::from_millis(10);
     let (mut now, mut joined, mut bound) = (Duration::ZERO, 0, vec![None; proxies]);
@@ -83,38 +83,38 @@
         while channel.answers.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, connection, number) = channel.answers.pop_front().expect("one");
             let done = json!({"t": "done", "node": connection, "nonce": number, "latency": 300.0});
-            controller.read(now, connection, done.to_string().as_bytes());
+            control_plane.line_received(now, connection, done.to_string().as_bytes());
         }
         if !told && now >= Duration::from_millis(5500) {
-            controller.listed(now, WALL + 5500, &list(3, false, &gone)).expect("sound");
+            control_plane.update_endpoints(now, WALL + 5500, &list(3, false, &gone)).expect("sound");
             told = true;
         }
         while joined < proxies && Duration::from_micros(6_000_000 + apart_us * joined as u64) <= now {
             let line = json!({"t": "attach", "node": joined, "locality": "a", "w": 5.0, "cold": false});
-            controller.accepted(now, joined as ConnectionId);
-            controller.read(now, joined as ConnectionId, line.to_string().as_bytes());
+            control_plane.connection_accepted(now, joined as ConnectionId);
+            control_plane.line_received(now, joined as ConnectionId, line.to_string().as_bytes());
             joined += 1;
         }
         // The platform takes what was written at one time in an order of its own.
-        for effect in controller.decide(now).into_iter().rev() {
+        for effect in control_plane.decide(now).into_iter().rev() {
             match effect {
                 Effect::Write { connection, text } => {
                     channel.accept(connection, &text);
-                    controller.written(connection);
+                    control_plane.write_completed(connection);
                     if text.contains("\"full\":true") {
                         bound[connection as usize].get_or_insert(now);
                     }
                 }
-                Effect::Probe { server, address } => {
-                    controller.probed(
+                Effect::CheckHealth { endpoint, address } => {
+                    control_plane.health_check_finished(
                         now,
-                        server,
+                        endpoint,
                         address,
                         HealthCheckOutcome::Passed(Some(0.4)),
                         Duration::ZERO,
                     );
                 }
-                Effect::End { .. } | Effect::Drop { .. } | Effect::LastCall { .. } => {
+                Effect::Close { .. } | Effect::Abort { .. } | Effect::FinalRead { .. } => {
                     panic!("nobody is to go")
                 }
             }
@@ -158,9 +158,9 @@
     for (connection, node, nonce) in [(1, 3, 1), (2, 4, 0), (2, 4, 7), (1, 4, 0)] {
         stage.say(connection, &done(node, nonce).to_string());
     }
-    assert_eq!(stage.controller.sums.spoilt, 4);
+    assert_eq!(stage.control_plane.counters().invalid_messages, 4);
     stage.say(1, &done(3, 0).to_string()).say(2, &done(4, 1).to_string());
-    assert_eq!(stage.controller.sums.spoilt, 4);
+    assert_eq!(stage.control_plane.counters().invalid_messages, 4);
     stage.say(2, &done(4, 1).to_string());
-    assert_eq!(stage.controller.sums.spoilt, 5, "a mark is answered once");
+    assert_eq!(stage.control_plane.counters().invalid_messages, 5, "a mark is answered once");
 }
--- a/crates/platform/tests/controller/interleavings.rs
+++ b/crates/platform/tests/controller/interleavings.rs
@@ -41,7 +41,7 @@
 }
 
 struct World {
-    controller: ControlPlane,
+    control_plane: ControlPlane,
     now: Duration,
     index: u64,
     connection: ConnectionId,
@@ -57,8 +57,8 @@
         let servers = vec![("up", 0); SERVERS];
         stage.list(&list(0, true, &World::entries(&servers)));
         let proxies = (0..PROXIES).map(|_| Proxy::default()).collect();
-        let (controller, now) = (stage.controller, stage.now);
-        World { controller, now, index: 0, connection: 0, proxies, servers, answers: Vec::new() }
+        let (control_plane, now) = (stage.control_plane, stage.now);
+        World { control_plane, now, index: 0, connection: 0, proxies, servers, answers: Vec::new() }
     }
 
     fn entries(servers: &[(&str, u64)]) -> Vec<Value> {
@@ -74,12 +74,16 @@
                 let line = json!({"t": "attach", "node": at, "locality": "a", "w": 5.0, "cold": cold});
                 self.proxies[*at].connection = Some(self.connection);
                 self.proxies[*at].waiting = None;
-                self.controller.accepted(self.now, self.connection);
-                self.controller.read(self.now, self.connection, line.to_string().as_bytes());
+                self.control_plane.connection_accepted(self.now, self.connection);
+                self.control_plane.line_received(self.now, self.connection, line.to_string().as_bytes());
             }
             Happening::Ends(at) => {
                 self.proxies[*at].waiting = None;
-                self.proxies[*at].connection.take().into_iter().for_each(|it| self.controller.closed(it));
+                self.proxies[*at]
+                    .connection
+                    .take()
+                    .into_iter()
+                    .for_each(|it| self.control_plane.connection_closed(it));
             }
             Happening::Stalls(at, stalled) => {
                 self.proxies[*at].stalled = *stalled;
@@ -116,15 +120,17 @@
 
     fn tell(&mut self, whole: bool, entries: &[Value]) {
         let wall = WALL + self.now.as_millis() as u64;
-        self.controller.listed(self.now, wall, &list(self.index, whole, entries)).expect("sound");
+        self.control_plane
+            .update_endpoints(self.now, wall, &list(self.index, whole, entries))
+            .expect("sound");
     }
 
     fn decide(&mut self) {
         for (connection, node, nonce) in std::mem::take(&mut self.answers) {
             let done = json!({"t": "done", "node": node, "nonce": nonce, "latency": 50.0});
-            self.controller.read(self.now, connection, done.to_string().as_bytes());
+            self.control_plane.line_received(self.now, connection, done.to_string().as_bytes());
         }
-        for effect in self.controller.decide(self.now) {
+        for effect in self.control_plane.decide(self.now) {
             match effect {
                 Effect::Write { connection, text } => {
                     let at = self.proxies.iter().position(|proxy| proxy.connection == Some(connection));
@@ -132,16 +138,16 @@
                     assert!(self.proxies[at].waiting.replace(text).is_none(), "a second message at once");
                     self.take_in(at);
                 }
-                Effect::Probe { server, address } => {
-                    self.controller.probed(
+                Effect::CheckHealth { endpoint, address } => {
+                    self.control_plane.health_check_finished(
                         self.now,
-                        server,
+                        endpoint,
                         address,
                         HealthCheckOutcome::Passed(Some(0.3)),
                         Duration::ZERO,
                     );
                 }
-                Effect::End { .. } | Effect::Drop { .. } | Effect::LastCall { .. } => {}
+                Effect::Close { .. } | Effect::Abort { .. } | Effect::FinalRead { .. } => {}
             }
         }
     }
@@ -171,7 +177,7 @@
             });
             self.answers.extend(part["nonce_out"].as_u64().map(|nonce| (connection, at, nonce)));
         }
-        self.controller.written(connection);
+        self.control_plane.write_completed(connection);
     }
 }
 
--- a/crates/platform/tests/controller/lists.rs
+++ b/crates/platform/tests/controller/lists.rs
@@ -27,7 +27,7 @@
     stage.list(&json!({"index": "9"}));
     stage.list(&json!([]));
     stage.join(1, 3, true);
-    assert_eq!(stage.controller.version(), Some(3));
+    assert_eq!(stage.control_plane.list_version(), Some(3));
     expect![[r#"
         0.0 refused: a whole list without a usable entry, 0 faults
         0.0 refused: changes to version 2 on top of Some(3)
@@ -84,7 +84,7 @@
     assert!(stage.run_to(13.0).contains("refused"));
     stage.list(&list(4, true, &names.iter().map(up).collect::<Vec<_>>()));
     let trace = stage.run_to(16.0);
-    assert!(trace.contains(r#"["s-bb","#) && stage.controller.version() == Some(4), "{trace}");
+    assert!(trace.contains(r#"["s-bb","#) && stage.control_plane.list_version() == Some(4), "{trace}");
 }
 
 /// The same list once more, and an old change behind a new one.
--- a/crates/platform/tests/controller/loads.rs
+++ b/crates/platform/tests/controller/loads.rs
@@ -1,6 +1,6 @@
 //! Load reports of servers.
 
-use lockcroft_platform::load;
+use lockcroft_platform::parse_load_report;
 
 #[test]
 fn load_reports_by_either_name() {
@@ -14,6 +14,6 @@
         ("busybody=1", None),
         ("", None),
     ] {
-        assert_eq!(load(report), wanted, "{report:?}");
+        assert_eq!(parse_load_report(report), wanted, "{report:?}");
     }
 }
--- a/crates/platform/tests/controller/orders.rs
+++ b/crates/platform/tests/controller/orders.rs
@@ -29,7 +29,7 @@
     stage.list(&list(3, false, &[entry("s-ccc", "draining", 0)]));
     expect![[""]].assert_eq(&stage.run_to(7.0));
     stage.stalled.clear();
-    stage.controller.written(1);
+    stage.control_plane.write_completed(1);
     expect![[r#"
         7.0 1 < {"t":"assign","endpoints":[["s-bb",0.0],["s-ccc",0.0]],"nonce_out":1}
     "#]]
@@ -71,7 +71,7 @@
     let mut stage = Stage::new();
     stage.join(1, 3, true).run_to(6.0);
     stage.join(2, 3, false);
-    stage.controller.ended(1);
+    stage.control_plane.connection_ended(1);
     expect![[r#"
         6.0 1 is dropped
         6.0 2 < {"t":"assign","full":true,"endpoints":[["s-a",1.0],["s-bb",1.0],["s-ccc",1.0],["s-dddd",1.0]],"admit":1.0,"policy":1,"nonce_out":1}
--- a/crates/platform/tests/controller/pieces.rs
+++ b/crates/platform/tests/controller/pieces.rs
@@ -55,10 +55,10 @@
         stage.join(9, 7, true);
         for (at, (connection, line)) in said.iter().enumerate() {
             if at % 7 == 0 {
-                stage.controller.ended(*connection);
+                stage.control_plane.connection_ended(*connection);
                 stage.accept(*connection);
             }
-            stage.controller.read(stage.now, *connection, line);
+            stage.control_plane.line_received(stage.now, *connection, line);
         }
         let trace = stage.run_to(5.5);
         prop_assert!(trace.contains("9 < {\"t\":\"assign\",\"full\":true"), "{}", trace);
--- a/crates/platform/tests/controller/stage.rs
+++ b/crates/platform/tests/controller/stage.rs
@@ -1,4 +1,4 @@
-//! A small stage: a controller with two classes and four servers in made-up time, and a trace of what it does.
+//! A small stage: a control_plane with two classes and four servers in made-up time, and a trace of what it does.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 }
 
 pub struct Stage {
-    pub controller: ControlPlane,
+    pub control_plane: ControlPlane,
     pub now: Duration,
     pub trace: String,
     /// Streams that take nothing: their messages are never out.
@@ -60,9 +60,9 @@
     }
 
     pub fn bare() -> Self {
-        let config = Config::read(&config().to_string()).expect("sound");
+        let config = Config::parse(&config().to_string()).expect("sound");
         Stage {
-            controller: ControlPlane::new(&config),
+            control_plane: ControlPlane::new(&config),
             now: Duration::ZERO,
             trace: String::new(),
             stalled: Vec::new(),
@@ -73,19 +73,19 @@
 
     pub fn list(&mut self, value: &Value) {
         let wall = WALL + self.now.as_millis() as u64;
-        if let Err(fault) = self.controller.listed(self.now, wall, value) {
+        if let Err(fault) = self.control_plane.update_endpoints(self.now, wall, value) {
             let _ = writeln!(self.trace, "{:.1} refused: {fault}", self.now.as_secs_f64());
         }
     }
 
     pub fn accept(&mut self, connection: ConnectionId) -> &mut Self {
-        self.controller.accepted(self.now, connection);
+        self.control_plane.connection_accepted(self.now, connection);
         self
     }
 
     pub fn say(&mut self, connection: ConnectionId, line: &str) -> &mut Self {
-        self.controller.read(self.now, connection, line.as_bytes());
-        let effects = self.controller.effects();
+        self.control_plane.line_received(self.now, connection, line.as_bytes());
+        let effects = self.control_plane.take_effects();
         self.take(effects);
         self
     }
@@ -99,7 +99,7 @@
     pub fn run_to(&mut self, seconds: f64) -> String {
         while self.now.as_secs_f64() < seconds {
             self.now += Duration::from_millis(50);
-            let effects = self.controller.decide(self.now);
+            let effects = self.control_plane.decide(self.now);
             self.take(effects);
         }
         std::mem::take(&mut self.trace)
@@ -114,29 +114,35 @@
                         .lines()
                         .try_for_each(|line| writeln!(self.trace, "{at:.1} {connection} < {line}"));
                     if !self.stalled.contains(&connection) {
-                        self.controller.written(connection);
+                        self.control_plane.write_completed(connection);
                     }
                 }
-                Effect::End { connection } => {
+                Effect::Close { connection } => {
                     let _ = writeln!(self.trace, "{at:.1} {connection} ends");
                 }
-                Effect::LastCall { connection } => {
-                    self.controller.dismiss(connection);
-                    let effects = self.controller.effects();
+                Effect::FinalRead { connection } => {
+                    self.control_plane.final_read_done(connection);
+                    let effects = self.control_plane.take_effects();
                     self.take(effects);
                 }
-                Effect::Drop { connection } => {
+                Effect::Abort { connection } => {
                     let _ = writeln!(self.trace, "{at:.1} {connection} is dropped");
                 }
-                Effect::Probe { server, address } => {
-                    let refused = self.refuses == Some(server);
+                Effect::CheckHealth { endpoint, address } => {
+                    let refused = self.refuses == Some(endpoint);
                     let address = if self.former { ([127, 0, 0, 8], 8).into() } else { address };
                     let finding = if refused {
                         HealthCheckOutcome::Refused
                     } else {
                         HealthCheckOutcome::Passed(Some(0.5))
                     };
-                    self.controller.probed(self.now, server, address, finding, Duration::ZERO);
+                    self.control_plane.health_check_finished(
+                        self.now,
+                        endpoint,
+                        address,
+                        finding,
+                        Duration::ZERO,
+                    );
                 }
             }
         }
--- a/crates/platform/tests/controller/unjoined.rs
+++ b/crates/platform/tests/controller/unjoined.rs
@@ -25,7 +25,10 @@
     ] {
         stage.say(2, &good.replace(from, to));
     }
-    assert_eq!((stage.controller.sums.spoilt, stage.controller.sums.reports), (11, 0));
+    assert_eq!(
+        (stage.control_plane.counters().invalid_messages, stage.control_plane.counters().reports),
+        (11, 0)
+    );
     stage.say(2, good);
     for line in [
         r#"{"t":"done","node":3,"nonce":"x","latency":1}"#,
@@ -36,7 +39,10 @@
         stage.say(1, line);
     }
     stage.say(1, r#"{"t":"client_stats","node":3,"route":"look","total":9,"errors":0,"interval":1000.0}"#);
-    assert_eq!((stage.controller.sums.spoilt, stage.controller.sums.reports), (15, 2));
+    assert_eq!(
+        (stage.control_plane.counters().invalid_messages, stage.control_plane.counters().reports),
+        (15, 2)
+    );
     expect![[""]].assert_eq(&stage.trace);
     stage.say(1, "{\"t\":\"done\"").say(2, "GET / HTTP/1.1");
     expect![[r#"
@@ -116,16 +122,16 @@
     (2..25).for_each(|connection| {
         stage.accept(connection);
     });
-    let acceptance = |stage: &Stage| format!("{:?}", stage.controller.acceptance(stage.now));
+    let acceptance = |stage: &Stage| format!("{:?}", stage.control_plane.acceptance(stage.now));
     assert_eq!(acceptance(&stage), "Wait(300ms)");
     stage.run_to(0.3);
     assert_eq!(acceptance(&stage), "Evict(2)");
-    let call = stage.controller.last_call(2);
-    assert_eq!(call, Effect::LastCall { connection: 2 });
+    let call = stage.control_plane.request_final_read(2);
+    assert_eq!(call, Effect::FinalRead { connection: 2 });
     // One goes at a time, and counts until its descriptor is free.
-    stage.controller.dismiss(2);
+    stage.control_plane.final_read_done(2);
     assert_eq!(acceptance(&stage), "Wait(2ms)");
-    stage.controller.closed(2);
+    stage.control_plane.connection_closed(2);
     assert_eq!(acceptance(&stage), "Accept");
 }
 
@@ -133,12 +139,12 @@
 fn a_joining_that_came_before_the_last_call_was_answered_holds() {
     let mut stage = Stage::new();
     stage.accept(1).accept(2);
-    let calls = [1, 2].map(|connection| stage.controller.last_call(connection));
-    assert_eq!(calls, [1, 2].map(|connection| Effect::LastCall { connection }));
+    let calls = [1, 2].map(|connection| stage.control_plane.request_final_read(connection));
+    assert_eq!(calls, [1, 2].map(|connection| Effect::FinalRead { connection }));
     // What the first one had said is read now.
     let joining = r#"{"t":"attach","node":3,"locality":"a","w":5,"cold":true}"#;
-    stage.controller.read(stage.now, 1, joining.as_bytes());
-    [1, 2].into_iter().for_each(|connection| stage.controller.dismiss(connection));
+    stage.control_plane.line_received(stage.now, 1, joining.as_bytes());
+    [1, 2].into_iter().for_each(|connection| stage.control_plane.final_read_done(connection));
     let trace = stage.run_to(6.0);
     assert!(trace.contains("1 < {\"t\":\"assign\",\"full\":true"), "{trace}");
     assert!(trace.contains("2 ends") && !trace.contains("1 ends"), "{trace}");
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -179,7 +179,7 @@
             "PROXY_STATS" => {
                 line.number::<u64>("unanswered")?;
                 line.time("period")?;
-                let class = instance.places.class(line.word("class")?)?;
+                let class = instance.places.class(line.word("class")?).map_err(|e| e.to_string())?;
                 let proxy = line.number("proxy")?;
                 let visits = line.number("visits")?;
                 instance.guard(|pilot| pilot.record_requests(proxy, class, visits));
@@ -202,7 +202,7 @@
                 let fresh = line.flag("fresh")?;
                 let proxy = line.number("proxy")?;
                 let rate = line.amount("rate")?;
-                let zone = instance.places.zone(line.word("zone")?)?;
+                let zone = instance.places.zone(line.word("zone")?).map_err(|e| e.to_string())?;
                 instance.guard(|pilot| pilot.attach_proxy(proxy, zone, rate, fresh));
             }
             "DETACHED" => {
@@ -286,7 +286,7 @@
 
 impl Instance {
     fn new(seed: u64, settings: &str, clock: Duration) -> Result<Self, String> {
-        let settings = parse_settings(settings)?;
+        let settings = parse_settings(settings).map_err(|e| e.to_string())?;
         let slices = settings.fleet.key_ranges > 0.0;
         let idle = "the keys are in slices, for which lockcroft lays no tables yet: idle";
         let idle = slices.then(|| ("NOTE_DOWN", idle.to_string()));
@@ -302,8 +302,8 @@
 
     fn entry(&mut self, line: &mut Line, clock: Duration) -> Result<EndpointRecord, String> {
         let server = self.servers.index(line.word("server")?);
-        let zone = self.places.zone(line.word("zone")?)?;
-        let kind = self.places.machine_type(line.word("kind")?)?;
+        let zone = self.places.zone(line.word("zone")?).map_err(|e| e.to_string())?;
+        let kind = self.places.machine_type(line.word("kind")?).map_err(|e| e.to_string())?;
         line.number::<i64>("cell")?;
         let state = match line.word("state")? {
             "U" => EndpointStatus::Ready,
