--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -29,7 +29,7 @@
         let path = self.config.unwrap_or_default();
         let config = match path.as_os_str().is_empty() {
             true => Err("LB_CONFIG: not set, nor --config; allowed: the path of the configuration".into()),
-            false => io::open(&path),
+            false => io::open(&path).map_err(|e| e.to_string()),
         };
         if self.json {
             println!("{}", json!({"fault": config.as_ref().err()}));
@@ -45,7 +45,7 @@
             return ExitCode::SUCCESS;
         }
         let logs = lockcroft_daemon::start_logs(&LogConfig { levels: Some(self.log), json: false });
-        match logs.and_then(|_logs| io::serve(&path, config)) {
+        match logs.and_then(|_logs| io::serve(&path, config).map_err(|e| e.to_string())) {
             Ok(()) => ExitCode::SUCCESS,
             Err(fault) => {
                 eprintln!("lockcroft: {fault}");
--- a/crates/config/src/post.rs
+++ b/crates/config/src/post.rs
@@ -267,7 +267,7 @@
     fn proxy(&mut self, node: Node, places: &NameIndex) -> Option<ProxyConfig> {
         let zones = places.zones.join(", ");
         let zone = places.zone(&text(node, "zone"));
-        let zone = zone.map_err(|wrong| self.document.error(node, wrong, Some(&zones)));
+        let zone = zone.map_err(|wrong| self.document.error(node, wrong.to_string(), Some(&zones)));
         let address = text(node, "address").parse();
         let address = address.map_err(|wrong: String| self.document.error(node, wrong, None));
         let rate = node.attribute("visits-per-s").map_or(1.0, |rate| rate.parse().unwrap_or(1.0));
--- a/crates/config/src/roster.rs
+++ b/crates/config/src/roster.rs
@@ -91,8 +91,9 @@
     let text = |name: &str| node.attribute(name).unwrap_or_default();
     let zones = places.zones.join(", ");
     let kinds = places.machine_types.join(", ");
-    let zone = places.zone(text("zone")).map_err(|e| document.error(node, e, Some(&zones)))?;
-    let kind = places.machine_type(text("kind")).map_err(|e| document.error(node, e, Some(&kinds)))?;
+    let zone = places.zone(text("zone")).map_err(|e| document.error(node, e.to_string(), Some(&zones)))?;
+    let kind =
+        places.machine_type(text("kind")).map_err(|e| document.error(node, e.to_string(), Some(&kinds)))?;
     let wrong = |_| document.error(node, format!("{:?} is no address", text("address")), Some("IP:PORT"));
     let address = text("address").parse().map_err(wrong)?;
     let weight = node.attribute("weight").map_or(1.0, |weight| weight.parse().unwrap_or(1.0));
