--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -146,10 +146,14 @@
             let age_ms = record.age.map(|age| age.as_millis() as u64);
             debug!(target: "lockcroft::endpoints", endpoint, status = ?record.status, age_ms, "listed");
         }
-        let entries = update.records.len();
-        if entries > 0 {
-            let (version, complete) = (update.version, update.is_complete);
-            info!(target: "lockcroft::endpoints", version, complete, entries, "list updated");
+        if !update.records.is_empty() {
+            info!(
+                target: "lockcroft::endpoints",
+                version = update.version,
+                complete = update.is_complete,
+                entries = update.records.len(),
+                "list updated"
+            );
         }
     }
 
--- a/crates/platform/src/ejections.rs
+++ b/crates/platform/src/ejections.rs
@@ -1,4 +1,4 @@
-//! The endpoints that one proxy is to keep from whatever its tables say, and what it was told of that on its stream.
+//! The endpoints that one proxy is not to use whatever its tables say, and what was sent of that on its stream.
 //!
 //! A proxy keeps its ejections over a change of streams and does not say which ones it has. So endpoints that some
 //! controller may have ejected are restored together with their entries, once a stream.
@@ -17,7 +17,7 @@
     desired: BTreeSet<EndpointId>,
     /// Ejections that were sent on this stream and not taken back.
     sent: BTreeSet<EndpointId>,
-    /// Endpoints that were restored on this stream, so that the proxy surely does not keep from them.
+    /// Endpoints that were restored on this stream, so that the proxy surely uses them again.
     restored: BTreeSet<EndpointId>,
 }
 
@@ -64,8 +64,8 @@
         changes
     }
 
-    /// Those of the endpoints that are to be restored with their entries, as the proxy may keep from them since an
-    /// earlier stream. They count as sent.
+    /// Those of the endpoints that are to be restored with their entries, as the proxy may hold their ejection since
+    /// an earlier stream. They count as sent.
     pub fn take_earlier<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a EndpointId>,
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -92,22 +92,23 @@
     pub fn apply(&mut self, now: Now, message: &Value, names: &NameIndex) -> Result<ListUpdate, ListError> {
         let message = ListMessage::parse(message)?;
         self.check_version(now, &message)?;
-        let (records, errors) = self.records(now, message.entries, names);
+        let update = self.read_entries(now, &message, names);
         // A list of which nothing can be used must not take away all that is held.
-        if message.is_complete && records.is_empty() && !self.listed.is_empty() {
-            return Err(ListError::NothingUsable { rejected: errors.len() });
+        if update.is_complete && update.records.is_empty() && !self.listed.is_empty() {
+            return Err(ListError::NothingUsable { rejected: update.errors.len() });
         }
-        if message.is_complete {
-            self.remove_unlisted(&records);
+        if update.is_complete {
+            self.remove_unlisted(&update.records);
         }
-        records.iter().for_each(|record| self.apply_record(record));
-        self.version = Some(message.version);
+        update.records.iter().for_each(|record| self.apply_record(record));
+        self.version = Some(update.version);
         self.stale_since = None;
-        Ok(ListUpdate { is_complete: message.is_complete, version: message.version, records, errors })
+        Ok(update)
     }
 
     fn check_version(&mut self, now: Now, message: &ListMessage) -> Result<(), ListError> {
-        let (version, held) = (message.version, self.version);
+        let version = message.version;
+        let held = self.version;
         if !message.is_complete && held.is_none_or(|held| version < held) {
             return Err(ListError::ChangesWithoutBase { version, held });
         }
@@ -120,21 +121,20 @@
         Ok(())
     }
 
-    fn records(
-        &mut self,
-        now: Now,
-        entries: &[Value],
-        names: &NameIndex,
-    ) -> (Vec<EndpointRecord>, Vec<EntryError>) {
-        let mut records = Vec::new();
-        let mut errors = Vec::new();
-        for entry in entries {
+    fn read_entries(&mut self, now: Now, message: &ListMessage, names: &NameIndex) -> ListUpdate {
+        let mut update = ListUpdate {
+            is_complete: message.is_complete,
+            version: message.version,
+            records: Vec::new(),
+            errors: Vec::new(),
+        };
+        for entry in message.entries {
             match ListEntry::parse(entry, names) {
-                Ok(entry) => records.push(self.record(now, &entry)),
-                Err(error) => errors.push(error),
+                Ok(entry) => update.records.push(self.record(now, &entry)),
+                Err(error) => update.errors.push(error),
             }
         }
-        (records, errors)
+        update
     }
 
     fn record(&mut self, now: Now, entry: &ListEntry) -> EndpointRecord {
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -1,5 +1,5 @@
 //! Messages of proxies and collectors: one JSON object on a line becomes a typed message. This is the only place with
-//! the names of their fields. Errors are told apart by what they cost: after a line that can't be read nothing on the
+//! the names of their fields. Errors differ by what they cost: after a line that can't be read nothing on the
 //! connection can be trusted, while a field that can't be used costs that one message.
 
 use std::time::Duration;
--- a/crates/platform/src/io/connection.rs
+++ b/crates/platform/src/io/connection.rs
@@ -67,7 +67,7 @@
         self.wake.notify_one();
     }
 
-    /// Has the control plane told once what came on the connection by now is read.
+    /// Has what came on the connection by now read, and the control plane notified.
     pub fn final_read(&self) {
         self.final_read.set(true);
         self.wake.notify_one();
@@ -170,8 +170,11 @@
     /// Hands whole lines on; the rest stays. A line without an end can't be read.
     fn handle_lines(&mut self) {
         let mut control_plane = self.shared.control_plane.borrow_mut();
-        let (connection, now) = (self.connection, || self.shared.now());
-        while self.inbox.next_line(|line| control_plane.line_received(now(), connection, line)).is_some() {}
+        let connection = self.connection;
+        let mut handle_line = |line: &[u8]| {
+            control_plane.line_received(self.shared.now(), connection, line);
+        };
+        while self.inbox.next_line(&mut handle_line).is_some() {}
         if self.inbox.waiting().len() > control_plane.max_line_bytes(connection) {
             control_plane.reject(connection, "a message without end");
         }
--- a/crates/platform/src/io/listener.rs
+++ b/crates/platform/src/io/listener.rs
@@ -11,7 +11,7 @@
 
 use super::connection;
 use super::error::ServeError;
-use super::shared::Shared;
+use super::shared::{AcceptedConnection, Shared};
 use crate::config::Config;
 use crate::connection_admission::Acceptance;
 
@@ -79,7 +79,7 @@
 }
 
 fn start_connection(stream: TcpStream, shared: Rc<Shared>) {
-    let (connection, handle) = shared.add_connection();
+    let AcceptedConnection { connection, handle } = shared.add_connection();
     spawn_local(async move {
         // Whatever ended it, nothing more is to be heard.
         let _ = connection::run(stream, connection, &handle, &shared).await;
--- a/crates/platform/src/io/shared.rs
+++ b/crates/platform/src/io/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks share: the control plane, the clock and the handles of connections. All tasks run on one thread, and
+//! The state that all tasks share: the control plane, the clock and the handles of connections. All tasks run on one thread, and
 //! none holds a borrow of the control plane over an await.
 
 use std::cell::{Cell, RefCell};
@@ -14,6 +14,7 @@
 use crate::connection_admission::ConnectionId;
 use crate::control_plane::{ControlPlane, Effect};
 
+/// What all tasks share.
 pub struct Shared {
     pub control_plane: RefCell<ControlPlane>,
     started_at: Instant,
@@ -23,7 +24,14 @@
     last_connection: Cell<ConnectionId>,
 }
 
+/// A connection that was added, and how its task is reached.
+pub struct AcceptedConnection {
+    pub connection: ConnectionId,
+    pub handle: Rc<ConnectionHandle>,
+}
+
 impl Shared {
+    /// A control plane that has not begun; its clock starts now.
     pub fn new(config: &Config) -> Rc<Self> {
         Rc::new(Shared {
             control_plane: RefCell::new(ControlPlane::new(config)),
@@ -45,14 +53,14 @@
     }
 
     /// Adds a connection that was accepted.
-    pub fn add_connection(&self) -> (ConnectionId, Rc<ConnectionHandle>) {
+    pub fn add_connection(&self) -> AcceptedConnection {
         let connection = self.last_connection.get() + 1;
         self.last_connection.set(connection);
         let handle = Rc::new(ConnectionHandle::default());
         self.handles.borrow_mut().insert(connection, handle.clone());
         self.control_plane.borrow_mut().connection_accepted(self.now(), connection);
         self.input_arrived.notify_one();
-        (connection, handle)
+        AcceptedConnection { connection, handle }
     }
 
     /// Removes a connection whose socket is closed.
@@ -62,6 +70,7 @@
         self.after_input();
     }
 
+    /// How many connections hold a descriptor.
     pub fn connections(&self) -> usize {
         self.handles.borrow().len()
     }
--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -48,7 +48,7 @@
         }
         shared.decide();
     }
-    info!(target: "lockcroft::platform", "told to end; proxies keep their tables");
+    info!(target: "lockcroft::platform", "SIGTERM received; proxies keep their tables");
     accepting.abort();
     shared.decide();
     tokio::select! {
--- a/crates/platform/src/proxy_stream.rs
+++ b/crates/platform/src/proxy_stream.rs
@@ -71,7 +71,7 @@
         self.tables.contains_key(&table)
     }
 
-    /// Keeps the proxy from an endpoint. A proxy whose classes are all on assigned tables needs no message for that:
+    /// Ejects an endpoint at this proxy. A proxy whose classes are all on assigned tables needs no message for that:
     /// the endpoint leaves those tables.
     pub fn eject(&mut self, endpoint: EndpointId, class_count: usize) {
         let assigned: usize = self.tables.values().map(|table| table.classes.len()).sum();
