--- a/crates/platform/src/assigned_table.rs
+++ b/crates/platform/src/assigned_table.rs
@@ -10,10 +10,12 @@
 pub struct PublishedView<'a> {
     pub published: &'a PublishedTables,
     pub endpoints: &'a EndpointList,
+    /// Names of all classes, by their ids.
     pub class_names: &'a [String],
 }
 
 impl<'a> PublishedView<'a> {
+    /// The name of an endpoint, as messages have it.
     pub fn endpoint_name(&self, endpoint: EndpointId) -> &'a str {
         self.endpoints.name(endpoint)
     }
@@ -26,6 +28,7 @@
 /// One table of a proxy, for some of its classes.
 #[derive(Debug)]
 pub struct AssignedTable {
+    /// The classes that use this table.
     pub classes: Vec<ClassId>,
     /// The table as it was last sent on this stream.
     last_sent: Option<PublishedTable>,
@@ -38,6 +41,7 @@
 }
 
 impl AssignedTable {
+    /// A table that was not sent yet.
     pub fn new(classes: Vec<ClassId>) -> Self {
         AssignedTable { classes, last_sent: None }
     }
--- a/crates/platform/src/connection_admission.rs
+++ b/crates/platform/src/connection_admission.rs
@@ -44,6 +44,7 @@
 }
 
 impl ConnectionAdmission {
+    /// No connections yet, of a process that may hold so many descriptors.
     pub fn new(max_descriptors: usize) -> Self {
         ConnectionAdmission {
             max_descriptors,
@@ -78,11 +79,13 @@
         }
     }
 
+    /// A connection was accepted; it is unattached.
     pub fn accepted(&mut self, now: Duration, connection: ConnectionId) {
         self.open += 1;
         self.unattached.insert(connection, now);
     }
 
+    /// The connection said who it is; it may stay.
     pub fn attached(&mut self, connection: ConnectionId) {
         self.unattached.remove(&connection);
         self.closing.remove(&connection);
--- a/crates/platform/src/ejections.rs
+++ b/crates/platform/src/ejections.rs
@@ -29,6 +29,7 @@
 }
 
 impl EjectionChanges {
+    /// Whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.eject.is_empty() && self.restore.is_empty()
     }
@@ -45,10 +46,12 @@
         }
     }
 
+    /// The proxy is not to use the endpoint.
     pub fn eject(&mut self, endpoint: EndpointId) {
         self.desired.insert(endpoint);
     }
 
+    /// The proxy may use the endpoint again.
     pub fn restore(&mut self, endpoint: EndpointId) {
         self.desired.remove(&endpoint);
     }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -18,6 +18,7 @@
 pub struct ListUpdate {
     /// The records are the whole list.
     pub is_complete: bool,
+    /// The version of the list after this update.
     pub version: u64,
     pub records: Vec<EndpointRecord>,
     /// Why entries could not be used; the others count.
@@ -58,14 +59,17 @@
 }
 
 impl EndpointList {
+    /// The name of an endpoint that was listed at some time.
     pub fn name(&self, endpoint: EndpointId) -> &str {
         self.names.name(endpoint)
     }
 
+    /// The endpoint of this name, if it was listed at some time.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.find(name)
     }
 
+    /// Where the endpoint listens, as last listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.addresses.get(&endpoint).copied()
     }
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -112,6 +112,7 @@
 }
 
 impl ReportLimits {
+    /// Limits that follow from the settings.
     pub fn new(settings: &Settings) -> Self {
         let longest_timeout = settings.classes.iter().filter_map(|class| class.client_timeout).max();
         let max_attempt_latency = longest_timeout.map_or(DEFAULT_MAX_ATTEMPT_LATENCY, |timeout| timeout * 2);
--- a/crates/platform/src/io/signals.rs
+++ b/crates/platform/src/io/signals.rs
@@ -13,7 +13,9 @@
 /// A signal that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
+    /// The controller is to end.
     Terminate,
+    /// The configuration is to be read again.
     Hangup,
 }
 
--- a/crates/platform/src/outbound.rs
+++ b/crates/platform/src/outbound.rs
@@ -23,6 +23,7 @@
 /// One part of a message to a proxy: what changes for some of its classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdatePart<'a> {
+    /// The kind of the message.
     #[serde(rename = "t")]
     pub kind: MessageKind,
     /// The classes whose table is meant; all of them if `None`.
@@ -31,13 +32,17 @@
     /// The entries are the whole table, and admission starts anew.
     #[serde(rename = "full", skip_serializing_if = "is_false")]
     pub replaces_table: bool,
+    /// Entries that change.
     #[serde(rename = "endpoints", skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<EntryChange<'a>>,
+    /// What is admitted of the classes, if that changes.
     #[serde(flatten)]
     pub admission: Option<AdmissionChange>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
+    /// Endpoints that the proxy is not to use.
+    #[serde(rename = "eject", skip_serializing_if = "Vec::is_empty")]
     pub eject: Vec<&'a str>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
+    /// Endpoints that the proxy may use again.
+    #[serde(rename = "restore", skip_serializing_if = "Vec::is_empty")]
     pub restore: Vec<&'a str>,
     /// To be acknowledged once everything up to here is applied.
     #[serde(rename = "nonce_out", skip_serializing_if = "Option::is_none")]
--- a/crates/platform/src/proxy_stream.rs
+++ b/crates/platform/src/proxy_stream.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// A nonce was sent on this stream.
     pub fn record_nonce(&mut self, nonce: SentNonce) {
         self.pending_nonces.push_back(nonce);
         if self.pending_nonces.len() > MAX_PENDING_NONCES {
@@ -67,6 +68,7 @@
         self.tables.insert(table, AssignedTable::new(classes));
     }
 
+    /// Whether the proxy is assigned to this table.
     pub fn has_table(&self, table: TableId) -> bool {
         self.tables.contains_key(&table)
     }
@@ -80,6 +82,7 @@
         }
     }
 
+    /// Ends the ejection of an endpoint.
     pub fn restore(&mut self, endpoint: EndpointId) {
         self.ejections.restore(endpoint);
     }
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -48,6 +48,7 @@
 }
 
 impl Adapter {
+    /// Reads a batch whose first line was read, and makes the reply to it.
     fn run_batch(&mut self, input: &mut BatchInput<impl BufRead>) -> Result<(), AdapterError> {
         self.clock = read_clock(&mut input.event()).map_err(|error| input.locate(error))?;
         self.reply.clear();
@@ -107,6 +108,7 @@
         Ok(announced)
     }
 
+    /// Reads the entries of a list, and hands it to its instance.
     fn handle_list(
         &mut self,
         input: &mut BatchInput<impl BufRead>,
@@ -127,6 +129,7 @@
         Ok(())
     }
 
+    /// The instance is gone, with whatever it would have done.
     fn kill(&mut self, number: u32) {
         self.instances.remove(&number);
         self.pending.retain(|pending| *pending != number);
@@ -138,6 +141,7 @@
         }
     }
 
+    /// Makes the reply: the actions of all instances with an event.
     fn write_actions(&mut self) {
         for number in std::mem::take(&mut self.pending) {
             if let Some(instance) = self.instances.get_mut(&number) {
--- a/crates/sim-adapter/src/batch_input.rs
+++ b/crates/sim-adapter/src/batch_input.rs
@@ -13,6 +13,7 @@
 }
 
 impl<R: BufRead> BatchInput<R> {
+    /// Reads from here, beginning with line 1.
     pub fn new(input: R) -> Self {
         BatchInput { input, line_number: 0, line: String::new() }
     }
--- a/crates/sim-adapter/src/event_reader.rs
+++ b/crates/sim-adapter/src/event_reader.rs
@@ -20,6 +20,7 @@
 }
 
 impl<'a> EventReader<'a> {
+    /// The fields of this line, given without its end.
     pub fn new(line: &'a str) -> Self {
         let (tag, rest) = split_word(line);
         EventReader { tag, rest }
@@ -30,6 +31,7 @@
         self.tag
     }
 
+    /// A field without spaces.
     pub fn word(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         let (word, rest) = split_word(self.rest.ok_or(FieldError::Missing(field))?);
         self.rest = rest;
@@ -41,6 +43,7 @@
         self.rest.take().ok_or(FieldError::Missing(field))
     }
 
+    /// A number of this type.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, FieldError> {
         let word = self.word(field)?;
         word.parse().map_err(|_| FieldError::NotANumber { field, found: word.into() })
@@ -56,6 +59,7 @@
         }
     }
 
+    /// A flag, 1 or 0 on the wire.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, FieldError> {
         match self.word(field)? {
             "1" => Ok(true),
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -185,6 +185,7 @@
         }
     }
 
+    /// The time since the start of the instance.
     fn now(&self, clock: Duration) -> Duration {
         clock.saturating_sub(self.started_at)
     }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -146,6 +146,7 @@
     write_line(reply, format_args!("{END_OF_REPLY}"));
 }
 
+/// Sets of classes are bits on the wire.
 fn class_bit(class: ClassId) -> u64 {
     1 << class
 }
