--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 
 use lockcroft_config::TableFilesConfig;
-use lockcroft_fleet::{AppliedReport, Publication, PublishError};
+use lockcroft_fleet::{AppliedReport, AppliedVersion, Publication, PublishError, RejectedVersion};
 use lockcroft_table_format::proto::Status;
 use lockcroft_table_store::{SnapshotWriter, StatusReader, WriteError, WrittenSnapshot, read_keys};
 use tracing::info;
@@ -69,7 +69,7 @@
                 info!(target: "lockcroft::daemon", epoch = writer.epoch(), "epoch of files taken");
                 none.insert(writer)
             }
-            (None, Err(wrong)) => return Err(PublishError::Failed(wrong)),
+            (None, Err(wrong)) => return Err(PublishError::Failed(wrong.into())),
         };
         writer.write(&publication.content, publication.keep).map_err(|wrong| match wrong {
             WriteError::Fenced(epoch) => PublishError::Fenced(epoch),
@@ -79,7 +79,7 @@
 }
 
 fn failed(at: &TableFilesConfig, why: &str) -> PublishError {
-    PublishError::Failed(format!("{}: {why}", at.directory.display()))
+    PublishError::Failed(format!("{}: {why}", at.directory.display()).into())
 }
 
 /// Looks at what proxies write back, and tells what changed.
@@ -110,7 +110,15 @@
     let since = |at_ms: u64| Duration::from_millis(at_ms).saturating_sub(start);
     AppliedReport {
         proxy: status.proxy,
-        laid: status.laid.last().map(|laid| (laid.epoch, laid.version, since(laid.at_ms))),
-        refused: status.refused.into_option().map(|refused| (refused.epoch, refused.version, refused.why)),
+        applied: status.laid.last().map(|laid| AppliedVersion {
+            epoch: laid.epoch,
+            version: laid.version,
+            applied_at: since(laid.at_ms),
+        }),
+        rejected: status.refused.into_option().map(|refused| RejectedVersion {
+            epoch: refused.epoch,
+            version: refused.version,
+            reason: refused.why,
+        }),
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -16,7 +16,7 @@
 
 use lockcroft::{EndpointId, HealthCheckOutcome, ProxyId};
 use lockcroft_config::{DaemonConfig, EndpointListConfig, EndpointListSource};
-use lockcroft_fleet::{AppliedReport, Effect, FleetController, PublishError, SolverTask, StateRecovery};
+use lockcroft_fleet::{AppliedReport, Effect, FleetController, PublishError, SolverTask, StateStoreStatus};
 use lockcroft_runtime_api::{Address, Listener};
 use lockcroft_solver::Answer;
 use lockcroft_table_store::WrittenSnapshot;
@@ -42,7 +42,7 @@
     Planned { answer: Option<Answer> },
     SnapshotWritten { done: Result<WrittenSnapshot, PublishError> },
     Laid { reports: Vec<AppliedReport> },
-    StateSaved(StateRecovery),
+    StateSaved(StateStoreStatus),
     Answered { proxy: ProxyId, stream: u64, texts: Vec<String> },
 }
 
@@ -82,7 +82,7 @@
         .collect();
     let kept = post.state_directory.as_ref().and_then(|folder| memory::open(post, folder, told.clone()));
     let keeper = kept.map(|(keeper, recalled)| {
-        station.borrow_mut().helm.remember(recalled);
+        station.borrow_mut().helm.restore_state(recalled);
         keeper
     });
     let press = post
@@ -118,7 +118,7 @@
         let effects = {
             let helm = &mut station.borrow_mut().helm;
             batch.drain(..).for_each(|news| take_in(helm, start.elapsed(), news));
-            helm.decide(start.elapsed())
+            helm.run_actions(start.elapsed())
         };
         effects
             .into_iter()
@@ -152,16 +152,16 @@
 
 fn take_in(helm: &mut FleetController, now: Duration, news: Event) {
     match news {
-        Event::Listed(roster) => helm.listed(now, SystemTime::now(), roster),
-        Event::Probed { server, finding, took } => helm.probed(now, server, finding, took),
-        Event::Planned { answer } => helm.planned(now, answer),
-        Event::SnapshotWritten { done } => helm.written(now, done),
-        Event::StateSaved(kept) => helm.kept(kept),
-        Event::Laid { reports } => reports.into_iter().for_each(|report| helm.laid(now, report)),
+        Event::Listed(roster) => helm.update_endpoint_list(now, SystemTime::now(), roster),
+        Event::Probed { server, finding, took } => helm.health_check_finished(now, server, finding, took),
+        Event::Planned { answer } => helm.plan_solved(now, answer),
+        Event::SnapshotWritten { done } => helm.snapshot_written(now, done),
+        Event::StateSaved(kept) => helm.state_saved(kept),
+        Event::Laid { reports } => reports.into_iter().for_each(|report| helm.snapshot_applied(now, report)),
         Event::Connected { proxy, stream } => helm.connected(now, proxy, stream),
-        Event::Broken { proxy, stream, why } => helm.broken(now, proxy, stream, &why),
+        Event::Broken { proxy, stream, why } => helm.disconnected(now, proxy, stream, &why),
         Event::Answered { proxy, stream, texts } => {
-            texts.iter().for_each(|text| helm.answered(now, proxy, stream, text));
+            texts.iter().for_each(|text| helm.response_received(now, proxy, stream, text));
         }
     }
 }
@@ -174,7 +174,7 @@
     told: &Told,
 ) {
     match effect {
-        Effect::Probe { server, address } => {
+        Effect::CheckHealth { endpoint: server, address } => {
             let told = told.clone();
             spawn_local(async move {
                 let (finding, took) = probe(address).await;
@@ -186,14 +186,16 @@
             spawn_local(async move { drop(told.send(solve(task).await).await) });
         }
         // Without a folder no proxy reads files, and nothing is given out for them.
-        Effect::Publish(publication) => press.into_iter().for_each(|press| press.write(publication.clone())),
-        Effect::Remember(entries) => {
+        Effect::PublishSnapshot(publication) => {
+            press.into_iter().for_each(|press| press.write(publication.clone()))
+        }
+        Effect::SaveState(entries) => {
             if let Some(keeper) = keeper {
                 keeper.write(entries);
             }
         }
-        Effect::Dial { proxy, stream, after } => hands[proxy].dial(stream, after),
-        Effect::Write { proxy, stream, text } => hands[proxy].write(stream, text),
+        Effect::Connect { proxy, connection: stream, after } => hands[proxy].dial(stream, after),
+        Effect::Write { proxy, connection: stream, text } => hands[proxy].write(stream, text),
         Effect::Close { proxy } => hands[proxy].close(),
     }
 }
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -6,7 +6,7 @@
 
 use lockcroft::Settings;
 use lockcroft_config::DaemonConfig;
-use lockcroft_fleet::StateRecovery;
+use lockcroft_fleet::StateStoreStatus;
 use lockcroft_state_store::{
     AgeingRules, DirectoryStorage, Entry, LoadedState, RecoveredState, RecoveryError, Store, StoreIdentity,
     age,
@@ -100,12 +100,12 @@
         }
         if flushing {
             due = wrong.is_some().then(|| Instant::now() + FLUSH_EVERY);
-            let kept = StateRecovery {
+            let kept = StateStoreStatus {
                 entries: store.state().len(),
                 bytes: store.bytes(),
-                number: store.number(),
-                flush: begun.elapsed(),
-                trouble: wrong.clone(),
+                snapshot_number: store.number(),
+                last_flush: begun.elapsed(),
+                error: wrong.clone(),
             };
             if told.blocking_send(Event::StateSaved(kept)).is_err() {
                 return;
--- a/crates/daemon/src/station.rs
+++ b/crates/daemon/src/station.rs
@@ -22,16 +22,21 @@
     }
 
     fn set_server(&mut self, command: &Command) -> Result<String, String> {
-        let server = self.helm.server_of(command.word(2).unwrap_or_default())?;
+        let server =
+            self.helm.find_endpoint(command.word(2).unwrap_or_default()).map_err(|e| e.to_string())?;
         match (command.word(3), command.word(4)) {
-            (Some("state"), Some("drain" | "maint")) => self.helm.say(server, |word| word.drains = true),
-            (Some("state"), Some("ready")) => self.helm.say(server, |word| word.drains = false),
+            (Some("state"), Some("drain" | "maint")) => {
+                self.helm.override_endpoint(server, |word| word.draining = true)
+            }
+            (Some("state"), Some("ready")) => {
+                self.helm.override_endpoint(server, |word| word.draining = false)
+            }
             (Some("state"), _) => {
                 return Err("'set server <srv> state' expects 'ready', 'drain' and 'maint'.".into());
             }
             (Some("weight"), Some(text)) => {
-                let weight = self.helm.weight_of(server, text)?;
-                self.helm.say(server, |word| word.weight = (text != "100%").then_some(weight));
+                let weight = self.helm.parse_weight(server, text).map_err(|e| e.to_string())?;
+                self.helm.override_endpoint(server, |word| word.weight = (text != "100%").then_some(weight));
             }
             _ => return Err("usage: set server <backend>/<server> state|weight <value>".into()),
         }
@@ -71,8 +76,8 @@
 }
 
 fn problem(helm: &FleetController) -> Result<String, String> {
-    let (problem, servers) = helm.plan().ok_or("No plan yet.")?;
-    let places = helm.places();
+    let (problem, servers) = helm.last_problem().ok_or("No plan yet.")?;
+    let places = helm.names();
     let (zones, classes) = (places.zones.clone(), places.classes.clone());
     Ok(lockcroft_solver_format::write(&NamedProblem { problem: problem.clone(), zones, servers, classes }))
 }
@@ -88,13 +93,15 @@
             "show info" => Ok(helm.show_info()),
             "show version" => Ok(format!("lockcroft {}\n", env!("CARGO_PKG_VERSION"))),
             "show stat" => Ok(helm.show_stat()),
-            "show servers state [<backend>]" => helm.show_servers(command.word(3)),
-            "show backend" => Ok(helm.show_backend()),
+            "show servers state [<backend>]" => {
+                helm.show_endpoints(command.word(3)).map_err(|e| e.to_string())
+            }
+            "show backend" => Ok(helm.show_tables()),
             "show proxies" => Ok(helm.show_proxies()),
-            "show levels" => Ok(helm.show_levels()),
+            "show levels" => Ok(helm.show_admission()),
             "show plan" => Ok(helm.show_plan()),
             "show plan problem" => problem(helm),
-            "show memory" => Ok(helm.show_memory()),
+            "show memory" => Ok(helm.show_state_store()),
             "show events [-w]" => {
                 let mut mark = 0;
                 let text = helm.events_since(&mut mark);
--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -1,5 +1,5 @@
-//! Time of one wave in the helm alone, without sockets: the lines of a start, and of a zone that is
-//! lost, at 640 servers and 848 proxies. Run: cargo bench -p lockcroft-fleet
+//! Time of one update batch in the fleet controller alone, without sockets: the entries of a start, and of a zone
+//! that is lost, at 640 endpoints and 848 proxies. Run: cargo bench -p lockcroft-fleet
 
 use std::fmt::Write;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use lockcroft_fleet::{Effect, FleetController};
 use lockcroft_state_store::RecoveredState;
 
-const SERVERS: usize = 640;
+const ENDPOINTS: usize = 640;
 const PROXIES: usize = 848;
 
 fn settings() -> String {
@@ -31,7 +31,7 @@
     )
 }
 
-fn roster(version: u64, lost: Option<usize>) -> EndpointListConfig {
+fn endpoint_list(version: u64, lost: Option<usize>) -> EndpointListConfig {
     let entry = |i: usize| EndpointEntry {
         name: format!("server-{i}"),
         zone: i % 4,
@@ -41,23 +41,23 @@
         weight: 1.0,
         started_at: None,
     };
-    EndpointListConfig { version, entries: (0..SERVERS).map(entry).collect() }
+    EndpointListConfig { version, entries: (0..ENDPOINTS).map(entry).collect() }
 }
 
-/// Carries effects out in no time at all: probes pass, orders are answered as done.
-fn settle(helm: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
+/// Carries effects out in no time at all: health checks pass, commands are answered as done.
+fn settle(fleet: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
     let (mut commands, mut bytes) = (0, 0);
     for effect in effects {
         match effect {
-            Effect::Probe { server, .. } => {
-                helm.probed(now, server, HealthCheckOutcome::Passed(None), Duration::ZERO)
+            Effect::CheckHealth { endpoint, .. } => {
+                fleet.health_check_finished(now, endpoint, HealthCheckOutcome::Passed(None), Duration::ZERO)
             }
-            Effect::Dial { proxy, stream, .. } => helm.connected(now, proxy, stream),
-            Effect::Write { proxy, stream, text } => {
+            Effect::Connect { proxy, connection, .. } => fleet.connected(now, proxy, connection),
+            Effect::Write { proxy, connection, text } => {
                 bytes += text.len();
                 for command in text.split([';', '\n']).map(str::trim).filter(|command| !command.is_empty()) {
                     commands += 1;
-                    let answer = match command.split(' ').next() {
+                    let response = match command.split(' ').next() {
                         Some("add") => "New server registered.\n",
                         Some("del") => "Server deleted.\n",
                         Some("show") if command.starts_with("show servers") => {
@@ -65,44 +65,44 @@
                         }
                         _ => "",
                     };
-                    helm.answered(now, proxy, stream, answer);
+                    fleet.response_received(now, proxy, connection, response);
                 }
             }
-            Effect::Close { .. } | Effect::Solve(_) | Effect::Publish(_) | Effect::Remember(_) => {}
+            Effect::Close { .. } | Effect::Solve(_) | Effect::PublishSnapshot(_) | Effect::SaveState(_) => {}
         }
     }
     (commands, bytes)
 }
 
-/// What it costs the thread that decides to tell what is to be kept: each call of a quiet fleet with a zone that is lost,
-/// and all of them for a second of it.
-fn keeping(memory: bool) {
+/// What it costs the thread that decides to give out what is to be persisted: each call of a quiet fleet with a zone
+/// that is lost, and all of them for a second of it.
+fn time_recording(has_recorder: bool) {
     let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-    let post = DaemonConfig::read(&document).expect("sound");
-    let mut helm = FleetController::new(&post, 0);
-    if memory {
-        helm.remember(RecoveredState::default());
+    let config = DaemonConfig::read(&document).expect("sound");
+    let mut fleet = FleetController::new(&config, 0);
+    if has_recorder {
+        fleet.restore_state(RecoveredState::default());
     }
-    helm.listed(Duration::ZERO, SystemTime::now(), roster(0, None));
+    fleet.update_endpoint_list(Duration::ZERO, SystemTime::now(), endpoint_list(0, None));
     let (mut now, mut lost, mut times) = (Duration::ZERO, false, Vec::new());
     let (from, until) = (Duration::from_secs(8), Duration::from_secs(28));
     while now < until {
         if now > Duration::from_secs(18) && !std::mem::replace(&mut lost, true) {
-            helm.listed(now, SystemTime::now(), roster(1, Some(1)));
+            fleet.update_endpoint_list(now, SystemTime::now(), endpoint_list(1, Some(1)));
         }
         let begun = Instant::now();
-        let effects = helm.decide(now);
+        let effects = fleet.run_actions(now);
         if now > from {
             times.push(begun.elapsed());
         }
-        settle(&mut helm, now, effects);
-        now = helm.next_due().max(now + Duration::from_millis(1));
+        settle(&mut fleet, now, effects);
+        now = fleet.next_due().max(now + Duration::from_millis(1));
     }
     let sum: Duration = times.iter().sum();
     times.sort();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
     println!(
-        "memory {memory}: {} calls, p50 {:.1?}, p90 {:.1?}, p99 {:.1?}, {:.2?} for a second",
+        "memory {has_recorder}: {} calls, p50 {:.1?}, p90 {:.1?}, p99 {:.1?}, {:.2?} for a second",
         times.len(),
         at(0.5),
         at(0.9),
@@ -113,35 +113,35 @@
 
 fn main() {
     for _ in 0..2 {
-        keeping(false);
-        keeping(true);
+        time_recording(false);
+        time_recording(true);
     }
     for round in 1..=5 {
         let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-        let post = DaemonConfig::read(&document).expect("sound");
-        let mut helm = FleetController::new(&post, 0);
-        helm.listed(Duration::ZERO, SystemTime::now(), roster(0, None));
+        let config = DaemonConfig::read(&document).expect("sound");
+        let mut fleet = FleetController::new(&config, 0);
+        fleet.update_endpoint_list(Duration::ZERO, SystemTime::now(), endpoint_list(0, None));
         let mut now = Duration::ZERO;
-        let mut wave = |name: &str, helm: &mut FleetController, until: Duration| {
-            let (mut most, mut sums) = (Duration::ZERO, (0, 0));
+        let mut time_batch = |name: &str, fleet: &mut FleetController, until: Duration| {
+            let (mut longest, mut largest) = (Duration::ZERO, (0, 0));
             while now < until {
                 let begun = Instant::now();
-                let effects = helm.decide(now);
-                let took = begun.elapsed();
-                let (commands, bytes) = settle(helm, now, effects);
-                if commands > sums.0 {
-                    (most, sums) = (took, (commands, bytes));
+                let effects = fleet.run_actions(now);
+                let elapsed = begun.elapsed();
+                let (commands, bytes) = settle(fleet, now, effects);
+                if commands > largest.0 {
+                    (longest, largest) = (elapsed, (commands, bytes));
                 }
-                now = helm.next_due().max(now + Duration::from_millis(1));
+                now = fleet.next_due().max(now + Duration::from_millis(1));
             }
-            let (commands, bytes) = sums;
+            let (commands, bytes) = largest;
             println!(
-                "round {round}: {name}: {commands} commands, {bytes} bytes decided and written in {most:.1?}"
+                "round {round}: {name}: {commands} commands, {bytes} bytes decided and written in {longest:.1?}"
             );
         };
-        wave("join", &mut helm, Duration::from_millis(100));
-        wave("start", &mut helm, Duration::from_secs(7));
-        helm.listed(Duration::from_secs(7), SystemTime::now(), roster(1, Some(1)));
-        wave("zone lost", &mut helm, Duration::from_secs(8));
+        time_batch("join", &mut fleet, Duration::from_millis(100));
+        time_batch("start", &mut fleet, Duration::from_secs(7));
+        fleet.update_endpoint_list(Duration::from_secs(7), SystemTime::now(), endpoint_list(1, Some(1)));
+        time_batch("zone lost", &mut fleet, Duration::from_secs(8));
     }
 }
--- /dev/null
+++ b/crates/fleet/src/snapshot_content.rs
@@ -0,0 +1,62 @@
+//! What one snapshot of table files holds, from what is published and which tables proxies are assigned.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use lockcroft::{ClassId, TableId};
+use lockcroft_host::Admission;
+use lockcroft_table_format::{ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
+
+use crate::update_context::UpdateContext;
+
+/// Admission of a class for which nothing is published.
+const OPEN: Admission = Admission { fraction: 1.0, retry: false };
+
+/// The tables of a proxy by class.
+pub type Assignments = BTreeMap<ClassId, TableId>;
+
+/// The content for these proxies. Those with the same tables form a group, so that one file serves all of them.
+pub fn snapshot_content<'a>(
+    proxies: impl Iterator<Item = (&'a str, &'a Assignments)>,
+    context: &UpdateContext,
+) -> SnapshotContent {
+    let mut groups: BTreeMap<Vec<(ClassId, TableId)>, BTreeSet<String>> = BTreeMap::new();
+    for (name, assigned) in proxies.filter(|(_, assigned)| !assigned.is_empty()) {
+        let assigned = assigned.iter().map(|(class, table)| (*class, *table)).collect();
+        groups.entry(assigned).or_default().insert(name.to_string());
+    }
+    let mut content = SnapshotContent::default();
+    for (number, (assigned, proxies)) in (0..).zip(groups) {
+        let mut bound = BTreeMap::new();
+        for (class, table) in assigned {
+            content.tables.entry(table as u32).or_insert_with(|| table_entries(table, context));
+            bound.insert(context.classes[class].clone(), assignment(class, table, context));
+        }
+        content.groups.insert(number, ProxyGroup { proxies, bound });
+    }
+    let ejected = context.published.ejected.iter();
+    content.withdrawn = ejected.map(|endpoint| context.endpoints.name(*endpoint).into()).collect();
+    content
+}
+
+fn table_entries(table: TableId, context: &UpdateContext) -> Table {
+    let mut lines = BTreeMap::new();
+    for (endpoint, weight) in
+        context.published.tables.get(&table).into_iter().flat_map(|table| &table.entries)
+    {
+        // An endpoint that is off the list has no address any more, and no entry.
+        let Some(address) = context.endpoints.address(*endpoint) else { continue };
+        let weight = context.weight_scale.units(*weight);
+        lines.insert(context.endpoints.name(*endpoint).to_string(), TableEntry { address, weight });
+    }
+    Table { lines }
+}
+
+fn assignment(class: ClassId, table: TableId, context: &UpdateContext) -> ProxyAssignment {
+    let published = context.published.tables.get(&table);
+    let admission = published.and_then(|table| table.admissions.get(&class)).copied().unwrap_or(OPEN);
+    ProxyAssignment {
+        table: table as u32,
+        level: (admission.fraction * 1000.0).round() as u32,
+        again: admission.retry,
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/state_recovery.rs
@@ -0,0 +1,75 @@
+//! What is persisted across restarts: taken over at the start, and given out from then on.
+
+use std::time::Duration;
+
+use lockcroft::{EndpointRecord, EndpointStatus, Snapshot, TableId};
+use lockcroft_state_store::{RecoveredEndpoint, RecoveredState};
+use tracing::info;
+
+use crate::effect::Effect;
+use crate::fleet_controller::FleetController;
+use crate::state_recorder::StateRecorder;
+use crate::state_store_status::StateStoreStatus;
+
+impl FleetController {
+    /// Takes over from before the start what is still good of it, and from now on gives out what is to be persisted.
+    pub fn restore_state(&mut self, recovered: RecoveredState) {
+        self.recorder = Some(StateRecorder::new(self.epoch));
+        self.recovered_state = Some(recovered);
+    }
+
+    /// How the store of learned state fares.
+    pub fn state_saved(&mut self, status: StateStoreStatus) {
+        self.state_store_status = status;
+    }
+
+    /// Behind the first list: endpoints that were removed meanwhile are named, and nothing is made less careful.
+    pub(crate) fn apply_recovered_state(&mut self, now: Duration, recovered: RecoveredState) {
+        let (endpoints, admissions) = (recovered.servers.len(), recovered.levels.len());
+        for endpoint in recovered.servers {
+            self.recover_endpoint(now, &endpoint);
+        }
+        for (class, table, rate) in recovered.levels {
+            if let Ok(class) = self.names.class(&class) {
+                self.controller.recover_admission(class, table as TableId, rate);
+            }
+        }
+        if let Some(planner) = &mut self.planner {
+            let capacities = recovered.sizes.into_iter();
+            planner.recover_capacities(capacities.map(|(name, cores)| (self.endpoints.intern(&name), cores)));
+        }
+        if endpoints + admissions > 0 {
+            info!(target: "lockcroft::input", wave = self.batch, endpoints, admissions, "recalled");
+            self.add_event(&format!("recalled: {endpoints} servers, {admissions} levels"));
+        }
+    }
+
+    /// An endpoint of a zone or machine type that is configured no more is passed over.
+    fn recover_endpoint(&mut self, now: Duration, recovered: &RecoveredEndpoint) {
+        let Ok(zone) = self.names.zone(&recovered.zone) else { return };
+        let Ok(machine_type) = self.names.machine_type(&recovered.kind) else { return };
+        let record = EndpointRecord {
+            endpoint: self.endpoints.intern(&recovered.name),
+            zone,
+            machine_type,
+            status: if recovered.out { EndpointStatus::Removed } else { EndpointStatus::Ready },
+            weight: 0.0,
+            age: None,
+        };
+        self.controller.recover_endpoint(now, record, recovered.relief, recovered.warming, recovered.doubted);
+    }
+
+    /// Gives out what was learned since the last call.
+    pub(crate) fn record_state(&mut self, now: Duration) {
+        let Some(recorder) = &mut self.recorder else { return };
+        let Snapshot { endpoints, admissions, .. } = self.controller.snapshot();
+        let mut entries = recorder.record_slice(now, endpoints, admissions, &self.endpoints, &self.names);
+        if let Some(planner) = &mut self.planner {
+            let capacities = planner.take_changed_capacities(now, endpoints);
+            entries.extend(recorder.record_capacities(now, capacities, &self.endpoints));
+        }
+        if !entries.is_empty() {
+            self.effects.push_back(Effect::SaveState(entries));
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/views/plan.rs
@@ -0,0 +1,78 @@
+//! `show plan`: the last plan of the solver.
+
+use std::fmt::Write;
+
+use lockcroft_host::NameIndex;
+use lockcroft_solver::{Objective, Problem, ShedReason};
+
+use crate::fleet_controller::FleetController;
+use crate::planner::SolvedPlan;
+
+impl FleetController {
+    /// The problem that was solved last, with the names of its endpoints.
+    #[must_use]
+    pub fn last_problem(&self) -> Option<(&Problem, Vec<String>)> {
+        let SolvedPlan { task, .. } = self.planner.as_ref()?.last.as_ref()?;
+        let names = task.endpoints.iter().map(|endpoint| self.endpoints.name(*endpoint).into()).collect();
+        Some((&task.problem, names))
+    }
+
+    /// The names of zones, machine types and classes.
+    #[must_use]
+    pub fn names(&self) -> &NameIndex {
+        &self.names
+    }
+
+    /// The last plan: what is shed and why, then each endpoint with its capacity and its load.
+    #[must_use]
+    pub fn show_plan(&self) -> String {
+        let Some(planner) = &self.planner else { return "No solver is set.\n".into() };
+        let Some(plan) = &planner.last else { return "No plan yet.\n".into() };
+        let Objective { earned, crossing, lateness } = plan.answer.objective;
+        let mut text = format!(
+            "# earned {earned:.2} crossing {crossing:.2} lateness {lateness:.2} a second; lines changed {}\n",
+            plan.changed_entries
+        );
+        self.write_classes(plan, &mut text);
+        for shed in &plan.answer.dropped {
+            self.write_shed(shed, &mut text);
+        }
+        self.write_endpoints(plan, &mut text);
+        text
+    }
+
+    fn write_classes(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
+        for (class, (name, fraction)) in self.names.classes.iter().zip(&answer.let_in).enumerate() {
+            let demand: f64 = task.problem.classes[class].demand.iter().sum();
+            let _ = writeln!(text, "class {name} asked_per_s {demand:.1} let_in {fraction:.3}");
+        }
+    }
+
+    fn write_shed(&self, shed: &ShedReason, text: &mut String) {
+        let before: Vec<&str> = shed.before.iter().map(|class| self.names.classes[*class].as_str()).collect();
+        let _ = writeln!(
+            text,
+            "dropped {} visits_per_s {:.1} restored_by_cores {:.2} of {:.2} before_it {}",
+            self.names.classes[shed.class],
+            shed.visits,
+            shed.restored_by,
+            shed.room,
+            before.join(",")
+        );
+    }
+
+    fn write_endpoints(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
+        for (position, endpoint) in task.endpoints.iter().enumerate() {
+            let planned = &task.problem.servers[position];
+            let _ = writeln!(
+                text,
+                "server {} cores {:.2} warmth {:.2} load {:.2} weight {}",
+                self.endpoints.name(*endpoint),
+                planned.capacity,
+                planned.warmth,
+                answer.loads[position],
+                answer.weights[position]
+            );
+        }
+    }
+}
--- a/crates/fleet/tests/orders/memory.rs
+++ b/crates/fleet/tests/updates/state_recovery.rs
@@ -3,11 +3,15 @@
 use lockcroft::{EndpointStatus, HealthCheckOutcome};
 use lockcroft_state_store::{AgeingRules, EntryValue, Key, RecoveredState, State, age};
 
-use crate::stage::{Stage, ms};
+use crate::simulation::{Simulation, ms};
 
 /// What a pilot's folder holds after it.
-fn kept(stage: &Stage) -> State {
-    stage.kept.iter().map(|entry| (entry.key.clone(), (entry.at_ms, entry.what.clone()))).collect()
+fn kept(simulation: &Simulation) -> State {
+    simulation
+        .saved_state
+        .iter()
+        .map(|entry| (entry.key.clone(), (entry.at_ms, entry.what.clone())))
+        .collect()
 }
 
 fn recalled(state: &State, at_ms: u64) -> RecoveredState {
@@ -15,42 +19,47 @@
 }
 
 /// A pilot that remembers, and then sees the list.
-fn again(mut stage: Stage, recalled: RecoveredState) -> Stage {
-    stage.helm.remember(recalled);
-    stage.list();
-    stage
+fn again(mut simulation: Simulation, recalled: RecoveredState) -> Simulation {
+    simulation.fleet.restore_state(recalled);
+    simulation.send_list();
+    simulation
 }
 
 #[test]
-fn what_is_kept_is_told_once() {
-    let mut stage = again(Stage::unlisted(3, 1), RecoveredState::default());
-    stage.run_to(8000);
-    let told = stage.kept.len();
-    assert!(stage.kept.iter().any(|entry| entry.key == Key::Server("e1".into())));
-    stage.run_to(20_000);
-    assert_eq!(stage.kept.len(), told, "nothing changed, nothing is told: {:?}", stage.kept.last());
-    stage.state(1, EndpointStatus::Draining);
-    stage.run_to(21_000);
-    let last = stage.kept.last().expect("told");
+fn learned_state_is_given_out_once() {
+    let mut simulation = again(Simulation::without_list(3, 1), RecoveredState::default());
+    simulation.run_to(8000);
+    let told = simulation.saved_state.len();
+    assert!(simulation.saved_state.iter().any(|entry| entry.key == Key::Server("e1".into())));
+    simulation.run_to(20_000);
+    assert_eq!(
+        simulation.saved_state.len(),
+        told,
+        "nothing changed, nothing is told: {:?}",
+        simulation.saved_state.last()
+    );
+    simulation.set_status(1, EndpointStatus::Draining);
+    simulation.run_to(21_000);
+    let last = simulation.saved_state.last().expect("told");
     assert!(matches!(&last.what, EntryValue::Server(note) if note.draining), "{last:?}");
-    assert_eq!(stage.kept.len(), told + 1);
+    assert_eq!(simulation.saved_state.len(), told + 1);
 }
 
 /// A server was taken off the list while the pilot was away. Proxies that stand on tables of before are kept from it
 /// from the first instant; without memory nobody could name it.
 #[test]
-fn a_server_that_went_meanwhile_is_named_at_once() {
-    let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
-    before.run_to(7000).state(1, EndpointStatus::Removed);
+fn an_endpoint_removed_meanwhile_is_ejected_at_once() {
+    let mut before = again(Simulation::without_list(3, 1), RecoveredState::default());
+    before.run_to(7000).set_status(1, EndpointStatus::Removed);
     before.run_to(8000);
     let state = kept(&before);
     let after = |recalled: RecoveredState| {
-        let mut stage = Stage::unlisted(3, 1);
-        stage.roster.version = 1;
-        stage.roster.entries.remove(1);
-        let mut stage = again(stage, recalled);
-        stage.run_to(300);
-        stage.orders()
+        let mut simulation = Simulation::without_list(3, 1);
+        simulation.endpoint_list.version = 1;
+        simulation.endpoint_list.entries.remove(1);
+        let mut simulation = again(simulation, recalled);
+        simulation.run_to(300);
+        simulation.commands()
     };
     assert_eq!(after(RecoveredState::default()), "");
     assert_eq!(after(recalled(&state, 9000)), "0.0 r0: set server standing/e1 state maint\n");
@@ -60,16 +69,16 @@
 
 /// Late servers kept their relief, so that a restart in an overload does not bring their full weight back.
 #[test]
-fn relief_is_laid_as_remembered() {
-    let mut before = again(Stage::unlisted(4, 1), RecoveredState::default());
+fn weight_reduction_is_published_as_recovered() {
+    let mut before = again(Simulation::without_list(4, 1), RecoveredState::default());
     before.run_to(6000);
-    before.visits(100, &[ms(900), ms(100), ms(100), ms(100)], 1);
+    before.set_load(100, &[ms(900), ms(100), ms(100), ms(100)], 1);
     before.run_to(20_000);
     let state = kept(&before);
     let weight = |recalled: RecoveredState| {
-        let mut stage = again(Stage::unlisted(4, 1), recalled);
-        stage.run_to(6000);
-        stage.picks(0)[0].1
+        let mut simulation = again(Simulation::without_list(4, 1), recalled);
+        simulation.run_to(6000);
+        simulation.weights(0)[0].1
     };
     assert_eq!(weight(RecoveredState::default()), 256);
     let remembered = weight(recalled(&state, 21_000));
@@ -81,20 +90,20 @@
 
 /// A warm-up that the list says nothing of is gone on with.
 #[test]
-fn a_warm_up_goes_on_and_ends_as_it_would_have() {
-    let mut before = again(Stage::unlisted(2, 1), RecoveredState::default());
+fn slow_start_goes_on_after_a_restart_and_ends_as_it_would_have() {
+    let mut before = again(Simulation::without_list(2, 1), RecoveredState::default());
     before.run_to(6000);
     let wall = std::time::SystemTime::now();
-    before.roster.entries[1].started_at = Some(wall);
-    before.list();
+    before.endpoint_list.entries[1].started_at = Some(wall);
+    before.send_list();
     before.run_to(6500);
     let state = kept(&before);
     let weight = |at_ms| {
-        let mut stage = again(Stage::unlisted(2, 1), recalled(&state, at_ms));
+        let mut simulation = again(Simulation::without_list(2, 1), recalled(&state, at_ms));
         // Where nothing is heard of visits, a cold server gets nothing at all.
-        stage.visits(50, &[ms(50), ms(50)], 1);
-        stage.run_to(7500);
-        stage.picks(0).into_iter().find(|(name, _)| name == "e1").map_or(0, |(_, weight)| weight)
+        simulation.set_load(50, &[ms(50), ms(50)], 1);
+        simulation.run_to(7500);
+        simulation.weights(0).into_iter().find(|(name, _)| name == "e1").map_or(0, |(_, weight)| weight)
     };
     assert!((1..240).contains(&weight(6600)), "{}", weight(6600));
     assert_eq!(weight(30_000), 256, "it ended while the pilot was away");
@@ -103,9 +112,9 @@
 /// A memory from the future (the clock was set back) is not believed, but for names that cost nothing.
 #[test]
 fn a_clock_that_was_set_back_makes_nothing_worse() {
-    let mut before = again(Stage::unlisted(3, 1), RecoveredState::default());
-    before.findings.insert(0, HealthCheckOutcome::Refused);
-    before.run_to(9000).state(1, EndpointStatus::Removed);
+    let mut before = again(Simulation::without_list(3, 1), RecoveredState::default());
+    before.health_checks.insert(0, HealthCheckOutcome::Refused);
+    before.run_to(9000).set_status(1, EndpointStatus::Removed);
     before.run_to(10_000);
     let state = kept(&before);
     let ahead = recalled(&state, 1);
