--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -221,6 +221,19 @@
     );
 }
 
+/// The words that `show events` has for an override are the runtime API's, and stay as they are.
+#[test]
+fn an_operator_override_is_shown_in_the_words_of_the_runtime_api() {
+    let mut simulation = Simulation::new(2, 1);
+    simulation.run_to(1000);
+    let endpoint = simulation.fleet.find_endpoint("servers/e1").expect("listed");
+    simulation.fleet.override_endpoint(endpoint, |change| change.draining = true);
+    simulation.fleet.override_endpoint(endpoint, |change| change.weight = Some(0.5));
+    let events = simulation.fleet.events_since(&mut 0);
+    assert!(events.contains("operator: e1: Word { drains: true, weight: None }\n"), "{events}");
+    assert!(events.contains("operator: e1: Word { drains: true, weight: Some(0.5) }\n"), "{events}");
+}
+
 /// Two readings of one file must not look like two starts: the server would lose its weight again.
 #[test]
 fn rereading_the_list_is_not_a_restart() {
