--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -1,4 +1,4 @@
-//! Short traces of orders.
+//! Short traces of commands.
 
 use std::time::{Duration, SystemTime};
 
@@ -25,7 +25,7 @@
     .assert_eq(&simulation.commands());
 }
 
-/// Drains are kept at standing tables too, and while the hold lasts.
+/// Drains count at standing tables too, and while the start-up hold lasts.
 #[test]
 fn a_drain_in_the_startup_hold_ejects_from_standing_tables() {
     let mut simulation = Simulation::new(3, 1);
@@ -37,7 +37,7 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A proxy that does not answer is told each line once, as it is by then: what waits for it does
+/// A proxy that does not respond is sent each entry once, as it is by then: what waits for it does
 /// not grow with the time that it stands still.
 #[test]
 fn a_stalled_proxy_gets_the_last_value_only() {
@@ -49,23 +49,23 @@
     simulation.run_to(6900).proxies[0].is_silent = false;
     let waiting = simulation.fleet.queued_entries();
     simulation.run_to(8000);
-    assert!(waiting <= 3, "{waiting} lines for a table of 3");
-    let told: Vec<String> =
+    assert!(waiting <= 3, "{waiting} entries for a table of 3");
+    let sent: Vec<String> =
         simulation.commands().lines().filter(|l| l.contains("r0:")).map(String::from).collect();
-    assert_eq!(told[0], "6.0 r0: set server t0/e1 weight 0");
-    assert_eq!(told.iter().filter(|line| line.contains("e2")).count(), 1, "{told:?}");
+    assert_eq!(sent[0], "6.0 r0: set server t0/e1 weight 0");
+    assert_eq!(sent.iter().filter(|line| line.contains("e2")).count(), 1, "{sent:?}");
     assert_eq!(simulation.weights(0), simulation.weights(1));
 }
 
-/// The order was carried out, its answer was lost: after the redial the proxy is asked what it
-/// holds, and no order is repeated.
+/// The command was carried out, its response was lost: after the reconnect the proxy is asked what it
+/// holds, and no command is repeated.
 #[test]
 fn what_was_carried_out_before_a_disconnect_is_not_sent_again() {
     let mut simulation = Simulation::new(3, 1);
     simulation.run_to(4900).proxies[0].is_silent = true;
     simulation.run_to(5100);
-    let told = simulation.commands();
-    assert!(told.contains("set map"), "the whole batch was carried out: {told}");
+    let sent = simulation.commands();
+    assert!(sent.contains("set map"), "the whole batch was carried out: {sent}");
     simulation.clear_trace().disconnect(0);
     simulation.proxies[0].is_silent = false;
     simulation.run_to(6500);
@@ -96,8 +96,8 @@
     assert_eq!(simulation.weights(0), [("e1".to_string(), 256)]);
 }
 
-/// A pilot that comes after another finds its tables: what is right costs no line, what nobody
-/// lists any more goes.
+/// A controller that comes after another finds its tables: what is right costs no command, and what is off the
+/// list is deleted.
 #[test]
 fn tables_of_an_earlier_controller_are_brought_in_line() {
     let mut old = Simulation::new(4, 1);
@@ -114,7 +114,7 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A stream breaks while nothing is under way: one number tells that both hold the same, and not even
+/// A connection breaks while nothing is in flight: one number shows that both hold the same, and not even
 /// the levels are set again. What was changed by another hand meanwhile is found and mended.
 #[test]
 fn after_a_reconnect_a_matching_digest_saves_all_updates() {
@@ -135,16 +135,16 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A table of many lines takes several lines of orders: they take effect together, and a stream that
+/// A table of many entries takes several lines of commands: they take effect together, and a connection that
 /// breaks before the commit leaves the table that stood.
 #[test]
 fn a_message_of_several_lines_takes_effect_as_a_whole() {
     let mut simulation = Simulation::new(300, 1);
     simulation.run_to(4900).proxies[0].is_silent = true;
     simulation.run_to(5100);
-    let told = simulation.commands();
-    assert!(told.starts_with("5.0 r0: prepare map tables"), "{told}");
-    assert!(!told.contains("commit"), "its version is not known yet");
+    let sent = simulation.commands();
+    assert!(sent.starts_with("5.0 r0: prepare map tables"), "{sent}");
+    assert!(!sent.contains("commit"), "its version is not known yet");
     assert_eq!(simulation.proxies[0].routing.backends.len(), 1, "the standing table only");
     simulation.clear_trace().disconnect(0);
     simulation.proxies[0].is_silent = false;
@@ -159,22 +159,22 @@
 fn a_restarted_proxy_gets_everything_again() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000);
-    let fresh = Simulation::new(2, 1).proxies.remove(0).routing;
+    let restarted = Simulation::new(2, 1).proxies.remove(0).routing;
     simulation.clear_trace().disconnect(0);
-    simulation.proxies[0].routing = fresh;
+    simulation.proxies[0].routing = restarted;
     simulation.run_to(7000);
     assert_eq!(simulation.commands().lines().count(), 7, "{}", simulation.commands());
     assert_eq!(simulation.weights(0).len(), 2);
 }
 
-/// A proxy that answers an order with anything but the guide's word of success is asked anew what
-/// it holds, after a wait, and meanwhile counts as gone.
+/// A proxy that answers a command with anything but the guide's word of success is asked anew what
+/// it holds, after a backoff, and meanwhile counts as detached.
 #[test]
 fn a_failed_command_disconnects_the_proxy() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(5500);
     // Somebody else's hand takes a line away.
-    let table = simulation.proxies[0].routing.backends.get_mut("t0").expect("laid");
+    let table = simulation.proxies[0].routing.backends.get_mut("t0").expect("applied");
     std::rc::Rc::make_mut(table).remove("e0");
     simulation.clear_trace().set_status(0, EndpointStatus::Draining);
     simulation.run_to(5700);
@@ -188,11 +188,11 @@
     assert_eq!(simulation.weights(0).len(), 2);
 }
 
-/// The module sees lines that really wait, and holds the others back within its limit.
+/// The decisions see the entries that really wait, and hold the others back within their limit.
 #[test]
 fn queued_entries_stay_within_the_limit() {
-    let (servers, proxies, limit) = (30, 12, 200);
-    let mut simulation = Simulation::with_queue_limit(servers, proxies, limit);
+    let (endpoints, proxies, limit) = (30, 12, 200);
+    let mut simulation = Simulation::with_queue_limit(endpoints, proxies, limit);
     simulation.run_to(4900);
     simulation.proxies.iter_mut().for_each(|proxy| proxy.is_silent = true);
     for step in 0..40 {
@@ -206,13 +206,13 @@
 fn an_operator_override_goes_through_the_list() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000);
-    let server = simulation.fleet.find_endpoint("servers/e1").expect("listed");
-    let half = simulation.fleet.parse_weight(server, "50%").expect("a weight");
-    simulation.fleet.override_endpoint(server, |change| change.weight = Some(half));
+    let endpoint = simulation.fleet.find_endpoint("servers/e1").expect("listed");
+    let half = simulation.fleet.parse_weight(endpoint, "50%").expect("a weight");
+    simulation.fleet.override_endpoint(endpoint, |change| change.weight = Some(half));
     simulation.run_to(7000);
     assert_eq!(simulation.weights(0), [("e0".to_string(), 256), ("e1".to_string(), 128)]);
-    simulation.fleet.override_endpoint(server, |change| change.draining = true);
-    // The list read anew takes nothing from the operator's word.
+    simulation.fleet.override_endpoint(endpoint, |change| change.draining = true);
+    // The list read anew takes nothing from the operator's override.
     simulation.send_list();
     simulation.run_to(8000);
     assert_eq!(simulation.weights(0), [("e0".to_string(), 256)]);
@@ -234,21 +234,21 @@
     assert!(events.contains("operator: e1: Word { drains: true, weight: Some(0.5) }\n"), "{events}");
 }
 
-/// Two readings of one file must not look like two starts: the server would lose its weight again.
+/// Two readings of one file must not look like two starts: the endpoint would lose its weight again.
 #[test]
 fn rereading_the_list_is_not_a_restart() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000).endpoint_list.entries[0].started_at = Some(SystemTime::UNIX_EPOCH + ms(3000));
     simulation.send_list();
     simulation.run_to(12_900);
-    let picks = simulation.weights(0);
+    let weights = simulation.weights(0);
     for step in 0..5 {
         simulation.run_to(12_901 + step);
         simulation.send_list();
     }
     simulation.run_to(12_950);
-    assert_eq!(simulation.weights(0), picks);
-    assert!(picks[0].1 > 200, "nearly warm: {picks:?}");
+    assert_eq!(simulation.weights(0), weights);
+    assert!(weights[0].1 > 200, "nearly warm: {weights:?}");
 }
 
 #[test]
--- a/crates/fleet/tests/updates/convergence.rs
+++ b/crates/fleet/tests/updates/convergence.rs
@@ -1,4 +1,4 @@
-//! Whatever a proxy held, and whatever happens on its stream, it ends with what was published.
+//! Whatever a proxy held, and whatever happens to its connection, it ends with what was published.
 
 use lockcroft::EndpointStatus;
 use proptest::prelude::*;
@@ -43,8 +43,8 @@
         simulation.run_to(at);
         for fault in faults {
             match fault {
-                Fault::Drain(server) => simulation.set_status(server, EndpointStatus::Draining),
-                Fault::Ready(server) => simulation.set_status(server, EndpointStatus::Ready),
+                Fault::Drain(endpoint) => simulation.set_status(endpoint, EndpointStatus::Draining),
+                Fault::Ready(endpoint) => simulation.set_status(endpoint, EndpointStatus::Ready),
                 Fault::FallSilent(proxy) => simulation.proxies[proxy].is_silent = true,
                 Fault::SpeakAgain(proxy) => simulation.proxies[proxy].is_silent = false,
                 Fault::Disconnect(proxy) => simulation.disconnect(proxy),
@@ -57,13 +57,13 @@
                 }
             }
         }
-        (0..5).for_each(|server| simulation.set_status(server, if server == 3 { EndpointStatus::Draining } else { EndpointStatus::Ready }));
+        (0..5).for_each(|endpoint| simulation.set_status(endpoint, if endpoint == 3 { EndpointStatus::Draining } else { EndpointStatus::Ready }));
         simulation.proxies.iter_mut().for_each(|proxy| (proxy.is_silent, proxy.is_lagging) = (false, false));
         simulation.disk = Disk::Healthy;
         simulation.run_to(at + 20_000);
-        let wanted: Vec<(String, u32)> = [0, 1, 2, 4].map(|server| (format!("e{server}"), 256)).into();
+        let expected: Vec<(String, u32)> = [0, 1, 2, 4].map(|endpoint| (format!("e{endpoint}"), 256)).into();
         for proxy in 0..3 {
-            prop_assert_eq!(&simulation.weights(proxy), &wanted);
+            prop_assert_eq!(&simulation.weights(proxy), &expected);
         }
         prop_assert_eq!(simulation.fleet.queued_entries(), 0);
         prop_assert!(simulation.now >= ms(at));
--- a/crates/fleet/tests/updates/state_recovery.rs
+++ b/crates/fleet/tests/updates/state_recovery.rs
@@ -1,12 +1,12 @@
-//! A pilot that comes back: what was given out to be kept, aged, is what the next one begins with.
+//! A controller that is restarted: what was given out to be persisted, aged, is what the next one begins with.
 
 use lockcroft::{EndpointStatus, HealthCheckOutcome};
 use lockcroft_state_store::{AgeingRules, EntryValue, Key, RecoveredState, State, age};
 
 use crate::simulation::{Simulation, ms};
 
-/// What a pilot's folder holds after it.
-fn kept(simulation: &Simulation) -> State {
+/// What a controller's state store holds after it.
+fn saved(simulation: &Simulation) -> State {
     simulation
         .saved_state
         .iter()
@@ -14,110 +14,111 @@
         .collect()
 }
 
-fn recalled(state: &State, at_ms: u64) -> RecoveredState {
+fn recovered(state: &State, at_ms: u64) -> RecoveredState {
     age(state, at_ms, &AgeingRules { report_period: ms(1000), warm_within: ms(10_000) })
 }
 
-/// A pilot that remembers, and then sees the list.
-fn again(mut simulation: Simulation, recalled: RecoveredState) -> Simulation {
-    simulation.fleet.restore_state(recalled);
+/// A controller that recovers its state, and then sees the list.
+fn restarted(mut simulation: Simulation, recovered: RecoveredState) -> Simulation {
+    simulation.fleet.restore_state(recovered);
     simulation.send_list();
     simulation
 }
 
 #[test]
 fn learned_state_is_given_out_once() {
-    let mut simulation = again(Simulation::without_list(3, 1), RecoveredState::default());
+    let mut simulation = restarted(Simulation::without_list(3, 1), RecoveredState::default());
     simulation.run_to(8000);
-    let told = simulation.saved_state.len();
+    let given_out = simulation.saved_state.len();
     assert!(simulation.saved_state.iter().any(|entry| entry.key == Key::Server("e1".into())));
     simulation.run_to(20_000);
     assert_eq!(
         simulation.saved_state.len(),
-        told,
-        "nothing changed, nothing is told: {:?}",
+        given_out,
+        "nothing changed, nothing is given out: {:?}",
         simulation.saved_state.last()
     );
     simulation.set_status(1, EndpointStatus::Draining);
     simulation.run_to(21_000);
-    let last = simulation.saved_state.last().expect("told");
+    let last = simulation.saved_state.last().expect("given out");
     assert!(matches!(&last.what, EntryValue::Server(note) if note.draining), "{last:?}");
-    assert_eq!(simulation.saved_state.len(), told + 1);
+    assert_eq!(simulation.saved_state.len(), given_out + 1);
 }
 
-/// A server was taken off the list while the pilot was away. Proxies that stand on tables of before are kept from it
-/// from the first instant; without memory nobody could name it.
+/// An endpoint was taken off the list while the controller was down. At proxies with tables of before it is ejected
+/// from the first instant; without recovered state nobody could name it.
 #[test]
 fn an_endpoint_removed_meanwhile_is_ejected_at_once() {
-    let mut before = again(Simulation::without_list(3, 1), RecoveredState::default());
+    let mut before = restarted(Simulation::without_list(3, 1), RecoveredState::default());
     before.run_to(7000).set_status(1, EndpointStatus::Removed);
     before.run_to(8000);
-    let state = kept(&before);
-    let after = |recalled: RecoveredState| {
+    let state = saved(&before);
+    let after = |recovered: RecoveredState| {
         let mut simulation = Simulation::without_list(3, 1);
         simulation.endpoint_list.version = 1;
         simulation.endpoint_list.entries.remove(1);
-        let mut simulation = again(simulation, recalled);
+        let mut simulation = restarted(simulation, recovered);
         simulation.run_to(300);
         simulation.commands()
     };
     assert_eq!(after(RecoveredState::default()), "");
-    assert_eq!(after(recalled(&state, 9000)), "0.0 r0: set server standing/e1 state maint\n");
+    assert_eq!(after(recovered(&state, 9000)), "0.0 r0: set server standing/e1 state maint\n");
     // A day later nobody holds it any more.
-    assert_eq!(after(recalled(&state, 9000 + 25 * 3_600_000)), "");
+    assert_eq!(after(recovered(&state, 9000 + 25 * 3_600_000)), "");
 }
 
-/// Late servers kept their relief, so that a restart in an overload does not bring their full weight back.
+/// Endpoints keep their load-based weight reduction, so that a restart in an overload does not bring their full
+/// weight back.
 #[test]
 fn weight_reduction_is_published_as_recovered() {
-    let mut before = again(Simulation::without_list(4, 1), RecoveredState::default());
+    let mut before = restarted(Simulation::without_list(4, 1), RecoveredState::default());
     before.run_to(6000);
     before.set_load(100, &[ms(900), ms(100), ms(100), ms(100)], 1);
     before.run_to(20_000);
-    let state = kept(&before);
-    let weight = |recalled: RecoveredState| {
-        let mut simulation = again(Simulation::without_list(4, 1), recalled);
+    let state = saved(&before);
+    let weight = |recovered: RecoveredState| {
+        let mut simulation = restarted(Simulation::without_list(4, 1), recovered);
         simulation.run_to(6000);
         simulation.weights(0)[0].1
     };
     assert_eq!(weight(RecoveredState::default()), 256);
-    let remembered = weight(recalled(&state, 21_000));
-    assert!(remembered < 200, "{remembered}");
-    let later = weight(recalled(&state, 41_000));
-    assert!(later > remembered, "{later} after twenty report periods, {remembered} after one");
-    assert_eq!(weight(recalled(&state, 20_000 + 600_000)), 256, "ten minutes later it is forgotten");
+    let after_one = weight(recovered(&state, 21_000));
+    assert!(after_one < 200, "{after_one}");
+    let later = weight(recovered(&state, 41_000));
+    assert!(later > after_one, "{later} after twenty report periods, {after_one} after one");
+    assert_eq!(weight(recovered(&state, 20_000 + 600_000)), 256, "ten minutes later it is forgotten");
 }
 
-/// A warm-up that the list says nothing of is gone on with.
+/// A slow start that the list says nothing of is gone on with.
 #[test]
 fn slow_start_goes_on_after_a_restart_and_ends_as_it_would_have() {
-    let mut before = again(Simulation::without_list(2, 1), RecoveredState::default());
+    let mut before = restarted(Simulation::without_list(2, 1), RecoveredState::default());
     before.run_to(6000);
     let wall = std::time::SystemTime::now();
     before.endpoint_list.entries[1].started_at = Some(wall);
     before.send_list();
     before.run_to(6500);
-    let state = kept(&before);
+    let state = saved(&before);
     let weight = |at_ms| {
-        let mut simulation = again(Simulation::without_list(2, 1), recalled(&state, at_ms));
-        // Where nothing is heard of visits, a cold server gets nothing at all.
+        let mut simulation = restarted(Simulation::without_list(2, 1), recovered(&state, at_ms));
+        // Where no requests are reported, an endpoint that is warming up gets nothing at all.
         simulation.set_load(50, &[ms(50), ms(50)], 1);
         simulation.run_to(7500);
         simulation.weights(0).into_iter().find(|(name, _)| name == "e1").map_or(0, |(_, weight)| weight)
     };
     assert!((1..240).contains(&weight(6600)), "{}", weight(6600));
-    assert_eq!(weight(30_000), 256, "it ended while the pilot was away");
+    assert_eq!(weight(30_000), 256, "it ended while the controller was down");
 }
 
-/// A memory from the future (the clock was set back) is not believed, but for names that cost nothing.
+/// State from the future (the clock was set back) is not believed, but for names that cost nothing.
 #[test]
 fn a_clock_that_was_set_back_makes_nothing_worse() {
-    let mut before = again(Simulation::without_list(3, 1), RecoveredState::default());
+    let mut before = restarted(Simulation::without_list(3, 1), RecoveredState::default());
     before.health_checks.insert(0, HealthCheckOutcome::Refused);
     before.run_to(9000).set_status(1, EndpointStatus::Removed);
     before.run_to(10_000);
-    let state = kept(&before);
-    let ahead = recalled(&state, 1);
+    let state = saved(&before);
+    let ahead = recovered(&state, 1);
     assert!(ahead.ahead > 0 && ahead.levels.is_empty() && ahead.sizes.is_empty(), "{ahead:?}");
     assert!(
         ahead.servers.iter().all(|server| server.out && server.relief == 1.0 && server.warming.is_none()),
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -1,4 +1,4 @@
-//! Proxies that read files beside proxies that are ordered.
+//! Proxies that read files beside proxies that are sent commands.
 
 use expect_test::expect;
 use lockcroft::EndpointStatus;
@@ -10,7 +10,7 @@
 fn proxies_with_files_and_with_commands_hold_the_same_tables() {
     let mut simulation = Simulation::with_file_readers(3, 4);
     simulation.run_to(6000);
-    let lays = |simulation: &Simulation| {
+    let applied_commands = |simulation: &Simulation| {
         simulation.trace.lines().filter(|line| line.contains("r0 lays")).collect::<Vec<_>>().join("\n")
     };
     expect![[r#"
@@ -23,13 +23,13 @@
         5.0 r0 lays: set var proc.level_look_up int(1000)
         5.0 r0 lays: set var proc.again_look_up int(1)
         5.0 r0 lays: set map classes look-up t0"#]]
-    .assert_eq(&lays(&simulation));
+    .assert_eq(&applied_commands(&simulation));
     assert_eq!(simulation.weights(0), simulation.weights(1));
     simulation.clear_trace().set_status(1, EndpointStatus::Draining);
     simulation.run_to(7000);
-    expect!["6.0 r0 lays: set server t0/e1 weight 0"].assert_eq(&lays(&simulation));
+    expect!["6.0 r0 lays: set server t0/e1 weight 0"].assert_eq(&applied_commands(&simulation));
     assert_eq!(simulation.weights(2), simulation.weights(3));
-    // Two proxies read, two are ordered: nobody is told twice, and nobody who reads is ordered anything.
+    // Two proxies read files, two are sent commands: nobody gets an update twice, and nobody who reads is sent any.
     assert!(
         !simulation
             .trace
@@ -38,7 +38,8 @@
     );
 }
 
-/// The hold lasts, and a drain binds all the same: the first generation names nobody, and bars the server.
+/// The start-up hold lasts, and a drain counts all the same: the first snapshot assigns no table, and ejects the
+/// endpoint.
 #[test]
 fn a_drain_in_the_startup_hold_is_a_snapshot_of_its_own() {
     let mut simulation = Simulation::with_file_readers(3, 1);
@@ -51,7 +52,7 @@
     assert!(publication.content.groups.is_empty() && publication.keep.earlier_epochs);
 }
 
-/// Its stream is broken, and files reach it all the same.
+/// Its connection is broken, and files reach it all the same.
 #[test]
 fn files_reach_a_disconnected_proxy() {
     let mut simulation = Simulation::with_file_readers(3, 2);
@@ -62,7 +63,8 @@
     assert_eq!(simulation.weights(0).iter().map(|(name, _)| name.as_str()).collect::<Vec<_>>(), ["e0", "e1"]);
 }
 
-/// The last generation stands, people are told, lines wait, and all that changed goes out as one once there is room.
+/// The last snapshot stands, people are notified, entries wait, and all that changed goes out as one once there is
+/// room.
 #[test]
 fn a_full_disk_is_reported_and_writing_is_retried() {
     let mut simulation = Simulation::with_file_readers(4, 1);
@@ -77,7 +79,7 @@
     let info = simulation.fleet.show_info();
     assert!(info.contains("FilesTrouble: no generation was written, the last one stands: no room"), "{info}");
     let failures: usize =
-        info.lines().find_map(|l| l.strip_prefix("FilesFailures: ")?.parse().ok()).expect("told");
+        info.lines().find_map(|l| l.strip_prefix("FilesFailures: ")?.parse().ok()).expect("shown");
     assert!((3..=8).contains(&failures), "the waits grow: {failures}");
     simulation.disk = Disk::Healthy;
     simulation.run_to(15_000);
@@ -86,15 +88,15 @@
     assert!(simulation.fleet.show_info().contains("FilesTrouble: -"));
 }
 
-/// A disk that hangs: one generation is on its way, and what comes meanwhile is the next.
+/// A disk that hangs: one snapshot is in flight, and what comes meanwhile is the next.
 #[test]
 fn changes_during_a_write_go_out_as_one_snapshot() {
     let mut simulation = Simulation::with_file_readers(4, 1);
     simulation.run_to(6000);
     let version = simulation.current_snapshot.as_ref().map(|(version, _)| *version).expect("written");
     simulation.disk = Disk::Hanging;
-    for (at, server) in [(6200, 1), (6600, 2), (7000, 3)] {
-        simulation.set_status(server, EndpointStatus::Draining);
+    for (at, endpoint) in [(6200, 1), (6600, 2), (7000, 3)] {
+        simulation.set_status(endpoint, EndpointStatus::Draining);
         simulation.run_to(at);
     }
     simulation.disk = Disk::Healthy;
@@ -113,7 +115,7 @@
     simulation.run_to(12_000);
     assert!(simulation.fleet.show_info().contains("FilesFencedBy: 2"), "{}", simulation.fleet.show_info());
     assert_eq!(simulation.weights(0).len(), 4, "the folder is another's");
-    assert_eq!(simulation.weights(1).len(), 3, "proxies that are ordered are still its own");
+    assert_eq!(simulation.weights(1).len(), 3, "proxies that are sent commands are still its own");
 }
 
 #[test]
