--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -142,7 +142,7 @@
         }
     };
     let run = || {
-        let _logs = lockcroft_daemon::start_logs(&post.log)?;
+        let _logs = lockcroft_daemon::start_logs(&post.log).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let serving = lockcroft_proxy::serve(post.clone());
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -45,7 +45,7 @@
             return ExitCode::SUCCESS;
         }
         let logs = lockcroft_daemon::start_logs(&LogConfig { levels: Some(self.log), json: false });
-        match logs.and_then(|_logs| io::serve(&path, config)) {
+        match logs.map_err(|e| e.to_string()).and_then(|_logs| io::serve(&path, config)) {
             Ok(()) => ExitCode::SUCCESS,
             Err(fault) => {
                 eprintln!("lockcroft: {fault}");
