--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -221,17 +221,9 @@
 /// Off the thread that decides; the last answer stands meanwhile.
 async fn solve(task: Arc<SolverTask>) -> Event {
     let solved = tokio::task::spawn_blocking(move || lockcroft_solver::solve(&task.problem)).await;
-    let answer = match solved {
-        Ok(Ok(answer)) => Some(answer),
-        Ok(Err(error)) => {
-            warn_operators(&format!("no plan: {error}"));
-            None
-        }
-        Err(error) => {
-            warn_operators(&format!("no plan: {error}"));
-            None
-        }
-    };
+    let solved = solved.map_err(|error| error.to_string());
+    let solved = solved.and_then(|solved| solved.map_err(|error| error.to_string()));
+    let answer = solved.inspect_err(|error| warn_operators(&format!("no plan: {error}"))).ok();
     Event::PlanSolved { answer }
 }
 
