--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -45,7 +45,8 @@
             return ExitCode::SUCCESS;
         }
         let logs = lockcroft_daemon::start_logs(&LogConfig { levels: Some(self.log), json: false });
-        match logs.and_then(|_logs| io::serve(&path, config).map_err(|e| e.to_string())) {
+        let started = logs.map_err(|error| error.to_string());
+        match started.and_then(|_logs| io::serve(&path, config).map_err(|error| error.to_string())) {
             Ok(()) => ExitCode::SUCCESS,
             Err(fault) => {
                 eprintln!("lockcroft: {fault}");
