--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,33 +1,40 @@
-//! `lockcroft files`: what stands in a folder of generations, whether it is sound, what differs, and back by one.
+//! `lockcroft files`: what a folder of table snapshots holds, whether each is sound, what differs between two, and
+//! publishing an earlier one again.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lockcroft_table_format::{KeyRing, SnapshotContent};
+use lockcroft_table_format::{KeyRing, proto};
 use lockcroft_table_store::{
-    Epoch, LoadedSnapshot, RetentionPolicy, SnapshotWriter, StatusReader, StoreLayout, Version, find,
-    read_keys,
+    LoadedSnapshot, RetentionPolicy, SnapshotWriter, StatusReader, StoreLayout, find, read_keys,
 };
 use serde_json::{Value, json};
 
+use crate::error::{CliError, report};
+use crate::snapshot_name::SnapshotName;
+use crate::snapshot_rows::rows;
+
+/// What `files back` leaves of the earlier snapshots.
+const RETENTION: RetentionPolicy = RetentionPolicy { generations: 2, earlier_epochs: true };
+
 #[derive(Subcommand)]
-pub enum Files {
+pub enum FilesCommand {
     /// Show what a generation holds: tables, groups, withdrawals, and who has laid it.
     #[command(after_help = "Examples:\n  lockcroft files show /srv/tables --keys /etc/lockcroft/keys\n  \
         lockcroft files show /srv/tables --keys /etc/lockcroft/keys --generation e7g41 --json")]
     Show {
         #[command(flatten)]
-        place: Place,
+        store: StoreArgs,
         /// As e7g41; without it the newest that is sound.
         #[arg(long)]
-        generation: Option<Name>,
+        generation: Option<SnapshotName>,
     },
     /// Check every generation in the folder, bit by bit; exit 1 if one that is current is not sound.
     #[command(after_help = "Example: lockcroft files verify /srv/tables --keys /etc/lockcroft/keys")]
     Verify {
         #[command(flatten)]
-        place: Place,
+        store: StoreArgs,
     },
     /// Tell what differs between two generations.
     #[command(
@@ -35,22 +42,22 @@
     )]
     Diff {
         #[command(flatten)]
-        place: Place,
-        from: Name,
-        to: Name,
+        store: StoreArgs,
+        from: SnapshotName,
+        to: SnapshotName,
     },
     /// Take the folder over and publish an earlier generation as the newest. The pilot that writes there is fenced off, and
     /// proxies follow its tables again once it is started anew.
     #[command(after_help = "Example: lockcroft files back /srv/tables --keys /etc/lockcroft/keys e7g40")]
     Back {
         #[command(flatten)]
-        place: Place,
-        to: Name,
+        store: StoreArgs,
+        to: SnapshotName,
     },
 }
 
 #[derive(clap::Args)]
-pub struct Place {
+pub struct StoreArgs {
     folder: PathBuf,
     /// The file with the keys that seal generations.
     #[arg(long)]
@@ -59,187 +66,150 @@
     json: bool,
 }
 
-/// A generation's name, as `e7g41`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Name(Epoch, Version);
-
-impl std::str::FromStr for Name {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, String> {
-        let parts = text.strip_prefix('e').and_then(|rest| rest.split_once('g'));
-        let name = parts.and_then(|(epoch, version)| Some(Name(epoch.parse().ok()?, version.parse().ok()?)));
-        name.ok_or_else(|| format!("{text:?} is no generation; e7g41 is one"))
-    }
+/// A snapshot that the folder holds.
+struct ListedSnapshot {
+    name: SnapshotName,
+    /// Its epoch's pointer names it.
+    current: bool,
 }
 
-impl std::fmt::Display for Name {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "e{}g{}", self.0, self.1)
-    }
-}
-
-impl Files {
+impl FilesCommand {
     pub fn run(self) -> ExitCode {
-        let done = match self {
-            Files::Show { place, generation } => place.show(generation),
-            Files::Verify { place } => place.verify(),
-            Files::Diff { place, from, to } => place.diff(from, to),
-            Files::Back { place, to } => place.back(to),
-        };
-        done.unwrap_or_else(|wrong| {
-            eprintln!("lockcroft: {wrong}");
-            ExitCode::FAILURE
+        report(match self {
+            FilesCommand::Show { store, generation } => store.show(generation),
+            FilesCommand::Verify { store } => store.verify(),
+            FilesCommand::Diff { store, from, to } => store.diff(from, to),
+            FilesCommand::Back { store, to } => store.publish_again(to),
         })
     }
 }
 
-impl Place {
-    fn keys(&self) -> Result<KeyRing, String> {
-        read_keys(&self.keys)
+impl StoreArgs {
+    fn read_keys(&self) -> Result<KeyRing, CliError> {
+        read_keys(&self.keys).map_err(CliError::other)
     }
 
-    fn find(&self, Name(epoch, version): Name) -> Result<LoadedSnapshot, String> {
-        let found = find(&StoreLayout::new(&self.folder), epoch, version, &self.keys()?);
-        found.map_err(|why| format!("{}: e{epoch}g{version}: {why}", self.folder.display()))
+    fn load(&self, name: SnapshotName) -> Result<LoadedSnapshot, CliError> {
+        let found = find(&StoreLayout::new(&self.folder), name.epoch, name.version, &self.read_keys()?);
+        found.map_err(|error| CliError::Snapshot { folder: self.folder.clone(), name, source: error.into() })
     }
 
-    fn named(&self) -> Result<Vec<(Name, bool)>, String> {
+    /// Every snapshot in the folder, in the order of the layout: epoch by epoch.
+    fn list(&self) -> Result<Vec<ListedSnapshot>, CliError> {
         let layout = StoreLayout::new(&self.folder);
-        let wrong = |e: std::io::Error| format!("{}: {e}", self.folder.display());
-        let mut names = Vec::new();
-        for epoch in layout.epochs().map_err(wrong)? {
-            let current = layout.current_version(epoch);
-            let versions = layout.versions(epoch).map_err(wrong)?;
-            names
-                .extend(versions.into_iter().map(|version| (Name(epoch, version), Some(version) == current)));
+        let at_folder = |error: std::io::Error| CliError::at(&self.folder, error);
+        let mut snapshots = Vec::new();
+        for epoch in layout.epochs().map_err(at_folder)? {
+            let current_version = layout.current_version(epoch);
+            for version in layout.versions(epoch).map_err(at_folder)? {
+                let name = SnapshotName { epoch, version };
+                snapshots.push(ListedSnapshot { name, current: Some(version) == current_version });
+            }
         }
-        Ok(names)
+        Ok(snapshots)
     }
 
-    fn show(&self, generation: Option<Name>) -> Result<ExitCode, String> {
-        let (name, found) = match generation {
-            Some(name) => (name, self.find(name)?),
-            None => {
-                let current = self.named()?.into_iter().filter(|(_, current)| *current);
-                let mut sound = current.filter_map(|(name, _)| Some((name, self.find(name).ok()?)));
-                sound
-                    .next()
-                    .ok_or_else(|| format!("{}: no sound generation is current", self.folder.display()))?
-            }
+    /// The first current snapshot of the folder that is sound.
+    fn load_current(&self) -> Result<(SnapshotName, LoadedSnapshot), CliError> {
+        let current = self.list()?.into_iter().filter(|snapshot| snapshot.current);
+        let mut sound = current.filter_map(|snapshot| Some((snapshot.name, self.load(snapshot.name).ok()?)));
+        sound.next().ok_or_else(|| CliError::NoSoundSnapshot(self.folder.clone()))
+    }
+
+    fn show(&self, generation: Option<SnapshotName>) -> Result<ExitCode, CliError> {
+        let (name, snapshot) = match generation {
+            Some(name) => (name, self.load(name)?),
+            None => self.load_current()?,
         };
-        let laid = self.laid(name);
+        let proxies = self.proxies_that_applied(name);
         if self.json {
-            println!("{}", show_json(name, &found, &laid));
-        } else {
-            println!(
-                "generation {name} by {}, sealed with {}, {} bytes",
-                found.pilot, found.key, found.bytes
-            );
-            show(&found.content);
-            println!("laid by {} proxies", laid.len());
+            println!("{}", snapshot_json(name, &snapshot, &proxies));
+            return Ok(ExitCode::SUCCESS);
         }
+        let LoadedSnapshot { pilot: controller, key, bytes, .. } = &snapshot;
+        println!("generation {name} by {controller}, sealed with {key}, {bytes} bytes");
+        rows(&snapshot.content).iter().for_each(|row| println!("{row}"));
+        println!("laid by {} proxies", proxies.len());
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Proxies whose last word is that they have laid it.
-    fn laid(&self, name: Name) -> Vec<String> {
-        let statuses = StatusReader::default().look(&self.folder).unwrap_or_default();
-        let on = |status: &lockcroft_table_format::proto::Status| {
-            status.laid.last().is_some_and(|laid| Name(laid.epoch, laid.version) == name)
+    /// Proxies whose last report says that they applied this snapshot.
+    fn proxies_that_applied(&self, name: SnapshotName) -> Vec<String> {
+        let applied = |status: &proto::Status| {
+            let last = status.laid.last();
+            last.is_some_and(|laid| SnapshotName { epoch: laid.epoch, version: laid.version } == name)
         };
-        statuses.into_iter().filter(on).map(|status| status.proxy).collect()
+        let statuses = StatusReader::default().look(&self.folder).unwrap_or_default();
+        statuses.into_iter().filter(applied).map(|status| status.proxy).collect()
     }
 
-    fn verify(&self) -> Result<ExitCode, String> {
-        let keys = self.keys()?;
+    fn verify(&self) -> Result<ExitCode, CliError> {
+        let keys = self.read_keys()?;
         let layout = StoreLayout::new(&self.folder);
-        let (mut rows, mut sound) = (Vec::new(), true);
-        for (name, current) in self.named()? {
-            let found = find(&layout, name.0, name.1, &keys);
+        let mut json_rows = Vec::new();
+        let mut sound = true;
+        for ListedSnapshot { name, current } in self.list()? {
+            let found = find(&layout, name.epoch, name.version, &keys);
             sound &= found.is_ok() || !current;
-            let said = found.map_or_else(|why| why, |found| format!("sound, sealed with {}", found.key));
+            let finding = match found {
+                Ok(snapshot) => format!("sound, sealed with {}", snapshot.key),
+                Err(error) => error.to_string(),
+            };
             if self.json {
-                rows.push(json!({"generation": name.to_string(), "current": current, "said": said}));
+                json_rows.push(json!({"generation": name.to_string(), "current": current, "said": finding}));
             } else {
-                println!("{name}{} {said}", if current { " (current)" } else { "" });
+                println!("{name}{} {finding}", if current { " (current)" } else { "" });
             }
         }
         if self.json {
-            println!("{}", json!({"generations": rows, "sound": sound}));
+            println!("{}", json!({"generations": json_rows, "sound": sound}));
         }
         Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn diff(&self, from: Name, to: Name) -> Result<ExitCode, String> {
-        let (before, after) = (self.find(from)?.content, self.find(to)?.content);
-        let (old, new) = (rows(&before), rows(&after));
-        let gone = old.iter().filter(|row| !new.contains(row)).map(|row| format!("- {row}"));
-        let come = new.iter().filter(|row| !old.contains(row)).map(|row| format!("+ {row}"));
-        let lines: Vec<String> = gone.chain(come).collect();
+    fn diff(&self, from: SnapshotName, to: SnapshotName) -> Result<ExitCode, CliError> {
+        let before = self.load(from)?.content;
+        let after = self.load(to)?.content;
+        let old_rows = rows(&before);
+        let new_rows = rows(&after);
+        let removed = old_rows.iter().filter(|row| !new_rows.contains(row)).map(|row| format!("- {row}"));
+        let added = new_rows.iter().filter(|row| !old_rows.contains(row)).map(|row| format!("+ {row}"));
+        let differences: Vec<String> = removed.chain(added).collect();
         if self.json {
-            println!("{}", json!({"from": from.to_string(), "to": to.to_string(), "lines": lines}));
+            println!("{}", json!({"from": from.to_string(), "to": to.to_string(), "lines": differences}));
         } else {
-            lines.iter().for_each(|line| println!("{line}"));
+            differences.iter().for_each(|row| println!("{row}"));
             println!("{} lines differ", after.differs(&before));
         }
         Ok(ExitCode::SUCCESS)
     }
 
-    fn back(&self, to: Name) -> Result<ExitCode, String> {
-        let found = self.find(to)?;
-        let wrong = |wrong: String| format!("{}: {wrong}", self.folder.display());
-        let mut writer =
-            SnapshotWriter::take(&self.folder, "operator", self.keys()?).map_err(|e| wrong(e.to_string()))?;
-        let keep = RetentionPolicy { generations: 2, earlier_epochs: true };
-        let written = writer.write(&found.content, keep).map_err(|e| wrong(e.to_string()))?;
-        let name = Name(written.epoch, written.version);
+    /// Takes the folder over, which fences off its writer, and publishes an earlier snapshot as the newest.
+    fn publish_again(&self, earlier: SnapshotName) -> Result<ExitCode, CliError> {
+        let snapshot = self.load(earlier)?;
+        let mut writer = SnapshotWriter::take(&self.folder, "operator", self.read_keys()?)
+            .map_err(|error| CliError::at(&self.folder, error))?;
+        let written =
+            writer.write(&snapshot.content, RETENTION).map_err(|error| CliError::at(&self.folder, error))?;
+        let published = SnapshotName { epoch: written.epoch, version: written.version };
         if self.json {
-            println!("{}", json!({"published": name.to_string(), "as": to.to_string()}));
+            println!("{}", json!({"published": published.to_string(), "as": earlier.to_string()}));
         } else {
             println!(
-                "{to} is published as {name}; the pilot that wrote there is fenced off until it is started anew"
+                "{earlier} is published as {published}; the pilot that wrote there is fenced off until it is started anew"
             );
         }
         Ok(ExitCode::SUCCESS)
     }
 }
 
-/// Each line of a generation, as text that stands for itself.
-fn rows(content: &SnapshotContent) -> Vec<String> {
-    let mut rows = Vec::new();
-    for (number, table) in &content.tables {
-        let line = |(server, line): (&String, &lockcroft_table_format::TableEntry)| {
-            format!("t{number} {server} {} weight {}", line.address, line.weight)
-        };
-        rows.extend(table.lines.iter().map(line));
-    }
-    for group in content.groups.values() {
-        let proxies = group.proxies.iter().cloned().collect::<Vec<_>>().join(",");
-        for (class, bound) in &group.bound {
-            let again = if bound.again { ", second tries" } else { "" };
-            rows.push(format!(
-                "{class} t{} let in {}{again} at {proxies}",
-                bound.table,
-                f64::from(bound.level) / 1e3
-            ));
-        }
-    }
-    rows.extend(content.withdrawn.iter().map(|server| format!("withdrawn {server}")));
-    rows
-}
-
-fn show(content: &SnapshotContent) {
-    rows(content).iter().for_each(|row| println!("{row}"));
-}
-
-fn show_json(name: Name, found: &LoadedSnapshot, laid: &[String]) -> Value {
+fn snapshot_json(name: SnapshotName, snapshot: &LoadedSnapshot, proxies: &[String]) -> Value {
     json!({
         "generation": name.to_string(),
-        "pilot": found.pilot,
-        "key": found.key,
-        "bytes": found.bytes,
-        "lines": rows(&found.content),
-        "laid_by": laid,
+        "pilot": snapshot.pilot,
+        "key": snapshot.key,
+        "bytes": snapshot.bytes,
+        "lines": rows(&snapshot.content),
+        "laid_by": proxies,
     })
 }
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,21 +1,25 @@
-//! `lockcroft platform`: a pilot on the users' platform.
+//! `lockcroft platform`: a controller on the users' platform.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::Args;
 use lockcroft_config::LogConfig;
+use lockcroft_platform::Config;
 use lockcroft_platform::io;
 use serde_json::json;
 
+use crate::error::{CliError, report};
+use crate::serve::EXIT_USAGE;
+
 #[derive(Args)]
-pub struct Platform {
+pub struct PlatformCommand {
     /// What the platform tells this pilot, as JSON.
     #[arg(long, env = "LB_CONFIG")]
     config: Option<PathBuf>,
     /// Levels of the log, as info,lockcroft::update=debug
-    #[arg(long, env = "LOCKCROFT_LOG", default_value = "info")]
-    log: String,
+    #[arg(long = "log", value_name = "LOG", env = "LOCKCROFT_LOG", default_value = "info")]
+    log_levels: String,
     /// Read the file, say whether it can be used, and start nothing.
     #[arg(long)]
     check: bool,
@@ -24,33 +28,37 @@
     json: bool,
 }
 
-impl Platform {
+impl PlatformCommand {
     pub fn run(self) -> ExitCode {
         let path = self.config.unwrap_or_default();
-        let config = match path.as_os_str().is_empty() {
-            true => Err("LB_CONFIG: not set, nor --config; allowed: the path of the configuration".into()),
-            false => io::open(&path),
-        };
+        let config = open(&path);
         if self.json {
-            println!("{}", json!({"fault": config.as_ref().err()}));
+            println!("{}", json!({"fault": config.as_ref().err().map(ToString::to_string)}));
         }
         let config = match config {
             Ok(config) => config,
-            Err(fault) => {
-                eprintln!("lockcroft: {fault}");
-                return ExitCode::from(2);
+            Err(error) => {
+                eprintln!("lockcroft: {error}");
+                return ExitCode::from(EXIT_USAGE);
             }
         };
         if self.check {
             return ExitCode::SUCCESS;
         }
-        let logs = lockcroft_daemon::start_logs(&LogConfig { levels: Some(self.log), json: false });
-        match logs.and_then(|_logs| io::serve(&path, config)) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(fault) => {
-                eprintln!("lockcroft: {fault}");
-                ExitCode::FAILURE
-            }
-        }
+        report(serve(&path, config, self.log_levels).map(|()| ExitCode::SUCCESS))
     }
 }
+
+fn open(path: &Path) -> Result<Config, CliError> {
+    if path.as_os_str().is_empty() {
+        return Err(CliError::NoPlatformConfig);
+    }
+    io::open(path).map_err(CliError::other)
+}
+
+fn serve(path: &Path, config: Config, log_levels: String) -> Result<(), CliError> {
+    let log = LogConfig { levels: Some(log_levels), json: false };
+    // Held until the end: dropping it ends the log's writer.
+    let _logging = lockcroft_daemon::start_logs(&log).map_err(CliError::other)?;
+    io::serve(path, config).map_err(CliError::other)
+}
--- /dev/null
+++ b/crates/cli/src/serve.rs
@@ -0,0 +1,70 @@
+//! `lockcroft serve`, `lockcroft proxy` and `lockcroft check`: programs that are started from a configuration file.
+
+use std::path::Path;
+use std::process::ExitCode;
+
+use lockcroft_config::{ConfigError, ConfigErrors, DaemonConfig};
+use lockcroft_proxy::ProxyConfig;
+use serde_json::{Value, json};
+
+use crate::error::{CliError, report};
+
+/// The exit code for a wrong file or command line.
+pub const EXIT_USAGE: u8 = 2;
+
+pub fn serve(file: &Path) -> ExitCode {
+    let config = match open(file, false) {
+        Ok(config) => config,
+        Err(code) => return code,
+    };
+    report(lockcroft_daemon::serve(&config).map(|()| ExitCode::SUCCESS).map_err(CliError::other))
+}
+
+pub fn proxy(file: &Path) -> ExitCode {
+    let config = match ProxyConfig::open(file) {
+        Ok(config) => config,
+        Err(errors) => {
+            eprintln!("{errors}");
+            return ExitCode::from(EXIT_USAGE);
+        }
+    };
+    report(run_proxy(config).map(|()| ExitCode::SUCCESS))
+}
+
+fn run_proxy(config: ProxyConfig) -> Result<(), CliError> {
+    // Held until the end: dropping it ends the log's writer.
+    let _logging = lockcroft_daemon::start_logs(&config.log).map_err(CliError::other)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let serving = lockcroft_proxy::serve(config);
+    tokio::task::LocalSet::new().block_on(&runtime, serving).map_err(CliError::other)
+}
+
+pub fn check(file: &Path, json: bool) -> ExitCode {
+    match open(file, json) {
+        Ok(config) if json => println!("{}", json!({"faults": [], "proxies": config.proxies.len()})),
+        Ok(config) => println!("{}: sound, {} proxies", file.display(), config.proxies.len()),
+        Err(code) => return code,
+    }
+    ExitCode::SUCCESS
+}
+
+/// Reads a controller's configuration; its errors are printed, and the exit code is given back.
+fn open(file: &Path, json: bool) -> Result<DaemonConfig, ExitCode> {
+    DaemonConfig::open(file).map_err(|errors| {
+        if json {
+            println!("{}", config_errors_json(&errors));
+        } else {
+            eprintln!("{errors}");
+        }
+        ExitCode::from(EXIT_USAGE)
+    })
+}
+
+/// The errors of a file in the form that `--json` prints.
+pub fn config_errors_json(errors: &ConfigErrors) -> Value {
+    let row = |error: &ConfigError| {
+        json!({"file": error.file, "line": error.line, "element": error.element, "wrong": error.message,
+            "allowed": error.expected})
+    };
+    json!({"faults": errors.0.iter().map(row).collect::<Vec<_>>()})
+}
--- /dev/null
+++ b/crates/cli/src/snapshot_rows.rs
@@ -0,0 +1,35 @@
+//! A snapshot's content as rows of text, each of which stands for itself: for `files show` and `files diff`.
+
+use lockcroft_table_format::SnapshotContent;
+
+/// Table entries first, then what each group of proxies is assigned, then ejected endpoints.
+pub fn rows(content: &SnapshotContent) -> Vec<String> {
+    let mut rows = table_rows(content);
+    rows.extend(assignment_rows(content));
+    rows.extend(content.withdrawn.iter().map(|endpoint| format!("withdrawn {endpoint}")));
+    rows
+}
+
+fn table_rows(content: &SnapshotContent) -> Vec<String> {
+    let mut rows = Vec::new();
+    for (number, table) in &content.tables {
+        for (endpoint, entry) in &table.lines {
+            rows.push(format!("t{number} {endpoint} {} weight {}", entry.address, entry.weight));
+        }
+    }
+    rows
+}
+
+fn assignment_rows(content: &SnapshotContent) -> Vec<String> {
+    let mut rows = Vec::new();
+    for group in content.groups.values() {
+        let proxies = group.proxies.iter().cloned().collect::<Vec<_>>().join(",");
+        for (class, assignment) in &group.bound {
+            let table = assignment.table;
+            let admission_rate = f64::from(assignment.level) / 1e3;
+            let retries = if assignment.again { ", second tries" } else { "" };
+            rows.push(format!("{class} t{table} let in {admission_rate}{retries} at {proxies}"));
+        }
+    }
+    rows
+}
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -1,54 +1,67 @@
-//! `lockcroft solve`.
+//! `lockcroft solve`: weights for a problem in a file.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use lockcroft_solver::ProblemError;
+use clap::Args;
+use lockcroft_solver::{Answer, ProblemError};
 use lockcroft_solver_format::{NamedProblem, json, picture, text};
 
-use crate::faults_json;
+use crate::error::{CliError, report};
+use crate::serve::{EXIT_USAGE, config_errors_json};
 
-pub fn solve(file: &Path, as_json: bool, drawn: Option<&Path>) -> ExitCode {
-    let named = match NamedProblem::open(file) {
-        Ok(named) => named,
-        Err(faults) => {
-            if as_json {
-                println!("{}", faults_json(&faults));
-            } else {
-                eprintln!("{faults}");
+#[derive(Args)]
+pub struct SolveCommand {
+    file: PathBuf,
+    /// Print the answer as JSON, with the tables of each class and zone.
+    #[arg(long)]
+    json: bool,
+    /// Draw load against capacity, before and after, as SVG.
+    #[arg(long)]
+    picture: Option<PathBuf>,
+}
+
+impl SolveCommand {
+    pub fn run(self) -> ExitCode {
+        let problem = match NamedProblem::open(&self.file) {
+            Ok(problem) => problem,
+            Err(errors) => {
+                if self.json {
+                    println!("{}", config_errors_json(&errors));
+                } else {
+                    eprintln!("{errors}");
+                }
+                return ExitCode::from(EXIT_USAGE);
             }
-            return ExitCode::from(2);
-        }
-    };
-    let answer = match lockcroft_solver::solve(&named.problem) {
-        Ok(answer) => answer,
-        Err(fault) => {
-            eprintln!("lockcroft: {}: {}", file.display(), named_fault(&named, &fault));
-            return ExitCode::from(2);
-        }
-    };
-    if as_json {
-        println!("{:#}", json(&named, &answer));
-    } else {
-        print!("{}", text(&named, &answer));
-    }
-    let Some(path) = drawn else { return ExitCode::SUCCESS };
-    let written =
-        picture(&named, &answer).and_then(|svg| std::fs::write(path, svg).map_err(|e| e.to_string()));
-    match written {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("lockcroft: {}: {wrong}", path.display());
-            ExitCode::FAILURE
+        };
+        let answer = match lockcroft_solver::solve(&problem.problem) {
+            Ok(answer) => answer,
+            Err(error) => {
+                eprintln!("lockcroft: {}: {}", self.file.display(), describe(&problem, &error));
+                return ExitCode::from(EXIT_USAGE);
+            }
+        };
+        if self.json {
+            println!("{:#}", json(&problem, &answer));
+        } else {
+            print!("{}", text(&problem, &answer));
         }
+        let Some(path) = self.picture else { return ExitCode::SUCCESS };
+        report(draw(&path, &problem, &answer).map(|()| ExitCode::SUCCESS))
     }
 }
 
-fn named_fault(named: &NamedProblem, fault: &ProblemError) -> String {
-    let entry = match fault {
-        ProblemError::Endpoint(place, ..) => named.servers.get(*place),
-        ProblemError::Class(place, ..) | ProblemError::Place(place, ..) => named.classes.get(*place),
+fn draw(path: &Path, problem: &NamedProblem, answer: &Answer) -> Result<(), CliError> {
+    let svg = picture(problem, answer).map_err(|error| CliError::at(path, error))?;
+    std::fs::write(path, svg).map_err(|error| CliError::at(path, error))
+}
+
+/// The solver's error with the name that the file gives to the endpoint or class that it is about.
+fn describe(problem: &NamedProblem, error: &ProblemError) -> String {
+    let name = match error {
+        ProblemError::Endpoint(index, ..) => problem.servers.get(*index),
+        ProblemError::Class(index, ..) | ProblemError::Place(index, ..) => problem.classes.get(*index),
         ProblemError::Crossing(_) => None,
     };
-    entry.map_or_else(|| fault.to_string(), |entry| format!("{entry} ({fault})"))
+    name.map_or_else(|| error.to_string(), |name| format!("{name} ({error})"))
 }
--- /dev/null
+++ b/crates/cli/src/variants.rs
@@ -0,0 +1,168 @@
+//! `lockcroft scenario --ways` and `--search`: one scenario in several variants, side by side, each in a process of its
+//! own.
+
+use std::fs::File;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, ExitCode, Stdio};
+use std::time::Duration;
+
+use lockcroft_scenario::{Scenario, Summary, Variant, search};
+use serde_json::json;
+
+use crate::error::{CliError, report};
+use crate::serve::EXIT_USAGE;
+
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The variants that a scenario's file names, and those of its search space.
+pub fn all(scenario: &Scenario) -> Vec<Variant> {
+    scenario.ways.iter().cloned().chain(search(&scenario.tries)).collect()
+}
+
+/// What is compared, and how it is shown.
+pub struct Comparison<'a> {
+    pub file: &'a Path,
+    /// Compares the search space instead of the variants that the file names.
+    pub search: bool,
+    pub max_concurrent: usize,
+    pub json: bool,
+}
+
+/// A variant with what came of it.
+struct VariantResult<'a> {
+    variant: &'a Variant,
+    summary: Summary,
+}
+
+impl Comparison<'_> {
+    /// Plays the variants and prints a row each, the best of a search first.
+    pub fn run(&self, scenario: &Scenario) -> ExitCode {
+        let variants = if self.search { search(&scenario.tries) } else { scenario.ways.clone() };
+        // A search space without an element still has one choice: nothing changed.
+        if variants.is_empty() || self.search && scenario.tries.is_empty() {
+            let element = if self.search { "search" } else { "way" };
+            eprintln!("lockcroft: {}: no element {element}", self.file.display());
+            return ExitCode::from(EXIT_USAGE);
+        }
+        report(self.compare(&variants))
+    }
+
+    fn compare(&self, variants: &[Variant]) -> Result<ExitCode, CliError> {
+        let summaries = VariantRunner::new(self.file, variants)?.run_all(self.max_concurrent)?;
+        let mut results: Vec<VariantResult> = variants
+            .iter()
+            .zip(summaries)
+            .map(|(variant, summary)| VariantResult { variant, summary })
+            .collect();
+        if self.search {
+            results.sort_by(|a, b| b.summary.score.whole.total_cmp(&a.summary.score.whole));
+        }
+        if self.json {
+            print_json(&results);
+        } else {
+            print_rows(&results);
+        }
+        let rules_kept = results.iter().all(|result| result.summary.broken.is_empty());
+        Ok(if rules_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    }
+}
+
+fn print_json(results: &[VariantResult]) {
+    let row = |result: &VariantResult| json!({"way": result.variant.name, "played": result.summary});
+    println!("{}", json!({"ways": results.iter().map(row).collect::<Vec<_>>()}));
+}
+
+fn print_rows(results: &[VariantResult]) {
+    println!("{:24} fulfilled  worst 10 s  crossing  changes  each 10 s, rules", "way");
+    for VariantResult { variant, summary: Summary { score, broken } } in results {
+        let windows: Vec<String> = score.tens.iter().map(|fraction| format!("{fraction:.3}")).collect();
+        let rules = if broken.is_empty() { "kept".into() } else { format!("BROKEN: {}", broken.join(", ")) };
+        let changes: usize = score.changes.iter().sum();
+        println!(
+            "{:24} {:9.3}  {:10.3}  {:8.3}  {changes:7}  {}, {rules}",
+            variant.name,
+            score.whole,
+            score.worst_window,
+            score.crossing,
+            windows.join(" ")
+        );
+        for restart in &score.restarts {
+            println!(
+                "{:24} 20 s behind the start at {:.0} s: {:.3}, {} changed, tables laid in {:.1} s",
+                "", restart.at_s, restart.fulfilled, restart.changes, restart.settled_s
+            );
+        }
+    }
+}
+
+/// A variant that is being played. Dropping it ends its process, so that a comparison that fails leaves none behind.
+struct RunningVariant {
+    child: Child,
+    summary: PathBuf,
+    index: usize,
+}
+
+impl Drop for RunningVariant {
+    fn drop(&mut self) {
+        // It may have ended by itself.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// Plays variants of one scenario, each by a process of this program.
+struct VariantRunner<'a> {
+    file: &'a Path,
+    variants: &'a [Variant],
+    /// Where the processes write their summaries and logs.
+    folder: tempfile::TempDir,
+    running: Vec<RunningVariant>,
+    summaries: Vec<Option<Summary>>,
+}
+
+impl<'a> VariantRunner<'a> {
+    fn new(file: &'a Path, variants: &'a [Variant]) -> Result<Self, CliError> {
+        let summaries = variants.iter().map(|_| None).collect();
+        Ok(VariantRunner { file, variants, folder: tempfile::tempdir()?, running: Vec::new(), summaries })
+    }
+
+    /// The summaries in the order of the variants.
+    fn run_all(mut self, max_concurrent: usize) -> Result<Vec<Summary>, CliError> {
+        let mut waiting = 0..self.variants.len();
+        while self.summaries.iter().any(Option::is_none) {
+            while self.running.len() < max_concurrent.max(1) {
+                let Some(index) = waiting.next() else { break };
+                eprintln!("playing {}", self.variants[index].name);
+                let started = self.start(index)?;
+                self.running.push(started);
+            }
+            std::thread::sleep(POLL_INTERVAL);
+            self.collect_finished()?;
+        }
+        Ok(self.summaries.into_iter().flatten().collect())
+    }
+
+    fn collect_finished(&mut self) -> Result<(), CliError> {
+        for variant in &mut self.running {
+            if variant.child.try_wait()?.is_some() {
+                let file = File::open(&variant.summary)
+                    .map_err(|_| CliError::VariantFailed(self.variants[variant.index].name.clone()))?;
+                self.summaries[variant.index] = Some(serde_json::from_reader(file)?);
+            }
+        }
+        let summaries = &self.summaries;
+        self.running.retain(|variant| summaries[variant.index].is_none());
+        Ok(())
+    }
+
+    fn start(&self, index: usize) -> Result<RunningVariant, CliError> {
+        let program = std::env::current_exe()?;
+        let summary = self.folder.path().join(format!("{index}.json"));
+        let log = File::create(self.folder.path().join(format!("{index}.txt")))?;
+        let mut command = Command::new(program);
+        command.arg("scenario").arg(self.file).arg("--way").arg(&self.variants[index].name);
+        command.arg("--summary").arg(&summary);
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        Ok(RunningVariant { child: command.spawn()?, summary, index })
+    }
+}
--- /dev/null
+++ b/crates/cli/tests/daemon/aliases.rs
@@ -0,0 +1,43 @@
+//! A verb that was renamed still works under its old name and gives the same.
+
+use crate::controller_fixture::run;
+
+/// Exit code, standard output and standard error of the program with these arguments.
+fn outcome(arguments: &[&str]) -> (Option<i32>, String, String) {
+    let output = run(arguments);
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    (output.status.code(), text(&output.stdout), text(&output.stderr))
+}
+
+/// A variant that is not there is found before anything is played, so that both verbs read the whole file.
+#[test]
+fn scenario_and_its_alias_rehearse_give_the_same() {
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/mixed-fleet.xml");
+    let scenario = outcome(&["scenario", file, "--way", "no such way"]);
+    assert_eq!(scenario, outcome(&["rehearse", file, "--way", "no such way"]));
+    assert_eq!(scenario.0, Some(2));
+    assert!(scenario.2.contains("no way \"no such way\"; there are "), "{}", scenario.2);
+    for option in ["--json", "--summary", "--keep", "--way", "--ways", "--search", "--at-once", "--rows"] {
+        assert!(outcome(&["rehearse", "--help"]).1.contains(&format!("{option} ")), "{option}");
+    }
+    assert_eq!(outcome(&["scenario", "--help"]), outcome(&["rehearse", "--help"]));
+}
+
+#[test]
+fn state_and_its_alias_memory_give_the_same() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().display().to_string();
+    let empty = outcome(&["state", "show", &path]);
+    assert_eq!(empty, (Some(1), String::new(), format!("lockcroft: {path}: no memory\n")));
+    assert_eq!(empty, outcome(&["memory", "show", &path]));
+
+    // Files as an earlier version wrote them.
+    let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/../state-store/tests/format-1");
+    for command in ["show", "verify"] {
+        let state = outcome(&["state", command, fixture, "--json"]);
+        assert_eq!(state, outcome(&["memory", command, fixture, "--json"]));
+        assert_eq!(state.0, Some(0), "{state:?}");
+        assert!(state.1.starts_with('{'), "{state:?}");
+    }
+    assert_eq!(outcome(&["state", "--help"]), outcome(&["memory", "--help"]));
+}
--- a/crates/cli/tests/daemon/help.rs
+++ b/crates/cli/tests/daemon/controller_fixture.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests: a folder with settings, and a pilot in it.
+//! Shared by the tests: a folder with settings, and a controller in it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_lockcroft");
 
-pub const TERMS: &str = r#"
+pub const SETTINGS: &str = r#"
   <zones><zone name="north"/></zones>
   <kinds><kind name="std"/></kinds>
   <classes><class name="look-up" contract-time="1s" patience="2s" earnings="1"/></classes>
@@ -18,31 +18,31 @@
 "#;
 
 pub fn roster(names: &[&str]) -> String {
-    let line = |name: &&str| {
+    let entry = |name: &&str| {
         format!("<server name=\"{name}\" zone=\"north\" kind=\"std\" address=\"127.0.0.1:9\"/>\n")
     };
-    format!("<roster>\n{}</roster>\n", names.iter().map(line).collect::<String>())
+    format!("<roster>\n{}</roster>\n", names.iter().map(entry).collect::<String>())
 }
 
-pub struct House {
+pub struct ControllerFixture {
     pub folder: tempfile::TempDir,
 }
 
-impl House {
+impl ControllerFixture {
     /// Settings without proxies, with a socket of level admin and one of level user.
     pub fn new() -> Self {
-        let house = House { folder: tempfile::tempdir().expect("a folder") };
-        let (admin, user) = (house.socket(), house.path("user.sock"));
+        let fixture = ControllerFixture { folder: tempfile::tempdir().expect("a folder") };
+        let (admin, user) = (fixture.socket(), fixture.path("user.sock"));
         let text = format!(
             "<lockcroft><runtime><listen address=\"unix:{}\" level=\"admin\"/>\n\
-             <listen address=\"unix:{}\" level=\"user\"/></runtime>\n<log form=\"json\"/>{TERMS}\
+             <listen address=\"unix:{}\" level=\"user\"/></runtime>\n<log form=\"json\"/>{SETTINGS}\
              <roster-file path=\"roster.xml\" look-every=\"50ms\"/></lockcroft>\n",
             admin.display(),
             user.display()
         );
-        std::fs::write(house.path("roster.xml"), roster(&["e1", "e2"])).expect("written");
-        std::fs::write(house.path("pilot.xml"), text).expect("written");
-        house
+        std::fs::write(fixture.path("roster.xml"), roster(&["e1", "e2"])).expect("written");
+        std::fs::write(fixture.path("pilot.xml"), text).expect("written");
+        fixture
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
@@ -53,13 +53,13 @@
         self.path("pilot.sock")
     }
 
-    /// A pilot that answers by now.
-    pub fn pilot(&self) -> ControllerProcess {
+    /// A controller that answers commands already.
+    pub fn start_controller(&self) -> ControllerProcess {
         let log = self.path("pilot.log");
-        let pilot =
+        let controller =
             ControllerProcess::start(Path::new(PROGRAM), &self.path("pilot.xml"), &log).expect("started");
-        self.until("show info", |said| said.contains("Servers: 2"));
-        pilot
+        self.until("show info", |output| output.contains("Servers: 2"));
+        controller
     }
 
     pub fn ask(&self, command: &str) -> String {
@@ -67,15 +67,15 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Asks until the answer is as wanted, for 10 s at most.
-    pub fn until(&self, command: &str, wanted: impl Fn(&str) -> bool) -> String {
+    /// Asks until the answer is as expected, for 10 s at most.
+    pub fn until(&self, command: &str, expected: impl Fn(&str) -> bool) -> String {
         let end = Instant::now() + Duration::from_secs(10);
         loop {
-            let said = self.ask(command);
-            if wanted(&said) {
-                return said;
+            let output = self.ask(command);
+            if expected(&output) {
+                return output;
             }
-            assert!(Instant::now() < end, "{command}: {said}");
+            assert!(Instant::now() < end, "{command}: {output}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
--- a/crates/cli/tests/daemon/main.rs
+++ b/crates/cli/tests/daemon/main.rs
@@ -1,9 +1,10 @@
-//! The program as a process: files, sockets, signals, and short days with one fault each.
+//! The program as a process: files, sockets, signals, aliases of verbs, and short scenarios with one fault each.
 
-mod crossings;
-mod days;
+mod aliases;
+mod controller_fixture;
+mod fault_scenarios;
 mod files;
-mod help;
 mod platform;
+mod platform_races;
+mod platform_testbed;
 mod sockets;
-mod stand;
--- a/crates/cli/tests/daemon/platform.rs
+++ b/crates/cli/tests/daemon/platform.rs
@@ -1,4 +1,4 @@
-//! `lockcroft platform` as a process: a day in small, strangers, configurations.
+//! `lockcroft platform` as a process: a small run, invalid clients, configurations.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -8,71 +8,73 @@
 
 use rustix::process::Signal;
 
-use crate::help::PROGRAM;
-use crate::stand::{Discovery, House, Probed, Proxy, config, endpoint, entry, wall};
+use crate::controller_fixture::PROGRAM;
+use crate::platform_testbed::{
+    CheckedEndpoint, Discovery, PlatformController, Proxy, config, endpoint, entry, wall_clock_ms,
+};
 
 #[test]
 fn a_drain_a_restart_and_another_discovery_reach_proxies() {
     let [a, b, c] = [endpoint(), endpoint(), endpoint()];
     let discovery = Discovery::start(1, vec![entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)]);
-    let mut house = House::start(discovery.address, 128);
-    let mut life = house.connect();
-    life.say("{\"t\":\"hb\"}\n");
-    assert!(life.until(&["hb_ok"]).is_some());
-    let mut proxy = house.join(3, true);
+    let mut controller = PlatformController::start(discovery.address, 128);
+    let mut heartbeat = controller.connect();
+    heartbeat.send("{\"t\":\"hb\"}\n");
+    assert!(heartbeat.until(&["hb_ok"]).is_some());
+    let mut proxy = controller.attach_proxy(3, true);
     let full = proxy.until(&["\"full\":true"]).expect("a table");
     assert!(full.contains("s-a") && full.contains("s-b"), "{full}");
 
-    // A newer stream of the same proxy holds, and the older one is let go.
-    let mut newer = house.join(3, false);
+    // A newer stream of the same proxy is kept, and the older one is closed.
+    let mut newer = controller.attach_proxy(3, false);
     assert!(newer.until(&["\"full\":true"]).is_some());
-    assert!(proxy.closes());
+    assert!(proxy.is_closed_by_peer());
 
-    discovery.tell(vec![entry("s-a", a, "up", 0), entry("s-b", b, "draining", 0)]);
+    discovery.publish(vec![entry("s-a", a, "up", 0), entry("s-b", b, "draining", 0)]);
     assert!(newer.until(&["[\"s-b\",0.0]"]).is_some());
-    discovery.tell(vec![entry("s-a", a, "up", 0), entry("s-b", b, "up", wall())]);
+    discovery.publish(vec![entry("s-a", a, "up", 0), entry("s-b", b, "up", wall_clock_ms())]);
     assert!(newer.until(&["[\"s-b\",0."]).is_some_and(|line| !line.contains("[\"s-b\",0.0]")));
 
     // A half-written file changes nothing; the whole one names another discovery.
-    let path = house.folder.path().join("config.json");
+    let path = controller.folder.path().join("config.json");
     std::fs::write(&path, "{\"name\":\"n0\",").expect("written");
-    house.signal(Signal::HUP);
+    controller.signal(Signal::HUP);
     thread::sleep(Duration::from_millis(200));
     let entries = vec![entry("s-a", a, "up", 0), entry("s-b", b, "up", 0), entry("s-c", c, "up", 0)];
     let other = Discovery::start(9, entries);
-    std::fs::write(&path, config(house.listen, other.address, 128)).expect("written");
-    house.signal(Signal::HUP);
+    std::fs::write(&path, config(controller.listen, other.address, 128)).expect("written");
+    controller.signal(Signal::HUP);
     assert!(newer.until(&["s-c"]).is_some());
 
-    house.signal(Signal::TERM);
-    assert_eq!(house.ended(Duration::from_millis(700)), Some(0));
+    controller.signal(Signal::TERM);
+    assert_eq!(controller.exit_code_within(Duration::from_millis(700)), Some(0));
 }
 
 #[test]
-fn strangers_are_let_go_and_proxies_find_room_among_them() {
+fn invalid_connections_are_closed_and_proxies_still_find_capacity() {
     let a = endpoint();
     let discovery = Discovery::start(1, vec![entry("s-a", a, "up", 0)]);
-    let mut house = House::start(discovery.address, 64);
-    let mut first = house.join(1, false);
+    let mut controller = PlatformController::start(discovery.address, 64);
+    let mut first = controller.attach_proxy(1, false);
     assert!(first.until(&["\"full\":true"]).is_some());
     for garbage in ["GET / HTTP/1.1\r\nHost: x\r\n\r\n", "{\"t\":\"assign\"}\n", "\u{0}\u{1}\n"] {
-        let mut stranger = house.connect();
-        stranger.say(garbage);
-        assert!(stranger.closes(), "{garbage:?}");
+        let mut client = controller.connect();
+        client.send(garbage);
+        assert!(client.is_closed_by_peer(), "{garbage:?}");
     }
-    let mut endless = house.connect();
+    let mut endless = controller.connect();
     let _ = endless.stream.write_all(&[b'x'; 1 << 17]);
-    assert!(endless.closes());
-    // Three times what the limit has room for; and one stream is silent for good.
-    let mut mute: Vec<Proxy> = (0..100).map(|_| house.connect()).collect();
-    let mut second = house.join(2, true);
+    assert!(endless.is_closed_by_peer());
+    // Three times as many as the limit allows; one stream is silent for good.
+    let mut mute: Vec<Proxy> = (0..100).map(|_| controller.connect()).collect();
+    let mut second = controller.attach_proxy(2, true);
     assert!(second.until(&["\"full\":true"]).is_some());
-    assert!(mute.iter_mut().all(Proxy::closes));
-    discovery.tell(vec![entry("s-a", a, "up", 0), entry("s-z", endpoint(), "up", 0)]);
+    assert!(mute.iter_mut().all(Proxy::is_closed_by_peer));
+    discovery.publish(vec![entry("s-a", a, "up", 0), entry("s-z", endpoint(), "up", 0)]);
     for proxy in [&mut first, &mut second] {
         assert!(proxy.until(&["s-z"]).is_some());
     }
-    assert_eq!(house.ended(Duration::ZERO), None, "it still runs");
+    assert_eq!(controller.exit_code_within(Duration::ZERO), None, "it still runs");
 }
 
 #[test]
@@ -101,19 +103,19 @@
     }
 }
 
-/// split+mass, seeds 6 and 7: servers that were asked by five pilots at once answered 503 and lost all of their
-/// weight, at all pilots, so that the rest was overrun and answered 503 as well.
+/// A health check that is answered by 503 and a report of saturation is no failure: otherwise endpoints that several
+/// controllers check at once lose all their weight, and the others are overloaded.
 #[test]
-fn a_server_that_answers_that_it_is_full_keeps_its_line_and_one_that_fails_loses_it() {
-    let (full, failing) = (Probed::start(), Probed::start());
+fn an_endpoint_that_reports_saturation_keeps_its_entry_and_a_failing_one_loses_it() {
+    let (full, failing) = (CheckedEndpoint::start(), CheckedEndpoint::start());
     let entries = vec![entry("s-full", full.address, "up", 0), entry("s-fails", failing.address, "up", 0)];
     let discovery = Discovery::start(1, entries);
-    let house = House::start(discovery.address, 128);
-    let mut proxy = house.join(3, false);
+    let controller = PlatformController::start(discovery.address, 128);
+    let mut proxy = controller.attach_proxy(3, false);
     let table = proxy.until(&["\"full\":true"]).expect("a table");
     assert!(table.contains("s-full") && table.contains("s-fails"), "{table}");
     full.answer("503 Service Unavailable");
-    full.asked(8);
+    full.wait_for_checks(8);
     failing.answer("500 Internal Server Error");
     let change = proxy.until(&["\"endpoints\""]).expect("a change");
     assert!(change.contains("[\"s-fails\",0.0]") && !change.contains("[\"s-full\",0.0]"), "{change}");
--- /dev/null
+++ b/crates/cli/tests/daemon/platform_races.rs
@@ -0,0 +1,373 @@
+//! Races between an end and something that is still due, each forced: the test stops the other end, or the controller
+//! itself.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc;
+use std::thread;
+use std::time::Duration;
+
+use rustix::process::Signal;
+use serde_json::{Value, json};
+use socket2::SockRef;
+
+use crate::platform_testbed::{
+    CheckedEndpoint, Discovery, PlatformController, Proxy, TEST_TIMEOUT, attach, endpoint, entry,
+    free_address, wall_clock_ms,
+};
+
+const HEARTBEAT: &str = "{\"t\":\"hb\"}\n";
+/// So many endpoints with long names make a table that fills the buffers of a socket.
+const LONG_LIST_LENGTH: usize = 2000;
+const FULL_TABLE: &str = "\"full\":true";
+
+fn one_endpoint_testbed() -> (Discovery, PlatformController) {
+    let discovery = Discovery::start(1, vec![entry("s-a", endpoint(), "up", 0)]);
+    let controller = PlatformController::start(discovery.address, 256);
+    (discovery, controller)
+}
+
+/// A list so long that its table fills the buffers of a socket; its endpoints are not health-checked.
+fn long_list(first: &str, status: &str) -> Vec<Value> {
+    let address = SocketAddr::from(([127, 0, 0, 1], 9));
+    let name = |at| format!("s-{at}-{}", "long".repeat(50));
+    let others = (0..LONG_LIST_LENGTH - 1).map(|at| entry(&name(at), address, "up", 0));
+    std::iter::once(entry(first, address, status, 0)).chain(others).collect()
+}
+
+fn controller_with_long_tables(discovery: &Discovery) -> PlatformController {
+    PlatformController::with(free_address(), discovery.address, 256, |config| {
+        config["settings"]["policy_limits"]["probes"] = json!(false);
+        config["settings"]["specifics"]["queue_cap"] = json!(1e6);
+        config["settings"]["specifics"]["egress_per_s"] = json!(1e6);
+    })
+}
+
+/// Waits until bytes of the message lie here, without reading one.
+fn wait_for_bytes(proxy: &Proxy) {
+    proxy.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+    assert!(proxy.stream.peek(&mut [0; 64]).expect("a message comes") > 0);
+}
+
+/// A proxy whose small receive buffer makes the controller wait in the middle of a message.
+fn slow_reader(controller: &PlatformController, proxy: usize) -> Proxy {
+    let mut slow = controller.connect();
+    SockRef::from(&slow.stream).set_recv_buffer_size(1 << 16).expect("set");
+    slow.send(&attach(proxy));
+    slow
+}
+
+#[test]
+fn a_peer_that_closes_its_sending_side_still_gets_its_answer() {
+    let (_discovery, controller) = one_endpoint_testbed();
+    for _ in 0..40 {
+        // Both have arrived when the controller reads: the question, and the end of the stream.
+        let mut client = controller.connect();
+        controller.pause();
+        client.send(HEARTBEAT);
+        client.close_write();
+        controller.resume();
+        let received = client.read_to_end().expect("a good close");
+        assert!(received.contains("hb_ok"), "{received:?}");
+    }
+}
+
+#[test]
+fn a_last_line_without_its_end_is_heard_and_a_cut_one_rejected() {
+    let (_discovery, controller) = one_endpoint_testbed();
+    for (sent, expected) in
+        [(HEARTBEAT.trim_end(), "hb_ok"), (&HEARTBEAT[..7], "reject"), ("{\"t\":\"attach\"", "reject")]
+    {
+        let mut client = controller.connect();
+        client.send(sent);
+        client.close_write();
+        let received = client.read_to_end().expect("a good close");
+        assert!(received.contains(expected), "{sent:?}: {received:?}");
+    }
+}
+
+#[test]
+fn unread_bytes_do_not_discard_the_last_message() {
+    let (_discovery, controller) = one_endpoint_testbed();
+    for _ in 0..20 {
+        let mut client = controller.connect();
+        // The controller reads all of it at once, and answers the first line.
+        controller.pause();
+        client.send("GET / HTTP/1.1\r\n");
+        client.send(&"x".repeat(1 << 16));
+        controller.resume();
+        let received = client.read_to_end().expect("a good close, not a reset");
+        assert!(received.contains("reject"), "{received:?}");
+    }
+}
+
+#[test]
+fn connections_reset_before_accept_or_read_do_not_affect_others() {
+    let (_discovery, controller) = one_endpoint_testbed();
+    controller.connect();
+    controller.pause();
+    for at in 0..200 {
+        let mut client = controller.connect();
+        if at % 2 == 0 {
+            client.send(&attach(5));
+        }
+        client.reset();
+    }
+    let mut proxy = controller.connect();
+    proxy.send(&attach(3));
+    controller.resume();
+    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(controller.attach_proxy(5, false).until(&[FULL_TABLE]).is_some());
+}
+
+#[test]
+fn a_heartbeat_is_answered_before_its_connection_is_closed_for_capacity() {
+    let discovery = Discovery::start(1, vec![entry("s-a", endpoint(), "up", 0)]);
+    let controller = PlatformController::start(discovery.address, 64);
+    controller.connect();
+    let mut clients: Vec<Proxy> = (0..150).map(|_| controller.connect()).collect();
+    clients.iter_mut().for_each(|client| client.send(HEARTBEAT));
+    for client in &mut clients {
+        let received = client.read_to_end().expect("a good close");
+        assert!(received.contains("hb_ok") && received.contains("reject"), "{received:?}");
+    }
+}
+
+#[test]
+fn an_attach_left_unread_at_its_deadline_counts() {
+    let (_discovery, controller) = one_endpoint_testbed();
+    let mut proxies: Vec<Proxy> = (0..8).map(|_| controller.connect()).collect();
+    // All have been accepted: a later connection was answered.
+    let mut heartbeat = controller.connect();
+    heartbeat.send(HEARTBEAT);
+    assert!(heartbeat.until(&["hb_ok"]).is_some());
+    controller.pause();
+    (0..8).zip(&mut proxies).for_each(|(at, proxy)| proxy.send(&attach(at)));
+    thread::sleep(Duration::from_millis(1700));
+    controller.resume();
+    assert!(proxies.iter_mut().all(|proxy| proxy.until(&[FULL_TABLE]).is_some()));
+}
+
+#[test]
+fn simultaneous_attaches_are_all_accepted_and_heartbeats_answered() {
+    let discovery = Discovery::start(1, vec![entry("s-a", endpoint(), "up", 0)]);
+    let controller = PlatformController::with(free_address(), discovery.address, 4096, |config| {
+        config["settings"]["specifics"]["agents"] = json!(1500);
+        config["settings"]["specifics"]["queue_cap"] = json!(100_000);
+        config["settings"]["specifics"]["egress_per_s"] = json!(50_000);
+    });
+    controller.connect();
+    controller.pause();
+    let mut attaching: Vec<Proxy> = (0..1500)
+        .map(|at| {
+            let stream = TcpStream::connect_timeout(&controller.listen, Duration::from_millis(800));
+            let mut proxy = Proxy::new(stream.expect("the queue of the listener has room"));
+            proxy.send(&attach(at));
+            proxy
+        })
+        .collect();
+    let mut heartbeat = controller.connect();
+    heartbeat.send(HEARTBEAT);
+    controller.resume();
+    assert!(heartbeat.until(&["hb_ok"]).is_some());
+    assert!(attaching.iter_mut().all(|proxy| proxy.until(&[FULL_TABLE]).is_some()));
+}
+
+#[test]
+fn a_half_written_message_is_finished_at_shutdown() {
+    let discovery = Discovery::start(1, long_list("s-a", "up"));
+    let mut controller = controller_with_long_tables(&discovery);
+    let mut slow = slow_reader(&controller, 3);
+    wait_for_bytes(&slow);
+    SockRef::from(&slow.stream).set_recv_buffer_size(1 << 20).expect("set");
+    controller.signal(Signal::TERM);
+    let received = slow.read_to_end().expect("a good close");
+    let table: Value =
+        serde_json::from_str(received.lines().next().expect("a line")).expect("a whole message");
+    assert_eq!(table["endpoints"].as_array().map(Vec::len), Some(LONG_LIST_LENGTH));
+    assert_eq!(controller.exit_code_within(Duration::from_millis(700)), Some(0));
+}
+
+#[test]
+fn a_reader_that_stalls_within_a_message_gets_all_of_it_then_the_latest_change() {
+    let discovery = Discovery::start(1, long_list("s-a", "up"));
+    let controller = controller_with_long_tables(&discovery);
+    let mut slow = slow_reader(&controller, 3);
+    wait_for_bytes(&slow);
+    let mut other = controller.attach_proxy(4, false);
+    assert!(other.until(&[FULL_TABLE]).is_some());
+    discovery.publish(long_list("s-a", "draining"));
+    assert!(other.until(&["[\"s-a\",0.0]"]).is_some());
+    SockRef::from(&slow.stream).set_recv_buffer_size(1 << 20).expect("set");
+    let first = slow.until(&[FULL_TABLE]).expect("a message");
+    let table: Value = serde_json::from_str(&first).expect("a whole message");
+    assert_eq!(table["endpoints"].as_array().map(Vec::len), Some(LONG_LIST_LENGTH));
+    let change = slow.until(&["s-a"]).expect("a change");
+    assert!(change.contains("[[\"s-a\",0.0]]"), "{change}");
+}
+
+#[test]
+fn a_newer_stream_gets_its_table_while_the_older_ones_message_is_half_written() {
+    let discovery = Discovery::start(1, long_list("s-a", "up"));
+    let controller = controller_with_long_tables(&discovery);
+    let older = slow_reader(&controller, 3);
+    wait_for_bytes(&older);
+    let mut newer = controller.attach_proxy(3, false);
+    let table = newer.until(&[FULL_TABLE]).expect("a table");
+    assert!(serde_json::from_str::<Value>(&table).is_ok());
+    drop(older);
+    discovery.publish(long_list("s-a", "draining"));
+    assert!(newer.until(&["[\"s-a\",0.0]"]).is_some());
+}
+
+/// A discovery whose every response is given by the test.
+struct ScriptedDiscovery {
+    address: SocketAddr,
+    calls: mpsc::Receiver<(String, TcpStream)>,
+}
+
+impl ScriptedDiscovery {
+    fn start() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
+        let address = listener.local_addr().expect("bound");
+        let (sender, calls) = mpsc::channel();
+        thread::spawn(move || {
+            for mut stream in listener.incoming().flatten() {
+                let mut head = vec![0; 4096];
+                let read = stream.read(&mut head).unwrap_or(0);
+                let _ = sender.send((String::from_utf8_lossy(&head[..read]).into_owned(), stream));
+            }
+        });
+        ScriptedDiscovery { address, calls }
+    }
+
+    /// The next call, which comes on a new connection.
+    fn next_call(&self) -> (String, TcpStream) {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("the pilot calls")
+    }
+}
+
+/// The next call on an open connection.
+fn next_call_on(stream: &mut TcpStream) -> String {
+    let mut head = vec![0; 4096];
+    let read = stream.read(&mut head).expect("the pilot calls");
+    String::from_utf8_lossy(&head[..read]).into_owned()
+}
+
+fn answer(index: u64, whole: bool, entries: &[Value]) -> String {
+    let body = json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string();
+    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
+}
+
+#[test]
+fn a_drain_from_the_old_discovery_is_applied_while_the_new_one_is_silent() {
+    let (a, b) = (endpoint(), endpoint());
+    let old = ScriptedDiscovery::start();
+    let controller = PlatformController::start(old.address, 128);
+    let (_, mut stream) = old.next_call();
+    let up = [entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)];
+    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    let mut proxy = controller.attach_proxy(3, false);
+    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(next_call_on(&mut stream).contains("since=2"));
+    let silent = ScriptedDiscovery::start();
+    controller.switch_discovery(silent.address);
+    let (_, _held) = silent.next_call();
+    stream.write_all(answer(3, false, &[entry("s-b", b, "draining", 0)]).as_bytes()).expect("written");
+    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+}
+
+#[test]
+fn a_late_full_list_of_the_old_discovery_reverts_nothing() {
+    let (a, b) = (endpoint(), endpoint());
+    let up = [entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)];
+    let old = ScriptedDiscovery::start();
+    let controller = PlatformController::start(old.address, 128);
+    let (_, mut stream) = old.next_call();
+    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    let mut proxy = controller.attach_proxy(3, false);
+    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(next_call_on(&mut stream).contains("since=2"));
+    let new = ScriptedDiscovery::start();
+    controller.switch_discovery(new.address);
+    let (_, mut new_stream) = new.next_call();
+    // Both have arrived when the controller resumes, in the wrong order.
+    controller.pause();
+    new_stream
+        .write_all(answer(5, true, &[up[0].clone(), entry("s-b", b, "draining", 0)]).as_bytes())
+        .expect("written");
+    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    controller.resume();
+    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+    assert!(next_call_on(&mut new_stream).contains("since=5"));
+    new_stream.write_all(answer(6, false, &[entry("s-c", endpoint(), "up", 0)]).as_bytes()).expect("written");
+    let change = proxy.until(&["s-c"]).expect("a change");
+    assert!(!change.contains("s-b"), "{change}");
+}
+
+#[test]
+fn a_watch_that_breaks_within_a_response_is_restarted() {
+    let (a, b) = (endpoint(), endpoint());
+    let discovery = ScriptedDiscovery::start();
+    let controller = PlatformController::start(discovery.address, 128);
+    let (_, mut stream) = discovery.next_call();
+    let up = [entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)];
+    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    let mut proxy = controller.attach_proxy(3, false);
+    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(next_call_on(&mut stream).contains("since=2"));
+    let change = answer(3, false, &[entry("s-b", b, "draining", 0)]);
+    stream.write_all(&change.as_bytes()[..change.len() - 20]).expect("written");
+    // It stays open and silent: a new connection asks for the same.
+    let (call, mut second) = discovery.next_call();
+    assert!(call.contains("since=2"), "{call}");
+    second.write_all(change.as_bytes()).expect("written");
+    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+}
+
+#[test]
+fn an_endpoint_that_returns_at_another_address_is_health_checked_there() {
+    let (a, before, after) = (endpoint(), CheckedEndpoint::start(), CheckedEndpoint::start());
+    let discovery =
+        Discovery::start(1, vec![entry("s-a", a, "up", 0), entry("s-b", before.address, "up", 0)]);
+    let controller = PlatformController::start(discovery.address, 128);
+    let mut proxy = controller.attach_proxy(3, false);
+    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    discovery.publish(vec![entry("s-a", a, "up", 0), entry("s-b", after.address, "up", wall_clock_ms())]);
+    after.wait_for_checks(2);
+    assert!(proxy.until(&["[\"s-b\",0."]).is_some());
+}
+
+#[test]
+fn a_controller_whose_address_is_in_use_waits_and_handles_signals() {
+    let discovery = Discovery::start(1, vec![entry("s-a", endpoint(), "up", 0)]);
+    let taken = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let listen = taken.local_addr().expect("bound");
+    let mut controller = PlatformController::with(listen, discovery.address, 128, |_| {});
+    controller.wait_for_signal_handlers();
+    controller.signal(Signal::HUP);
+    drop(taken);
+    let mut heartbeat = controller.connect();
+    heartbeat.send(HEARTBEAT);
+    assert!(heartbeat.until(&["hb_ok"]).is_some());
+    controller.signal(Signal::TERM);
+    assert_eq!(controller.exit_code_within(Duration::from_millis(700)), Some(0));
+
+    let taken = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let mut controller =
+        PlatformController::with(taken.local_addr().expect("bound"), discovery.address, 128, |_| {});
+    controller.wait_for_signal_handlers();
+    controller.signal(Signal::TERM);
+    assert_eq!(controller.exit_code_within(Duration::from_millis(700)), Some(0));
+}
+
+#[test]
+fn a_second_sigterm_neither_delays_nor_repeats_the_shutdown() {
+    let discovery = Discovery::start(1, long_list("s-a", "up"));
+    let mut controller = controller_with_long_tables(&discovery);
+    let slow = slow_reader(&controller, 3);
+    wait_for_bytes(&slow);
+    controller.signal(Signal::TERM);
+    controller.signal(Signal::TERM);
+    assert_eq!(controller.exit_code_within(Duration::from_millis(700)), Some(0));
+}
--- a/crates/cli/tests/daemon/stand.rs
+++ b/crates/cli/tests/daemon/platform_testbed.rs
@@ -1,4 +1,4 @@
-//! A scripted platform on loopback, and a pilot on it as a process: discovery, endpoints and proxies are the test's.
+//! A scripted platform on loopback, and a controller on it as a process: discovery, endpoints and proxies are the test's.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-use crate::help::PROGRAM;
+use crate::controller_fixture::PROGRAM;
 
-pub const SOON: Duration = Duration::from_secs(6);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A discovery whose list tests change.
 #[derive(Clone)]
@@ -62,7 +62,7 @@
         self.list.lock().expect("held").0
     }
 
-    pub fn tell(&self, entries: Vec<Value>) {
+    pub fn publish(&self, entries: Vec<Value>) {
         let mut list = self.list.lock().expect("held");
         *list = (list.0 + 1, entries);
     }
@@ -78,7 +78,7 @@
     Some(head)
 }
 
-/// An endpoint that passes its probes.
+/// An endpoint that passes its health checks.
 pub fn endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
@@ -92,40 +92,40 @@
     address
 }
 
-/// An endpoint whose answers to probes tests change, and which counts how often it was asked.
-pub struct Probed {
+/// An endpoint whose answers to health checks tests change, and which counts the checks.
+pub struct CheckedEndpoint {
     pub address: SocketAddr,
     status: Arc<Mutex<&'static str>>,
-    asked: mpsc::Receiver<()>,
+    checks: mpsc::Receiver<()>,
 }
 
-impl Probed {
+impl CheckedEndpoint {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
         let status = Arc::new(Mutex::new("200 OK"));
-        let (asks, asked) = mpsc::channel();
-        let told = status.clone();
+        let (check_sender, checks) = mpsc::channel();
+        let current_status = status.clone();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let _ = stream.read(&mut [0; 1024]);
-                let head = format!("HTTP/1.1 {}\r\n", *told.lock().expect("held"));
+                let head = format!("HTTP/1.1 {}\r\n", *current_status.lock().expect("held"));
                 let body = "content-length: 8\r\nconnection: close\r\n\r\nbusy=0.2";
                 let _ = stream.write_all((head + body).as_bytes());
-                let _ = asks.send(());
+                let _ = check_sender.send(());
             }
         });
-        Probed { address, status, asked }
+        CheckedEndpoint { address, status, checks }
     }
 
     pub fn answer(&self, status: &'static str) {
         *self.status.lock().expect("held") = status;
-        while self.asked.try_recv().is_ok() {}
+        while self.checks.try_recv().is_ok() {}
     }
 
-    /// Waits until it was asked so often.
-    pub fn asked(&self, times: usize) {
-        (0..times).for_each(|_| self.asked.recv_timeout(SOON).expect("it is asked"));
+    /// Waits for this many checks.
+    pub fn wait_for_checks(&self, times: usize) {
+        (0..times).for_each(|_| self.checks.recv_timeout(TEST_TIMEOUT).expect("it is asked"));
     }
 }
 
@@ -134,35 +134,35 @@
         "status": status, "weight": 1.0, "since_ms": since_ms})
 }
 
-pub fn wall() -> u64 {
+pub fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).expect("later").as_millis() as u64
 }
 
-/// A pilot with its configuration; it is ended with the test.
-pub struct House {
+/// A controller with its configuration; it is ended with the test.
+pub struct PlatformController {
     pub folder: tempfile::TempDir,
     pub listen: SocketAddr,
-    pub pilot: Child,
+    pub process: Child,
 }
 
-impl House {
-    pub fn start(discovery: SocketAddr, sockets: usize) -> Self {
-        House::with(free(), discovery, sockets, |_| {})
+impl PlatformController {
+    pub fn start(discovery: SocketAddr, max_sockets: usize) -> Self {
+        PlatformController::with(free_address(), discovery, max_sockets, |_| {})
     }
 
     /// With changes to the configuration.
     pub fn with(
         listen: SocketAddr,
         discovery: SocketAddr,
-        sockets: usize,
+        max_sockets: usize,
         change: impl Fn(&mut Value),
     ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
-        let mut text: Value = serde_json::from_str(&config(listen, discovery, sockets)).expect("sound");
+        let mut text: Value = serde_json::from_str(&config(listen, discovery, max_sockets)).expect("sound");
         change(&mut text);
         std::fs::write(&path, text.to_string()).expect("written");
-        let pilot = Command::new(PROGRAM)
+        let process = Command::new(PROGRAM)
             .arg("platform")
             .env("LB_CONFIG", &path)
             .env("LOCKCROFT_LOG", "debug")
@@ -170,11 +170,11 @@
             .stdout(Stdio::null())
             .spawn()
             .expect("the program starts");
-        House { folder, listen, pilot }
+        PlatformController { folder, listen, process }
     }
 
     pub fn connect(&self) -> Proxy {
-        let end = Instant::now() + SOON;
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 return Proxy::new(stream);
@@ -184,30 +184,30 @@
         }
     }
 
-    pub fn join(&self, proxy: usize, pieces: bool) -> Proxy {
+    pub fn attach_proxy(&self, proxy: usize, in_pieces: bool) -> Proxy {
         let mut stream = self.connect();
         let line = attach(proxy);
-        let (one, other) = line.split_at(if pieces { 9 } else { 0 });
-        stream.say(one);
-        thread::sleep(Duration::from_millis(if pieces { 60 } else { 0 }));
-        stream.say(other);
+        let (one, other) = line.split_at(if in_pieces { 9 } else { 0 });
+        stream.send(one);
+        thread::sleep(Duration::from_millis(if in_pieces { 60 } else { 0 }));
+        stream.send(other);
         stream
     }
 
     pub fn signal(&self, signal: Signal) {
-        let pid = Pid::from_raw(self.pilot.id() as i32).expect("a process");
+        let pid = Pid::from_raw(self.process.id() as i32).expect("a process");
         kill_process(pid, signal).expect("it runs");
     }
 
     /// Waits until neither SIGTERM nor SIGHUP would end it by default: the kernel tells which it catches.
-    pub fn heeds_signals(&self) {
-        let end = Instant::now() + SOON;
+    pub fn wait_for_signal_handlers(&self) {
+        let end = Instant::now() + TEST_TIMEOUT;
         // Signal N is bit N - 1.
         let both =
             [Signal::TERM, Signal::HUP].map(|signal| 1_u64 << (signal.as_raw() - 1)).iter().sum::<u64>();
         loop {
             let status =
-                std::fs::read_to_string(format!("/proc/{}/status", self.pilot.id())).expect("it runs");
+                std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).expect("it runs");
             let caught =
                 status.lines().find_map(|line| line.strip_prefix("SigCgt:")).expect("on this kernel");
             if u64::from_str_radix(caught.trim(), 16).expect("a mask") & both == both {
@@ -218,17 +218,17 @@
         }
     }
 
-    /// Stops it, or lets it go on: what comes meanwhile crosses with what is due.
-    pub fn hold(&self) {
+    /// Stops the process by a signal: what arrives meanwhile races with what is due.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Names another discovery in its configuration, and says so.
-    pub fn move_discovery(&self, to: SocketAddr) {
+    /// Names another discovery in its configuration, and sends SIGHUP.
+    pub fn switch_discovery(&self, to: SocketAddr) {
         let path = self.folder.path().join("config.json");
         let text = std::fs::read_to_string(&path).expect("there");
         let mut config: Value = serde_json::from_str(&text).expect("sound");
@@ -237,10 +237,10 @@
         self.signal(Signal::HUP);
     }
 
-    pub fn ended(&mut self, within: Duration) -> Option<i32> {
+    pub fn exit_code_within(&mut self, within: Duration) -> Option<i32> {
         let end = Instant::now() + within;
         loop {
-            match self.pilot.try_wait().expect("ours") {
+            match self.process.try_wait().expect("ours") {
                 Some(status) => return status.code(),
                 None if Instant::now() > end => return None,
                 None => thread::sleep(Duration::from_millis(10)),
@@ -249,10 +249,10 @@
     }
 }
 
-impl Drop for House {
+impl Drop for PlatformController {
     fn drop(&mut self) {
-        let _ = self.pilot.kill();
-        let _ = self.pilot.wait();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
     }
 }
 
@@ -267,13 +267,13 @@
         Proxy { stream, inbox: Vec::new() }
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("taken");
     }
 
     /// Reads until a line has all of these words, or the other end closes.
     pub fn until(&mut self, words: &[&str]) -> Option<String> {
-        let end = Instant::now() + SOON;
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             while let Some(at) = self.inbox.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.inbox.drain(..=at).collect();
@@ -295,31 +295,31 @@
     }
 
     /// All that it reads until the other end closes; what was reset in between is an error.
-    pub fn rest(&mut self) -> std::io::Result<String> {
-        self.stream.set_read_timeout(Some(SOON))?;
+    pub fn read_to_end(&mut self) -> std::io::Result<String> {
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         let mut all = std::mem::take(&mut self.inbox);
         self.stream.read_to_end(&mut all)?;
         Ok(String::from_utf8_lossy(&all).into_owned())
     }
 
-    /// Says no more, and still listens.
-    pub fn closes_half(&self) {
+    /// Closes the sending side and keeps reading.
+    pub fn close_write(&self) {
         self.stream.shutdown(std::net::Shutdown::Write).expect("open");
     }
 
-    /// Ends without a word: the other end sees a reset.
-    pub fn resets(self) {
+    /// Resets the connection.
+    pub fn reset(self) {
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("set");
     }
 
-    /// Whether the other end closes in time, whatever it says before.
-    pub fn closes(&mut self) -> bool {
+    /// Whether the other end closes in time, whatever it sends before.
+    pub fn is_closed_by_peer(&mut self) -> bool {
         self.until(&["no line has this"]).is_none()
     }
 }
 
-/// An address that is free by now.
-pub fn free() -> SocketAddr {
+/// An address that nobody listens on.
+pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("bound")
 }
 
@@ -327,11 +327,11 @@
     json!({"t": "attach", "node": proxy, "locality": "a", "w": 5.0, "cold": true}).to_string() + "\n"
 }
 
-pub fn config(listen: SocketAddr, discovery: SocketAddr, sockets: usize) -> String {
+pub fn config(listen: SocketAddr, discovery: SocketAddr, max_sockets: usize) -> String {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-        // A list of before with a version: its hold is short.
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": max_sockets},
+        // A known list with a version makes the start-up hold short.
         "known": {"index": 1, "snapshot": true, "endpoints": []},
         "settings": {
             "zones": ["a"], "kinds": ["std"], "fleet_size": 1, "policy_limits": {"probes": true},
--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -1,75 +1,75 @@
-//! The pilot's own runtime API, with readers of every kind.
+//! The controller's own runtime API, with readers of every kind.
 
 use std::io::{ErrorKind, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-use crate::help::{House, roster, run};
+use crate::controller_fixture::{ControllerFixture, roster, run};
 
-fn connect(house: &House) -> UnixStream {
-    let stream = UnixStream::connect(house.socket()).expect("the pilot listens");
+fn connect(fixture: &ControllerFixture) -> UnixStream {
+    let stream = UnixStream::connect(fixture.socket()).expect("the pilot listens");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     stream
 }
 
 #[test]
-fn operators_ask_and_are_answered_by_level() {
-    let house = House::new();
-    let mut pilot = house.pilot();
-    assert!(house.ask("show version").starts_with("lockcroft "));
-    assert!(house.ask("show backend").starts_with("# name part released"));
-    assert!(house.ask("show events").contains("list at version 0, 2 servers"));
-    assert!(house.ask("help").contains("set server <b>/<s> state|weight <value>"));
-    let user = house.path("user.sock").display().to_string();
+fn operators_are_answered_according_to_their_access_level() {
+    let fixture = ControllerFixture::new();
+    let mut controller = fixture.start_controller();
+    assert!(fixture.ask("show version").starts_with("lockcroft "));
+    assert!(fixture.ask("show backend").starts_with("# name part released"));
+    assert!(fixture.ask("show events").contains("list at version 0, 2 servers"));
+    assert!(fixture.ask("help").contains("set server <b>/<s> state|weight <value>"));
+    let user = fixture.path("user.sock").display().to_string();
     let denied = run(&["ask", &user, "set", "server", "servers/e1", "state", "drain"]);
     assert_eq!(String::from_utf8_lossy(&denied.stdout), "Permission denied\n");
-    assert_eq!(house.ask("set server servers/e1 state drain"), "");
-    let states = house.until("show servers state servers", |said| said.contains("e1: counter"));
+    assert_eq!(fixture.ask("set server servers/e1 state drain"), "");
+    let states = fixture.until("show servers state servers", |output| output.contains("e1: counter"));
     assert!(
         states.lines().any(|line| line.starts_with("# e1:") && line.contains("listed=draining")),
         "{states}"
     );
-    assert_eq!(house.ask("set server servers/e9 state drain"), "No such server.\n");
-    assert_eq!(house.ask("set server servers/e1 weight 999"), "Require <weight> or <weight%>.\n");
+    assert_eq!(fixture.ask("set server servers/e9 state drain"), "No such server.\n");
+    assert_eq!(fixture.ask("set server servers/e1 weight 999"), "Require <weight> or <weight%>.\n");
     assert_eq!(
-        house.ask("set log debug,lockcroft::update=trace; show log"),
+        fixture.ask("set log debug,lockcroft::update=trace; show log"),
         "\ndebug,lockcroft::update=trace\n"
     );
-    assert!(house.ask("set log what=ever=this").contains("allowed: LEVEL"));
+    assert!(fixture.ask("set log what=ever=this").contains("allowed: LEVEL"));
     let json = run(&["ask", "--json", &user, "show", "version"]);
     let json: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert!(json["lines"][0].as_str().is_some_and(|line| line.starts_with("lockcroft")));
-    assert_eq!(pilot.end(Duration::from_secs(5)), Some(0));
-    let log = house.log();
+    assert_eq!(controller.end(Duration::from_secs(5)), Some(0));
+    let log = fixture.log();
     assert!(log.contains("proxies keep their tables"));
     for line in log.lines() {
         let line: serde_json::Value = serde_json::from_str(line).expect("each line is JSON");
         assert!(line["target"].as_str().is_some_and(|target| target.starts_with("lockcroft::")), "{line}");
     }
-    assert!(!house.socket().exists());
+    assert!(!fixture.socket().exists());
 }
 
 #[test]
-fn a_bad_list_changes_nothing() {
-    let house = House::new();
-    let _pilot = house.pilot();
-    std::fs::write(house.path("roster.xml"), "<roster><server name=").expect("written");
-    house.ask("reload roster");
+fn an_invalid_endpoint_list_changes_nothing() {
+    let fixture = ControllerFixture::new();
+    let _controller = fixture.start_controller();
+    std::fs::write(fixture.path("roster.xml"), "<roster><server name=").expect("written");
+    fixture.ask("reload roster");
     let end = Instant::now() + Duration::from_secs(5);
-    while !house.log().contains("the list stays as it was") {
-        assert!(Instant::now() < end, "{}", house.log());
+    while !fixture.log().contains("the list stays as it was") {
+        assert!(Instant::now() < end, "{}", fixture.log());
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(house.ask("show info").contains("Servers: 2"));
-    std::fs::write(house.path("roster.xml"), roster(&["e1", "e2", "e3"])).expect("written");
-    house.until("show info", |said| said.contains("Servers: 3"));
+    assert!(fixture.ask("show info").contains("Servers: 2"));
+    std::fs::write(fixture.path("roster.xml"), roster(&["e1", "e2", "e3"])).expect("written");
+    fixture.until("show info", |output| output.contains("Servers: 3"));
 }
 
 #[test]
 fn a_prompt_stays_and_events_are_followed() {
-    let house = House::new();
-    let _pilot = house.pilot();
-    let mut stream = connect(&house);
+    let fixture = ControllerFixture::new();
+    let _controller = fixture.start_controller();
+    let mut stream = connect(&fixture);
     stream.write_all(b"prompt\nshow version\n").expect("written");
     let mut got = String::new();
     while !got.ends_with("\n\n> ") {
@@ -79,7 +79,7 @@
     }
     assert!(got.starts_with("\n> lockcroft "), "{got}");
     stream.write_all(b"show events -w\n").expect("written");
-    house.ask("set server servers/e2 state drain");
+    fixture.ask("set server servers/e2 state drain");
     let mut seen = String::new();
     while !seen.contains("operator: e2") {
         let mut bytes = [0; 4096];
@@ -90,35 +90,35 @@
 }
 
 #[test]
-fn endless_lines_garbage_and_halves_harm_nobody() {
-    let house = House::new();
-    let _pilot = house.pilot();
-    let mut endless = connect(&house);
+fn endless_lines_garbage_and_partial_commands_harm_nobody() {
+    let fixture = ControllerFixture::new();
+    let _controller = fixture.start_controller();
+    let mut endless = connect(&fixture);
     let piece = [b'x'; 1024];
-    // The pilot gives up long before the megabyte is through: writing fails, or the word of it comes.
+    // The controller gives up long before the megabyte is sent: writing fails, or the error is answered.
     let cut = (0..1024).any(|_| endless.write_all(&piece).is_err());
-    let mut said = String::new();
-    let read = endless.read_to_string(&mut said);
-    assert!(cut || said.contains("Line too long") || read.is_err(), "{said}");
-    let mut garbage = connect(&house);
+    let mut output = String::new();
+    let read = endless.read_to_string(&mut output);
+    assert!(cut || output.contains("Line too long") || read.is_err(), "{output}");
+    let mut garbage = connect(&fixture);
     garbage.write_all(&[0xff, 0, 0x80, b';', b'\\', b'\n']).expect("written");
-    let mut said = String::new();
-    garbage.read_to_string(&mut said).expect("answered");
-    assert!(said.starts_with("Unknown command"), "{said}");
-    let mut half = connect(&house);
+    let mut output = String::new();
+    garbage.read_to_string(&mut output).expect("answered");
+    assert!(output.starts_with("Unknown command"), "{output}");
+    let mut half = connect(&fixture);
     half.write_all(b"set server servers/e1 state dr").expect("written");
     drop(half);
-    let states = house.ask("show servers state servers");
+    let states = fixture.ask("show servers state servers");
     assert!(!states.contains("listed=draining"), "half a command is none: {states}");
 }
 
 #[test]
-fn two_hundred_that_never_read_keep_nobody_waiting() {
-    let house = House::new();
-    let _pilot = house.pilot();
+fn two_hundred_clients_that_never_read_delay_nobody() {
+    let fixture = ControllerFixture::new();
+    let _controller = fixture.start_controller();
     let mut deaf = Vec::new();
     for _ in 0..200 {
-        let mut stream = connect(&house);
+        let mut stream = connect(&fixture);
         stream.set_nonblocking(true).expect("set");
         let asks = b"prompt i\n"
             .iter()
@@ -132,51 +132,51 @@
         deaf.push(stream);
     }
     for _ in 0..10 {
-        let begun = Instant::now();
-        assert!(house.ask("show info").contains("Servers: 2"));
-        assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+        let started = Instant::now();
+        assert!(fixture.ask("show info").contains("Servers: 2"));
+        assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
-    // Probes went on all the while.
-    let probes =
-        |said: &str| said.lines().find_map(|line| line.strip_prefix("Probes: ")?.parse::<u64>().ok());
-    let before = probes(&house.ask("show info"));
-    house.until("show info", |said| probes(said) > before);
+    // Health checks went on all the while.
+    let health_checks =
+        |output: &str| output.lines().find_map(|line| line.strip_prefix("Probes: ")?.parse::<u64>().ok());
+    let before = health_checks(&fixture.ask("show info"));
+    fixture.until("show info", |output| health_checks(output) > before);
     drop(deaf);
 }
 
-/// A pilot that is killed and started again has what it learned; its folder can be looked into at any time.
+/// A controller that is killed and started again recovers what it learned; its folder can be read at any time.
 #[test]
-fn a_pilot_keeps_what_it_learned() {
-    let house = House::new();
-    let text = std::fs::read_to_string(house.path("pilot.xml")).expect("there");
+fn a_controller_recovers_what_it_learned() {
+    let fixture = ControllerFixture::new();
+    let text = std::fs::read_to_string(fixture.path("pilot.xml")).expect("there");
     let text = text.replace("<proxies/>", "<memory folder=\"memory\"/><proxies/>");
-    std::fs::write(house.path("pilot.xml"), text).expect("written");
-    let mut pilot = house.pilot();
-    house.until("show memory", |said| said.contains("Entries: 3") && said.contains("Trouble: -"));
-    pilot.kill();
-    std::fs::write(house.path("roster.xml"), roster(&["e2"])).expect("written");
-    let folder = house.path("memory").display().to_string();
+    std::fs::write(fixture.path("pilot.xml"), text).expect("written");
+    let mut controller = fixture.start_controller();
+    fixture.until("show memory", |output| output.contains("Entries: 3") && output.contains("Trouble: -"));
+    controller.kill();
+    std::fs::write(fixture.path("roster.xml"), roster(&["e2"])).expect("written");
+    let folder = fixture.path("memory").display().to_string();
     let shown = String::from_utf8_lossy(&run(&["memory", "show", &folder]).stdout).into_owned();
     assert!(shown.contains("\"server\":\"e1\"") && shown.contains("3 entries"), "{shown}");
     assert_eq!(run(&["memory", "verify", &folder]).status.code(), Some(0));
     assert_eq!(run(&["memory", "compact", &folder]).status.code(), Some(0));
-    pilot.again().expect("started");
-    house.until("show info", |said| said.contains("Servers: 1"));
+    controller.again().expect("started");
+    fixture.until("show info", |output| output.contains("Servers: 1"));
     let held = run(&["memory", "compact", &folder]);
     assert!(
         held.status.code() == Some(1) && String::from_utf8_lossy(&held.stderr).contains("a pilot holds it")
     );
-    let log = std::fs::read_to_string(house.path("pilot.log")).expect("there");
+    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
     assert_eq!(log.matches("\"message\":\"recalled\"").count(), 2, "{log}");
-    pilot.kill();
-    // Of another fleet nothing is believed, and the pilot starts without.
+    controller.kill();
+    // State of another fleet is not used, and the controller starts without.
     std::fs::write(
-        house.path("pilot.xml"),
-        std::fs::read_to_string(house.path("pilot.xml")).expect("there").replace("look-up", "look-down"),
+        fixture.path("pilot.xml"),
+        std::fs::read_to_string(fixture.path("pilot.xml")).expect("there").replace("look-up", "look-down"),
     )
     .expect("written");
-    pilot.again().expect("started");
-    house.until("show memory", |said| said.contains("No memory is set."));
-    let log = std::fs::read_to_string(house.path("pilot.log")).expect("there");
+    controller.again().expect("started");
+    fixture.until("show memory", |output| output.contains("No memory is set."));
+    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
     assert!(log.contains("started without memory") && log.contains("of a fleet with other zones"), "{log}");
 }
