--- /dev/null
+++ b/crates/scenario/tests/xml.rs
@@ -0,0 +1,67 @@
+//! Every element and attribute of a scenario's file is read into its field.
+
+use std::time::Duration;
+
+use lockcroft_proxy::LoadBalancingPolicy;
+use lockcroft_scenario::{FaultKind, Scenario, TableSource};
+
+const FULL: &str = r#"<day length="90s" seed="7" log="debug">
+  <terms><zones><zone name="a"/></zones></terms>
+  <endpoints kind="k" per-zone="2" cores="3" speed="1.5" weight="0.5" zones="a b" queue="9" turn-away-work="2ms"/>
+  <endpoints kind="l" per-zone="1" cores="1"/>
+  <relays per-zone="4" standing="5" shuns-for="3s" try-most="800ms" way="pair" front="mixed" second-share="0.25"
+    outstanding-most="6" waiting-most="7"/>
+  <visits class="c" rate="30" work="20ms" comes-again="2"/>
+  <trouble at="8s" for="3s" kind="slow" servers="e f" zone="z" relay="r" times="4" after-commands="3" notice="2s" command="show info"/>
+  <trouble at="1s" kind="hang"/>
+</day>"#;
+
+#[test]
+fn every_attribute_is_read() {
+    let scenario = Scenario::parse(FULL).expect("a sound file");
+    assert_eq!(
+        (scenario.length, scenario.seed, scenario.log.as_str()),
+        (Duration::from_secs(90), 7, "debug")
+    );
+    assert_eq!(scenario.terms, "<zones><zone name=\"a\"/></zones>\n");
+    let full = &scenario.endpoints[0];
+    assert_eq!((full.kind.as_str(), full.per_zone, full.cores, full.speed), ("k", 2, 3, 1.5));
+    assert_eq!((full.weight, full.queue, full.turn_away), (0.5, 9, Duration::from_millis(2)));
+    assert_eq!(full.zones, ["a", "b"]);
+    let plain = &scenario.endpoints[1];
+    assert_eq!((plain.speed, plain.weight, plain.queue, plain.turn_away), (1.0, 1.0, 64, Duration::ZERO));
+    let relays = &scenario.relays;
+    assert_eq!((relays.per_zone, relays.standing, relays.front), (4, 5, TableSource::Mixed));
+    assert_eq!(
+        (relays.shuns_for, relays.try_most),
+        (Some(Duration::from_secs(3)), Some(Duration::from_millis(800)))
+    );
+    assert!(matches!(relays.way, Some(way) if way != LoadBalancingPolicy::SmoothWeightedRoundRobin));
+    assert_eq!(
+        (relays.second_share, relays.outstanding_most, relays.waiting_most),
+        (Some(0.25), Some(6), Some(7))
+    );
+    let visits = &scenario.visits[0];
+    assert_eq!(
+        (visits.class.as_str(), visits.rate, visits.work, visits.comes_again),
+        ("c", 30.0, Duration::from_millis(20), 2)
+    );
+}
+
+#[test]
+fn faults_are_read_in_the_order_of_their_times() {
+    let scenario = Scenario::parse(FULL).expect("a sound file");
+    let [first, second] = &scenario.troubles[..] else { panic!("two faults") };
+    assert_eq!((first.at, first.lasts, first.kind), (Duration::from_secs(1), None, FaultKind::Hang));
+    assert_eq!((first.times, first.after_commands, first.notice), (1.0, 1, Duration::from_secs(1)));
+    assert_eq!(
+        (second.at, second.lasts, second.kind),
+        (Duration::from_secs(8), Some(Duration::from_secs(3)), FaultKind::Slow)
+    );
+    assert_eq!((second.times, second.after_commands, second.notice), (4.0, 3, Duration::from_secs(2)));
+    assert_eq!(
+        (&second.servers[..], second.zone.as_deref()),
+        (&["e".to_string(), "f".to_string()][..], Some("z"))
+    );
+    assert_eq!((second.relay.as_deref(), second.command.as_str()), (Some("r"), "show info"));
+}
