--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -6,6 +6,7 @@
 use std::process::ExitCode;
 
 use lockcroft_runtime_api::Address;
+use lockcroft_scenario::{ScenarioError, VariantError};
 use thiserror::Error;
 
 use crate::snapshot_name::SnapshotName;
@@ -20,6 +21,10 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     #[error(transparent)]
+    Scenario(#[from] ScenarioError),
+    #[error(transparent)]
+    Variant(#[from] VariantError),
+    #[error(transparent)]
     Other(BoxedError),
     #[error("{}: {source}", .path.display())]
     AtPath { path: PathBuf, source: BoxedError },
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lockcroft_scenario::{Report, Scenario, play};
+use lockcroft_scenario::{Report, Scenario, run};
 use serde::Serialize;
 
 use crate::error::{CliError, report};
@@ -78,7 +78,7 @@
             let names: Vec<&str> = all.iter().map(|variant| variant.name.as_str()).collect();
             return Err(CliError::UnknownVariant { name: name.clone(), known: names.join(", ") });
         };
-        scenario.in_way(variant).map_err(CliError::other)
+        Ok(scenario.with_variant(variant)?)
     }
 
     fn run_once(&self, scenario: &Scenario) -> Result<ExitCode, CliError> {
@@ -90,7 +90,7 @@
         if let Some(path) = &self.summary {
             write_json(path, &report.summary())?;
         }
-        Ok(if report.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if report.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
     fn play(&self, scenario: &Scenario) -> Result<Report, CliError> {
@@ -103,8 +103,8 @@
         let workers = std::thread::available_parallelism().map_or(2, |cores| cores.get() - 1).max(1);
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(workers).enable_all().build()?;
-        let playing = play(scenario, &program, &folder, |text| eprintln!("{text}"));
-        runtime.block_on(playing).map_err(CliError::other)
+        let playing = run(scenario, &program, &folder, |text| eprintln!("{text}"));
+        Ok(runtime.block_on(playing)?)
     }
 }
 
--- a/crates/cli/src/variants.rs
+++ b/crates/cli/src/variants.rs
@@ -16,7 +16,7 @@
 
 /// The variants that a scenario's file names, and those of its search space.
 pub fn all(scenario: &Scenario) -> Vec<Variant> {
-    scenario.ways.iter().cloned().chain(search(&scenario.tries)).collect()
+    scenario.variants.iter().cloned().chain(search(&scenario.search_spaces)).collect()
 }
 
 /// What is compared, and how it is shown.
@@ -37,9 +37,9 @@
 impl Comparison<'_> {
     /// Plays the variants and prints a row each, the best of a search first.
     pub fn run(&self, scenario: &Scenario) -> ExitCode {
-        let variants = if self.search { search(&scenario.tries) } else { scenario.ways.clone() };
+        let variants = if self.search { search(&scenario.search_spaces) } else { scenario.variants.clone() };
         // A search space without an element still has one choice: nothing changed.
-        if variants.is_empty() || self.search && scenario.tries.is_empty() {
+        if variants.is_empty() || self.search && scenario.search_spaces.is_empty() {
             let element = if self.search { "search" } else { "way" };
             eprintln!("lockcroft: {}: no element {element}", self.file.display());
             return ExitCode::from(EXIT_USAGE);
@@ -55,14 +55,14 @@
             .map(|(variant, summary)| VariantResult { variant, summary })
             .collect();
         if self.search {
-            results.sort_by(|a, b| b.summary.score.whole.total_cmp(&a.summary.score.whole));
+            results.sort_by(|a, b| b.summary.score.goodput.total_cmp(&a.summary.score.goodput));
         }
         if self.json {
             print_json(&results);
         } else {
             print_rows(&results);
         }
-        let rules_kept = results.iter().all(|result| result.summary.broken.is_empty());
+        let rules_kept = results.iter().all(|result| result.summary.broken_rules.is_empty());
         Ok(if rules_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 }
@@ -74,22 +74,27 @@
 
 fn print_rows(results: &[VariantResult]) {
     println!("{:24} fulfilled  worst 10 s  crossing  changes  each 10 s, rules", "way");
-    for VariantResult { variant, summary: Summary { score, broken } } in results {
-        let windows: Vec<String> = score.tens.iter().map(|fraction| format!("{fraction:.3}")).collect();
-        let rules = if broken.is_empty() { "kept".into() } else { format!("BROKEN: {}", broken.join(", ")) };
+    for VariantResult { variant, summary: Summary { score, broken_rules } } in results {
+        let windows: Vec<String> =
+            score.window_goodput.iter().map(|fraction| format!("{fraction:.3}")).collect();
+        let rules = if broken_rules.is_empty() {
+            "kept".into()
+        } else {
+            format!("BROKEN: {}", broken_rules.join(", "))
+        };
         let changes: usize = score.changes.iter().sum();
         println!(
             "{:24} {:9.3}  {:10.3}  {:8.3}  {changes:7}  {}, {rules}",
             variant.name,
-            score.whole,
-            score.worst_window,
-            score.crossing,
+            score.goodput,
+            score.worst_window_goodput,
+            score.cross_zone_fraction,
             windows.join(" ")
         );
         for restart in &score.restarts {
             println!(
                 "{:24} 20 s behind the start at {:.0} s: {:.3}, {} changed, tables laid in {:.1} s",
-                "", restart.at_s, restart.fulfilled, restart.changes, restart.settled_s
+                "", restart.at_s, restart.goodput, restart.changes, restart.settled_s
             );
         }
     }
--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use lockcroft_scenario::{Report, Scenario, play};
+use lockcroft_scenario::{Report, Scenario, run};
 use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 
 use crate::controller_fixture::PROGRAM;
@@ -33,25 +33,31 @@
         {troubles}
         </day>"#
     );
-    let scenario = Scenario::parse(&text).expect("a sound day");
+    let scenario = Scenario::parse(&text).expect("a valid scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let played =
-        runtime.expect("a runtime").block_on(play(&scenario, Path::new(PROGRAM), folder.path(), |_| {}));
-    let report = played.expect("the day was played");
+        runtime.expect("a runtime").block_on(run(&scenario, Path::new(PROGRAM), folder.path(), |_| {}));
+    let report = played.expect("the scenario was played");
     let log = std::fs::read_to_string(folder.path().join("pilot.log")).unwrap_or_default();
-    assert!(report.kept() && report.exit == Some(0), "{report}\nexit {:?}\n{log}", report.exit);
+    assert!(
+        report.rules_kept() && report.exit_code == Some(0),
+        "{report}\nexit {:?}\n{log}",
+        report.exit_code
+    );
     (report, log)
 }
 
 fn any_event(report: &Report, expected: impl Fn(&TrafficEvent) -> bool) -> bool {
-    report.records.iter().any(|record| expected(&record.what))
+    report.records.iter().any(|record| expected(&record.event))
 }
 
 /// All updates of a run: proxy, command, answer.
 fn updates(report: &Report) -> impl DoubleEndedIterator<Item = (&String, &String, &String)> {
-    report.records.iter().flat_map(|record| match &record.what {
-        TrafficEvent::Set { relay, orders } => orders.iter().map(|(c, a)| (relay, c, a)).collect(),
+    report.records.iter().flat_map(|record| match &record.event {
+        TrafficEvent::UpdateAnswered { proxy, commands } => {
+            commands.iter().map(|of| (proxy, &of.command, &of.answer)).collect()
+        }
         _ => Vec::new(),
     })
 }
@@ -65,7 +71,7 @@
            <trouble at="7.2s" kind="drain" servers="a-1 b-2"/>"#,
     );
     assert!(
-        any_event(&report, |event| matches!(event, TrafficEvent::Stalled { on: true, .. })),
+        any_event(&report, |event| matches!(event, TrafficEvent::ControlStreamStalled { stalled: true, .. })),
         "the stall took place"
     );
     // The proxy comes to the right tables once it goes on.
@@ -101,7 +107,7 @@
            <trouble at="8s" kind="restart-relay" relay="r-a-2"/>"#,
     );
     let broke = report.records.iter().position(
-        |record| matches!(&record.what, TrafficEvent::Stream { relay, open: false } if relay == "r-b-2"),
+        |record| matches!(&record.event, TrafficEvent::ControlStream { proxy, open: false } if proxy == "r-b-2"),
     );
     assert!(broke.is_some(), "the stream broke");
     let mut added = std::collections::BTreeMap::new();
@@ -126,9 +132,12 @@
            <trouble at="8s" for="6s" kind="lose" zone="b" notice="1500ms"/>
            <trouble at="11s" for="4s" kind="lie" servers="a-1"/>"#,
     );
-    assert!(any_event(&report, |event| matches!(event, TrafficEvent::Started { .. })), "they came back");
-    assert!(!any_event(&report, |event| matches!(event, TrafficEvent::Fell { .. })));
-    assert!(report.score.whole > 0.7, "{report}");
+    assert!(
+        any_event(&report, |event| matches!(event, TrafficEvent::EndpointStarted { .. })),
+        "they came back"
+    );
+    assert!(!any_event(&report, |event| matches!(event, TrafficEvent::EndpointOverloaded { .. })));
+    assert!(report.score.goodput > 0.7, "{report}");
 }
 
 /// An endpoint takes requests and answers none, while its health checks go on; the rest is overloaded.
@@ -142,7 +151,7 @@
     let sent = |from: u64, to: u64| {
         let here = report.records.iter().filter(|record| (from..to).contains(&record.at.as_secs()));
         here.filter(
-            |record| matches!(&record.what, TrafficEvent::Arrived { endpoint, .. } if endpoint == "a-2"),
+            |record| matches!(&record.event, TrafficEvent::RequestArrived { endpoint, .. } if endpoint == "a-2"),
         )
         .count()
     };
@@ -163,7 +172,7 @@
            <trouble at="16s" kind="drain" servers="b-3"/>"#,
     );
     let applied_by = |expected: &str| {
-        let count = |record: &&TrafficRecord| matches!(&record.what, TrafficEvent::Laid { relay, .. } if relay == expected);
+        let count = |record: &&TrafficRecord| matches!(&record.event, TrafficEvent::SnapshotApplied { proxy, .. } if proxy == expected);
         report.records.iter().filter(count).count()
     };
     assert!(
--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -78,11 +78,8 @@
 #[test]
 fn command_lines_have_help_and_exit_codes() {
     assert_eq!(run(&["serve"]).status.code(), Some(2));
-    let controller_fixture = text(&run(&["ask", "--help"]).stdout);
-    assert!(
-        controller_fixture.contains("Examples:") && controller_fixture.contains("show proxies"),
-        "{controller_fixture}"
-    );
+    let help = text(&run(&["ask", "--help"]).stdout);
+    assert!(help.contains("Examples:") && help.contains("show proxies"), "{help}");
     let nobody = run(&["ask", "/nowhere/pilot.sock", "show", "info"]);
     assert_eq!(nobody.status.code(), Some(1));
     assert!(text(&nobody.stderr).contains("cannot be reached"));
--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -39,7 +39,7 @@
     let json = run(&["ask", "--json", &user, "show", "version"]);
     let json: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert!(json["lines"][0].as_str().is_some_and(|line| line.starts_with("lockcroft")));
-    assert_eq!(controller.end(Duration::from_secs(5)), Some(0));
+    assert_eq!(controller.terminate(Duration::from_secs(5)), Some(0));
     let log = fixture.log();
     assert!(log.contains("proxies keep their tables"));
     for line in log.lines() {
@@ -160,7 +160,7 @@
     assert!(shown.contains("\"server\":\"e1\"") && shown.contains("3 entries"), "{shown}");
     assert_eq!(run(&["memory", "verify", &folder]).status.code(), Some(0));
     assert_eq!(run(&["memory", "compact", &folder]).status.code(), Some(0));
-    controller.again().expect("started");
+    controller.restart().expect("started");
     fixture.until("show info", |output| output.contains("Servers: 1"));
     let held = run(&["memory", "compact", &folder]);
     assert!(
@@ -175,7 +175,7 @@
         std::fs::read_to_string(fixture.path("pilot.xml")).expect("there").replace("look-up", "look-down"),
     )
     .expect("written");
-    controller.again().expect("started");
+    controller.restart().expect("started");
     fixture.until("show memory", |output| output.contains("No memory is set."));
     let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
     assert!(log.contains("started without memory") && log.contains("of a fleet with other zones"), "{log}");
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,31 +1,50 @@
-//! Plays a scripted day: a real pilot in a process of its own, stand-ins on loopback, troubles by
-//! time. Judges the five rules from what passed on the sockets, never from the pilot's own word.
+//! Plays a scripted scenario: a real controller in a process of its own, real proxies, fake endpoints on loopback, and
+//! fault injections by time. Judges the five rules from what passed on the sockets, never from the controller's own
+//! account.
+//!
+//! [`Scenario`] is what a file says, [`run`] plays it, [`judge`] checks the rules, [`score`] weighs the requests.
 
-mod day;
-mod folder;
-mod meter;
-mod pilot;
-mod play;
-mod proxies;
-mod roster;
+#![warn(missing_docs)]
+
+mod apply_variant;
+mod check_result;
+mod controller_process;
+mod endpoint_list_file;
+mod error;
+mod fault_injector;
+mod fault_steps;
+mod faults;
+mod observed_state;
+mod owned_task;
+mod proxy_fleet;
+mod proxy_runtimes;
+mod report;
+mod resource_meter;
 mod rules;
+mod run;
+mod scenario;
 mod score;
-mod seen;
-mod shares;
 mod stage;
-mod ways;
-mod wire;
+mod table_folder;
+mod throttled_link;
+mod variants;
+mod xml;
 
-pub use day::{FaultInjection, FaultKind, Scenario, TableSource};
-pub use meter::ResourceUsage;
-pub use pilot::ControllerProcess;
-pub use play::{Report, Summary, play};
-pub use proxies::ProxyRuntimes;
-pub use rules::{CheckResult, Limits, judge};
-pub use score::{After, Score, Zones, score};
+pub use check_result::CheckResult;
+pub use controller_process::ControllerProcess;
+pub use error::{ScenarioError, VariantError};
+pub use faults::{FaultInjection, FaultKind};
+pub use proxy_fleet::{ProxyFleet, TableSource};
+pub use proxy_runtimes::ProxyRuntimes;
+pub use report::{Report, Summary};
+pub use resource_meter::{ResourceSample, ResourceUsage};
+pub use rules::{Limits, judge};
+pub use run::run;
+pub use scenario::{EndpointGroup, LoadProfile, Scenario};
+pub use score::{RestartScore, Score, Zones, score};
 pub use stage::{ProxyInstance, Stage, settings};
-pub use ways::{SearchSpace, Variant, search};
-pub use wire::{StallPoint, ThrottledLink};
+pub use throttled_link::{StallPoint, ThrottledLink};
+pub use variants::{SearchSpace, SettingOverride, Variant, search};
 
-/// The schema of days.
+/// The schema of scenario files.
 pub const SCHEMA: &str = include_str!("../day.xsd");
--- /dev/null
+++ b/crates/scenario/src/owned_task.rs
@@ -0,0 +1,19 @@
+//! A task that ends with its owner.
+
+use tokio::task::JoinHandle;
+
+/// Aborts its task when dropped.
+pub struct OwnedTask(JoinHandle<()>);
+
+impl OwnedTask {
+    /// Starts the task on the present runtime.
+    pub fn spawn(task: impl Future<Output = ()> + Send + 'static) -> Self {
+        OwnedTask(tokio::spawn(task))
+    }
+}
+
+impl Drop for OwnedTask {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- /dev/null
+++ b/crates/scenario/src/rules/execution.rs
@@ -0,0 +1,45 @@
+//! The rules on executions: no effect happens twice, and no attempt follows one that was executed.
+
+use std::collections::BTreeMap;
+
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
+
+use crate::check_result::CheckResult;
+use crate::rules::limits::Limits;
+
+/// No request of a class with effects is executed twice.
+pub fn no_effect_twice(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
+    let mut result = CheckResult::new("no effect twice", "visits run twice", 0.0);
+    let mut executions: BTreeMap<u64, u32> = BTreeMap::new();
+    for record in records {
+        let TrafficEvent::RequestExecuted { request, class, endpoint } = &record.event else { continue };
+        let count = executions.entry(*request).or_default();
+        *count += 1;
+        if *count > 1 && limits.execute_once.contains(class) {
+            let at = record.at.as_secs_f64();
+            result.count(|| format!("visit {request} at {endpoint} at {at:.1} s"));
+        }
+    }
+    result
+}
+
+/// No request is sent anywhere once it was executed somewhere. Clients give each retry an id of its own, so that a later
+/// arrival of the same id is a proxy's retry.
+pub fn no_retry_after_execution(records: &[TrafficRecord]) -> CheckResult {
+    let mut result = CheckResult::new("second tries", "tries after one that ran", 0.0);
+    let mut executed_at = BTreeMap::new();
+    for record in records {
+        match &record.event {
+            TrafficEvent::RequestExecuted { request, endpoint, .. } => {
+                executed_at.insert(*request, endpoint);
+            }
+            TrafficEvent::RequestArrived { request, endpoint, .. } => {
+                if let Some(first) = executed_at.get(request) {
+                    result.count(|| format!("visit {request} at {endpoint} after {first}"));
+                }
+            }
+            _ => {}
+        }
+    }
+    result
+}
--- a/crates/scenario/tests/report_json.rs
+++ b/crates/scenario/tests/report_json.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use lockcroft_scenario::{After, CheckResult, Report, ResourceUsage, Score};
-use lockcroft_testbed::{TrafficEvent, TrafficRecord};
+use lockcroft_scenario::{CheckResult, Report, ResourceSample, ResourceUsage, RestartScore, Score};
+use lockcroft_testbed::{
+    AnsweredCommand, AppliedTable, ClassTable, EndpointWeight, ListedEndpoint, TrafficEvent, TrafficRecord,
+};
 use serde_json::{Value, json};
 
 fn text(text: &str) -> String {
@@ -12,64 +14,82 @@
 
 fn events() -> Vec<TrafficEvent> {
     vec![
-        TrafficEvent::Arrived {
+        TrafficEvent::RequestArrived {
             endpoint: text("e"),
-            relay: text("r"),
-            visit: 1,
+            proxy: text("r"),
+            request: 1,
             class: text("c"),
             work: 0.5,
             table: text("t0@1"),
         },
-        TrafficEvent::Ran { endpoint: text("e"), visit: 1, class: text("c") },
-        TrafficEvent::Started { endpoint: text("e"), capacity: 2.0 },
-        TrafficEvent::Stopped { endpoint: text("e") },
-        TrafficEvent::Fell { endpoint: text("e") },
-        TrafficEvent::Stream { relay: text("r"), open: true },
-        TrafficEvent::Stalled { relay: text("r"), on: false },
-        TrafficEvent::Standing { relay: text("r"), servers: vec![text("e")] },
-        TrafficEvent::Line { relay: text("r"), commands: 3 },
-        TrafficEvent::Set { relay: text("r"), orders: vec![(text("command"), text("answer"))] },
-        TrafficEvent::Laid {
-            relay: text("r"),
-            set: 4,
-            tables: vec![(text("t0"), vec![(text("e"), 5)])],
-            map: vec![(text("c"), text("t0"))],
-            withdrawn: vec![text("e")],
+        TrafficEvent::RequestExecuted { endpoint: text("e"), request: 1, class: text("c") },
+        TrafficEvent::EndpointStarted { endpoint: text("e"), capacity: 2.0 },
+        TrafficEvent::EndpointStopped { endpoint: text("e") },
+        TrafficEvent::EndpointOverloaded { endpoint: text("e") },
+        TrafficEvent::ControlStream { proxy: text("r"), open: true },
+        TrafficEvent::ControlStreamStalled { proxy: text("r"), stalled: false },
+        TrafficEvent::ProxyStarted { proxy: text("r"), endpoints: vec![text("e")] },
+        TrafficEvent::UpdateReceived { proxy: text("r"), commands: 3 },
+        TrafficEvent::UpdateAnswered {
+            proxy: text("r"),
+            commands: vec![AnsweredCommand { command: text("command"), answer: text("answer") }],
         },
-        TrafficEvent::Listed {
-            servers: vec![
-                (text("e"), text("ready"), Some(Duration::from_secs(6))),
-                (text("f"), text("gone"), None),
+        TrafficEvent::SnapshotApplied {
+            proxy: text("r"),
+            version: 4,
+            tables: vec![AppliedTable {
+                name: text("t0"),
+                entries: vec![EndpointWeight { endpoint: text("e"), weight: 5 }],
+            }],
+            class_tables: vec![ClassTable { class: text("c"), table: text("t0") }],
+            ejected: vec![text("e")],
+        },
+        TrafficEvent::ListPublished {
+            endpoints: vec![
+                ListedEndpoint {
+                    name: text("e"),
+                    state: text("ready"),
+                    started: Some(Duration::from_secs(6)),
+                },
+                ListedEndpoint { name: text("f"), state: text("gone"), started: None },
             ],
         },
-        TrafficEvent::Visit { visit: 1, class: text("c"), asked: Duration::from_millis(1500), status: 200 },
+        TrafficEvent::RequestCompleted {
+            request: 1,
+            class: text("c"),
+            sent_at: Duration::from_millis(1500),
+            status: 200,
+        },
     ]
 }
 
 fn report() -> Report {
-    let record = |what| TrafficRecord { at: Duration::from_millis(2500), what };
+    let record = |event| TrafficRecord { at: Duration::from_millis(2500), event };
     Report {
-        verdicts: vec![CheckResult {
+        checks: vec![CheckResult {
             rule: "drains kept",
-            of: "s after told",
+            unit: "s after told",
             figure: 3.0,
             limit: 2.0,
-            at: text("r to e at 4.0 s"),
+            location: text("r to e at 4.0 s"),
         }],
         score: Score {
-            visits: 7,
-            whole: 0.75,
-            worst_window: 0.5,
-            worst_at_s: 8.0,
-            tens: vec![0.25],
-            classes: [(text("c"), 0.5)].into(),
-            crossing: 0.125,
+            requests: 7,
+            goodput: 0.75,
+            worst_window_goodput: 0.5,
+            worst_window_at_s: 8.0,
+            window_goodput: vec![0.25],
+            class_goodput: [(text("c"), 0.5)].into(),
+            cross_zone_fraction: 0.125,
             changes: vec![9],
-            restarts: vec![After { at_s: 10.0, fulfilled: 0.5, changes: 11, settled_s: 1.5 }],
+            restarts: vec![RestartScore { at_s: 10.0, goodput: 0.5, changes: 11, settled_s: 1.5 }],
+        },
+        controller_info: vec![text("Name: rehearsed")],
+        resource_usage: ResourceUsage {
+            samples: vec![ResourceSample { at_s: 1.0, cores: 0.5, memory_mib: 20.0 }],
+            proxy_cpu_s: 3.0,
         },
-        pilot: vec![text("Name: rehearsed")],
-        load: ResourceUsage { samples: vec![(1.0, 0.5, 20.0)], proxies_s: 3.0 },
-        exit: Some(0),
+        exit_code: Some(0),
         records: events().into_iter().map(record).collect(),
     }
 }
@@ -105,7 +125,7 @@
         {"Listed": {"servers": [["e", "ready", {"secs": 6, "nanos": 0}], ["f", "gone", null]]}},
         {"Visit": {"visit": 1, "class": "c", "asked": {"secs": 1, "nanos": 500_000_000}, "status": 200}},
     ]);
-    let record = |what: &Value| json!({"at": {"secs": 2, "nanos": 500_000_000}, "what": what});
+    let record = |event: &Value| json!({"at": {"secs": 2, "nanos": 500_000_000}, "what": event});
     let records: Vec<Value> = events.as_array().expect("a list").iter().map(record).collect();
     let expected = json!({
         "verdicts": [{"rule": "drains kept", "of": "s after told", "figure": 3.0, "limit": 2.0, "at": "r to e at 4.0 s"}],
--- /dev/null
+++ b/crates/scenario/tests/variants.rs
@@ -0,0 +1,49 @@
+//! A scenario in several variants.
+
+use lockcroft_scenario::{Scenario, search};
+
+const SCENARIO: &str = r#"<day length="5s">
+  <terms><kinds><kind name="old"/><kind name="new" cores="4"/></kinds><rules cold-share="0.25"/><solver every="2s"/></terms>
+  <endpoints kind="old" per-zone="1" cores="1"/><endpoints kind="new" per-zone="1" cores="4" zones="a b"/>
+  <relays per-zone="1"/><visits class="look" rate="1" work="1ms"/>
+  <way name="plain" without="solver" set="rules/fixed-weights=true kinds/new/cores=8 kinds/old/cores=1 rules/cold-share=" weights="old=0.5"/>
+  <search kind="old" weights="0.25 0.5"/><search kind="new" weights="1 2 3"/>
+</day>"#;
+
+#[test]
+fn a_variant_changes_what_it_names_and_nothing_else() {
+    let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
+    let plain = scenario.with_variant(&scenario.variants[0]).expect("all that it names is there");
+    let settings: String = plain.settings.split_whitespace().collect::<Vec<_>>().join(" ");
+    let expected = r#"<kinds><kind cores="1" name="old"/><kind name="new" cores="8"/></kinds> <rules fixed-weights="true" />"#;
+    assert_eq!(settings, expected);
+    assert_eq!(plain.endpoints.iter().map(|group| group.weight).collect::<Vec<_>>(), [0.5, 1.0]);
+    assert_eq!(scenario.endpoints[1].zones, ["a", "b"]);
+    assert!(scenario.settings.contains("<solver"), "the scenario itself stays");
+}
+
+#[test]
+fn a_search_goes_through_every_choice() {
+    let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
+    let names: Vec<String> =
+        search(&scenario.search_spaces).into_iter().map(|variant| variant.name).collect();
+    let all = [
+        "old=0.25 new=1",
+        "old=0.25 new=2",
+        "old=0.25 new=3",
+        "old=0.5 new=1",
+        "old=0.5 new=2",
+        "old=0.5 new=3",
+    ];
+    assert_eq!(names, all);
+}
+
+#[test]
+fn a_variant_that_names_what_is_not_there_is_rejected() {
+    let mut scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
+    scenario.variants[0].without = vec!["limits".into()];
+    let error = scenario.with_variant(&scenario.variants[0]).unwrap_err().to_string();
+    assert_eq!(error, "way \"plain\": the terms have no limits ");
+    let error = Scenario::parse(&SCENARIO.replace("old=0.5\"", "old=no\"")).unwrap_err().to_string();
+    assert!(error.contains("\"old=no\"") && error.contains("kind=weight"), "{error}");
+}
--- a/crates/scenario/tests/xml.rs
+++ b/crates/scenario/tests/xml.rs
@@ -20,30 +20,38 @@
 fn every_attribute_is_read() {
     let scenario = Scenario::parse(FULL).expect("a sound file");
     assert_eq!(
-        (scenario.length, scenario.seed, scenario.log.as_str()),
+        (scenario.duration, scenario.seed, scenario.log_levels.as_str()),
         (Duration::from_secs(90), 7, "debug")
     );
-    assert_eq!(scenario.terms, "<zones><zone name=\"a\"/></zones>\n");
+    assert_eq!(scenario.settings, "<zones><zone name=\"a\"/></zones>\n");
     let full = &scenario.endpoints[0];
-    assert_eq!((full.kind.as_str(), full.per_zone, full.cores, full.speed), ("k", 2, 3, 1.5));
-    assert_eq!((full.weight, full.queue, full.turn_away), (0.5, 9, Duration::from_millis(2)));
+    assert_eq!((full.machine_type.as_str(), full.per_zone, full.cores, full.speed), ("k", 2, 3, 1.5));
+    assert_eq!((full.weight, full.max_queued, full.rejection_work), (0.5, 9, Duration::from_millis(2)));
     assert_eq!(full.zones, ["a", "b"]);
     let plain = &scenario.endpoints[1];
-    assert_eq!((plain.speed, plain.weight, plain.queue, plain.turn_away), (1.0, 1.0, 64, Duration::ZERO));
-    let relays = &scenario.relays;
-    assert_eq!((relays.per_zone, relays.standing, relays.front), (4, 5, TableSource::Mixed));
     assert_eq!(
-        (relays.shuns_for, relays.try_most),
+        (plain.speed, plain.weight, plain.max_queued, plain.rejection_work),
+        (1.0, 1.0, 64, Duration::ZERO)
+    );
+    let proxies = &scenario.proxies;
+    assert_eq!(
+        (proxies.per_zone, proxies.standing_entries, proxies.table_source),
+        (4, 5, TableSource::Mixed)
+    );
+    assert_eq!(
+        (proxies.ejection_time, proxies.attempt_timeout),
         (Some(Duration::from_secs(3)), Some(Duration::from_millis(800)))
     );
-    assert!(matches!(relays.way, Some(way) if way != LoadBalancingPolicy::SmoothWeightedRoundRobin));
+    assert!(
+        matches!(proxies.policy, Some(policy) if policy != LoadBalancingPolicy::SmoothWeightedRoundRobin)
+    );
     assert_eq!(
-        (relays.second_share, relays.outstanding_most, relays.waiting_most),
+        (proxies.retry_budget, proxies.max_outstanding, proxies.max_queued),
         (Some(0.25), Some(6), Some(7))
     );
-    let visits = &scenario.visits[0];
+    let load = &scenario.load[0];
     assert_eq!(
-        (visits.class.as_str(), visits.rate, visits.work, visits.comes_again),
+        (load.class.as_str(), load.rate, load.work, load.max_client_retries),
         ("c", 30.0, Duration::from_millis(20), 2)
     );
 }
@@ -51,17 +59,42 @@
 #[test]
 fn faults_are_read_in_the_order_of_their_times() {
     let scenario = Scenario::parse(FULL).expect("a sound file");
-    let [first, second] = &scenario.troubles[..] else { panic!("two faults") };
-    assert_eq!((first.at, first.lasts, first.kind), (Duration::from_secs(1), None, FaultKind::Hang));
-    assert_eq!((first.times, first.after_commands, first.notice), (1.0, 1, Duration::from_secs(1)));
+    let [first, second] = &scenario.faults[..] else { panic!("two faults") };
+    assert_eq!((first.at, first.duration, first.kind), (Duration::from_secs(1), None, FaultKind::Hang));
+    assert_eq!((first.factor, first.after_commands, first.notice), (1.0, 1, Duration::from_secs(1)));
     assert_eq!(
-        (second.at, second.lasts, second.kind),
+        (second.at, second.duration, second.kind),
         (Duration::from_secs(8), Some(Duration::from_secs(3)), FaultKind::Slow)
     );
-    assert_eq!((second.times, second.after_commands, second.notice), (4.0, 3, Duration::from_secs(2)));
+    assert_eq!((second.factor, second.after_commands, second.notice), (4.0, 3, Duration::from_secs(2)));
     assert_eq!(
-        (&second.servers[..], second.zone.as_deref()),
+        (&second.endpoints[..], second.zone.as_deref()),
         (&["e".to_string(), "f".to_string()][..], Some("z"))
     );
-    assert_eq!((second.relay.as_deref(), second.command.as_str()), (Some("r"), "show info"));
+    assert_eq!((second.proxy.as_deref(), second.command.as_str()), (Some("r"), "show info"));
+}
+
+/// The words are printed while a scenario is played.
+#[test]
+fn each_kind_of_fault_is_read_and_printed_by_its_word() {
+    let words = [
+        ("hang", "Hang"),
+        ("errors", "Errors"),
+        ("slow", "Slow"),
+        ("refuse", "Refuse"),
+        ("lose", "Lose"),
+        ("drain", "Drain"),
+        ("lie", "Lie"),
+        ("stall-relay", "StallRelay"),
+        ("break-relay", "BreakRelay"),
+        ("restart-relay", "RestartRelay"),
+        ("kill-pilot", "KillPilot"),
+        ("load", "Load"),
+        ("ask", "Ask"),
+    ];
+    for (kind, word) in words {
+        let text = FULL.replace("kind=\"hang\"", &format!("kind=\"{kind}\""));
+        let scenario = Scenario::parse(&text).expect("a valid scenario");
+        assert_eq!(scenario.faults[0].kind.to_string(), word);
+    }
 }
--- /dev/null
+++ b/crates/testbed/src/fake_endpoint.rs
@@ -0,0 +1,327 @@
+//! An endpoint of a scenario: cores that work requests off one by one, a warm-up, and the ways in which it fails.
+
+use std::collections::{HashMap, VecDeque};
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::{Semaphore, watch};
+use tokio::task::{AbortHandle, JoinSet};
+
+use crate::headers::{self, header};
+use crate::slow_start::SlowStart;
+use crate::traffic_event::TrafficEvent;
+use crate::traffic_recorder::TrafficRecorder;
+
+/// A request takes at most so many times its own work longer for the requests that were rejected before it.
+const MAX_REJECTION_OVERHEAD: f64 = 3.0;
+/// The least speed of a core, so that a request's time stays finite.
+const MIN_SPEED: f64 = 1e-3;
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// How an endpoint is built.
+#[derive(Clone, Debug)]
+pub struct EndpointConfig {
+    /// The name under which its traffic is recorded.
+    pub name: String,
+    /// How many requests it works on at the same time.
+    pub cores: usize,
+    /// How fast each core is; at 1 a request takes as long as its stated work.
+    pub speed: f64,
+    /// Requests that may wait for a core; more are rejected before they are executed.
+    pub max_queued: usize,
+    /// Work that a rejected request costs, in seconds.
+    pub rejection_work_s: f64,
+    /// Work of a request by class, in seconds.
+    pub class_work_s: HashMap<String, f64>,
+    /// How it warms up after a start.
+    pub slow_start: SlowStart,
+}
+
+/// How an endpoint treats requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub enum FaultMode {
+    /// As it should.
+    #[default]
+    Healthy,
+    /// Takes requests and answers none; its health checks pass.
+    Hang,
+    /// Answers 500 at once.
+    Errors,
+    /// Rejects requests before they are executed.
+    Reject,
+    /// So many times slower.
+    Slow(f64),
+    /// The process is gone: nothing listens.
+    Down,
+}
+
+/// Work that reached an endpoint.
+struct WorkArrival {
+    at: Duration,
+    /// In seconds of one core at full speed.
+    work: f64,
+}
+
+struct State {
+    mode: FaultMode,
+    /// When its process last started, if it did since the beginning.
+    started: Option<Duration>,
+    /// What arrived within the overload window while it warms up.
+    recent_work: VecDeque<WorkArrival>,
+    queued: usize,
+    /// Work done for rejected requests that has not yet been taken from the time of others, in seconds.
+    rejection_backlog_s: f64,
+    /// Counts ended processes: connections of an earlier one answer nothing any more.
+    incarnation: u64,
+}
+
+/// What the handle and the tasks of an endpoint share.
+struct Shared {
+    address: SocketAddr,
+    config: EndpointConfig,
+    state: Mutex<State>,
+    mode_changed: watch::Sender<()>,
+    cores: Semaphore,
+    recorder: TrafficRecorder,
+}
+
+/// A running endpoint; it ends when this is dropped.
+pub struct FakeEndpoint {
+    /// Where it listens, also after a restart.
+    pub address: SocketAddr,
+    shared: Arc<Shared>,
+    accept_task: AbortHandle,
+}
+
+impl FakeEndpoint {
+    /// Starts an endpoint that is warm already.
+    ///
+    /// # Errors
+    /// Its socket can't be bound.
+    pub async fn start(config: EndpointConfig, recorder: TrafficRecorder) -> io::Result<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let address = listener.local_addr()?;
+        let state = State {
+            mode: FaultMode::Healthy,
+            started: None,
+            recent_work: VecDeque::new(),
+            queued: 0,
+            rejection_backlog_s: 0.0,
+            incarnation: 0,
+        };
+        let shared = Arc::new(Shared {
+            address,
+            cores: Semaphore::new(config.cores),
+            config,
+            state: Mutex::new(state),
+            mode_changed: watch::Sender::new(()),
+            recorder,
+        });
+        let accept_task = tokio::spawn(shared.clone().accept_loop(listener)).abort_handle();
+        Ok(FakeEndpoint { address, shared, accept_task })
+    }
+
+    /// Begins or ends a fault.
+    pub fn set_fault_mode(&self, mode: FaultMode) {
+        let mut state = self.shared.state();
+        if mode == FaultMode::Down {
+            state.incarnation += 1;
+            let endpoint = self.shared.config.name.clone();
+            self.shared.recorder.record(TrafficEvent::EndpointStopped { endpoint });
+        }
+        state.mode = mode;
+        self.shared.mode_changed.send_replace(());
+    }
+
+    /// A new process in the place of one that is gone: healthy, and warming up.
+    pub fn restart(&self) {
+        let shared = &self.shared;
+        let mut state = shared.state();
+        state.mode = FaultMode::Healthy;
+        state.started = Some(shared.recorder.now());
+        state.recent_work.clear();
+        let endpoint = shared.config.name.clone();
+        shared
+            .recorder
+            .record(TrafficEvent::EndpointStarted { endpoint, capacity: shared.config.capacity() });
+        shared.mode_changed.send_replace(());
+    }
+}
+
+impl Drop for FakeEndpoint {
+    fn drop(&mut self) {
+        self.accept_task.abort();
+    }
+}
+
+impl EndpointConfig {
+    /// Of a warm process, in cores at speed 1.
+    fn capacity(&self) -> f64 {
+        self.cores as f64 * self.speed
+    }
+}
+
+impl Shared {
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn mode(&self) -> FaultMode {
+        self.state().mode
+    }
+
+    /// The fraction of its full speed, from 0 to 1.
+    fn slow_start_factor(&self, state: &State) -> f64 {
+        let Some(started) = state.started else { return 1.0 };
+        self.config.slow_start.fraction_at(self.recorder.now() - started).min(1.0)
+    }
+
+    /// Listens while the process is up; while it is not, the port is held and refuses connections.
+    async fn accept_loop(self: Arc<Self>, mut listener: TcpListener) {
+        let mut mode_changed = self.mode_changed.subscribe();
+        let mut connections = JoinSet::new();
+        loop {
+            while self.mode() != FaultMode::Down {
+                tokio::select! {
+                    accepted = listener.accept() => if let Ok((stream, _)) = accepted {
+                        let _ = stream.set_nodelay(true);
+                        connections.spawn(self.clone().serve_connection(stream));
+                    },
+                    _ = mode_changed.changed() => {}
+                }
+                while connections.try_join_next().is_some() {}
+            }
+            drop(listener);
+            let Ok(socket) = self.hold_port() else { return };
+            while self.mode() == FaultMode::Down {
+                let _ = mode_changed.changed().await;
+            }
+            match socket.listen(LISTEN_BACKLOG) {
+                Ok(reopened) => listener = reopened,
+                Err(_) => return,
+            }
+        }
+    }
+
+    fn hold_port(&self) -> io::Result<TcpSocket> {
+        let socket = TcpSocket::new_v4()?;
+        socket.set_reuseaddr(true)?;
+        socket.bind(self.address)?;
+        Ok(socket)
+    }
+
+    /// Serves a connection for as long as the process lives that accepted it.
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
+        let mut mode_changed = self.mode_changed.subscribe();
+        let incarnation = self.state().incarnation;
+        let endpoint = self.clone();
+        let service = service_fn(move |request| {
+            let endpoint = endpoint.clone();
+            async move { endpoint.handle(request).await }
+        });
+        let serving =
+            hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+        let process_ended = async {
+            while self.state().incarnation == incarnation {
+                let _ = mode_changed.changed().await;
+            }
+        };
+        tokio::select! {
+            _ = serving => {}
+            () = process_ended => {}
+        }
+    }
+
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+        let class = request.uri().path().trim_start_matches('/').to_string();
+        if class == "health" {
+            return Ok(response(200));
+        }
+        let id = header(request.headers(), headers::REQUEST_ID).unwrap_or(0);
+        let work = self.config.class_work_s.get(&class).copied().unwrap_or(0.0);
+        self.recorder.record(TrafficEvent::RequestArrived {
+            endpoint: self.config.name.clone(),
+            proxy: header(request.headers(), headers::PROXY).unwrap_or_default(),
+            request: id,
+            class: class.clone(),
+            work,
+            table: header(request.headers(), headers::TABLE).unwrap_or_default(),
+        });
+        let slowdown = match self.take_in(work) {
+            FaultMode::Hang | FaultMode::Down => return std::future::pending().await,
+            FaultMode::Errors => return Ok(response(500)),
+            FaultMode::Reject => return Ok(self.reject()),
+            FaultMode::Slow(times) => times,
+            FaultMode::Healthy => 1.0,
+        };
+        if self.state().queued >= self.config.max_queued {
+            return Ok(self.reject());
+        }
+        self.execute(id, class, work, slowdown).await;
+        Ok(response(200))
+    }
+
+    /// Waits for a core and holds it for the time of the work.
+    async fn execute(&self, request: u64, class: String, work: f64, slowdown: f64) {
+        self.state().queued += 1;
+        let core = self.cores.acquire().await;
+        self.state().queued -= 1;
+        let endpoint = self.config.name.clone();
+        self.recorder.record(TrafficEvent::RequestExecuted { endpoint, request, class });
+        let rejections = std::mem::take(&mut self.state().rejection_backlog_s);
+        let work = work + rejections.min(MAX_REJECTION_OVERHEAD * work);
+        let speed = self.slow_start_factor(&self.state()) * self.config.speed / slowdown;
+        tokio::time::sleep(Duration::from_secs_f64(work / speed.max(MIN_SPEED))).await;
+        drop(core);
+    }
+
+    /// To reject a request is work as well; the requests that are admitted pay for it.
+    fn reject(&self) -> Response<Full<Bytes>> {
+        self.state().rejection_backlog_s += self.config.rejection_work_s;
+        let mut response = response(503);
+        response.headers_mut().insert(headers::NOT_EXECUTED, HeaderValue::from_static("1"));
+        response
+    }
+
+    /// Counts work against what a warming process bears; past that the process goes down and stays so. Gives the mode in
+    /// which the request is treated.
+    fn take_in(&self, work: f64) -> FaultMode {
+        let mut state = self.state();
+        let factor = self.slow_start_factor(&state);
+        if factor < 1.0 {
+            let SlowStart { overload_factor, overload_window, .. } = self.config.slow_start;
+            let now = self.recorder.now();
+            state.recent_work.push_back(WorkArrival { at: now, work });
+            while state.recent_work.front().is_some_and(|first| first.at + overload_window < now) {
+                state.recent_work.pop_front();
+            }
+            let capacity = factor * self.config.cores as f64 * self.config.speed;
+            let max_work = overload_factor * capacity * overload_window.as_secs_f64();
+            if state.recent_work.iter().map(|arrival| arrival.work).sum::<f64>() > max_work {
+                state.mode = FaultMode::Down;
+                state.incarnation += 1;
+                let endpoint = self.config.name.clone();
+                self.recorder.record(TrafficEvent::EndpointOverloaded { endpoint });
+                self.mode_changed.send_replace(());
+            }
+        }
+        state.mode
+    }
+}
+
+fn response(status: u16) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
+    response
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,15 +1,19 @@
-//! Small endpoints and callers on loopback, for rehearsals and tests. All that passes on their
-//! sockets goes onto a tap.
+//! Test doubles on loopback for scenarios and tests: fake endpoints and a load generator. All that passes on their
+//! sockets goes into a [`TrafficRecorder`].
 
-mod callers;
-mod endpoint;
-mod tap;
+#![warn(missing_docs)]
 
-pub use callers::{ClassLoad, LoadGenerator, call_on};
-pub use endpoint::{EndpointConfig, FakeEndpoint, FaultMode};
-pub use tap::{TrafficEvent, TrafficRecord, TrafficRecorder};
+mod fake_endpoint;
+mod headers;
+mod load_generator;
+mod slow_start;
+mod traffic_event;
+mod traffic_recorder;
 
-/// A header's value, where it has one that reads as this type.
-fn header<T: std::str::FromStr>(headers: &hyper::HeaderMap, name: &str) -> Option<T> {
-    headers.get(name)?.to_str().ok()?.parse().ok()
-}
+pub use fake_endpoint::{EndpointConfig, FakeEndpoint, FaultMode};
+pub use load_generator::{ClassLoad, LoadGenerator, generate_load};
+pub use slow_start::SlowStart;
+pub use traffic_event::{
+    AnsweredCommand, AppliedTable, ClassTable, EndpointWeight, ListedEndpoint, TrafficEvent,
+};
+pub use traffic_recorder::{TrafficRecord, TrafficRecorder};
