--- a/crates/cli/tests/daemon/main.rs
+++ b/crates/cli/tests/daemon/main.rs
@@ -2,9 +2,11 @@
 
 mod aliases;
 mod controller_fixture;
+mod discovery_races;
 mod fault_scenarios;
 mod files;
 mod platform;
+mod platform_controller;
 mod platform_races;
 mod platform_testbed;
 mod sockets;
--- a/crates/cli/tests/daemon/platform.rs
+++ b/crates/cli/tests/daemon/platform.rs
@@ -9,9 +9,8 @@
 use rustix::process::Signal;
 
 use crate::controller_fixture::PROGRAM;
-use crate::platform_testbed::{
-    CheckedEndpoint, Discovery, PlatformController, Proxy, config, endpoint, entry, wall_clock_ms,
-};
+use crate::platform_controller::{PlatformController, Proxy, config};
+use crate::platform_testbed::{CheckedEndpoint, Discovery, endpoint, entry, wall_clock_ms};
 
 #[test]
 fn a_drain_a_restart_and_another_discovery_reach_proxies() {
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -13,7 +13,7 @@
 use crate::faults::FaultKind;
 use crate::owned_task::OwnedTask;
 use crate::report::Report;
-use crate::resource_meter::ResourceMeter;
+use crate::resource_meter::{ResourceMeter, ResourceUsage};
 use crate::rules::judge;
 use crate::scenario::Scenario;
 use crate::score::score;
@@ -45,8 +45,7 @@
     let load = LoadGenerator::new(stage.recorder.clone());
     let watcher = OwnedTask::spawn(stage.table_folder.clone().watch(stage.recorder.clone()));
     let _clients = start_load(scenario, &stage, &load);
-    let script = steps(&scenario.faults);
-    for step in script.iter().filter(|step| step.at < scenario.duration) {
+    for step in steps(&scenario.faults).iter().filter(|step| step.at < scenario.duration) {
         tokio::time::sleep(step.at.saturating_sub(stage.recorder.now())).await;
         report_progress(&describe(step));
         FaultInjector { stage: &mut stage, controller: &mut controller, load: &load }.apply(step).await?;
@@ -61,15 +60,27 @@
     let resource_usage = meter.finish();
     let exit_code = controller.terminate(SHUTDOWN_TIMEOUT);
     drop(watcher);
+    let observed = Observed { info, resource_usage, exit_code };
+    Ok(report(scenario, &stage, observed))
+}
+
+/// What was seen of the controller's process.
+struct Observed {
+    info: String,
+    resource_usage: ResourceUsage,
+    exit_code: Option<i32>,
+}
+
+fn report(scenario: &Scenario, stage: &Stage, observed: Observed) -> Report {
     let records = stage.recorder.records();
-    Ok(Report {
+    Report {
         checks: judge(&records, &stage.limits),
         score: score(&records, &stage.config.settings, &stage.zones(), &restarts(scenario)),
-        controller_info: info.lines().filter(|line| !line.is_empty()).map(String::from).collect(),
-        resource_usage,
-        exit_code,
+        controller_info: observed.info.lines().filter(|line| !line.is_empty()).map(String::from).collect(),
+        resource_usage: observed.resource_usage,
+        exit_code: observed.exit_code,
         records,
-    })
+    }
 }
 
 fn describe(step: &Step<'_>) -> String {
--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/stage/mod.rs
@@ -90,14 +90,7 @@
         let mut list = EndpointListFile::new(folder.join(LIST_FILE), started.entries, recorder.clone());
         list.write()?;
 
-        let requests_per_proxy = requests_per_proxy(scenario, &config);
-        let proxies_xml: String = proxies.iter().map(|proxy| proxy.to_xml(requests_per_proxy)).collect();
-        let files_xml = match scenario.proxies.table_source {
-            TableSource::Commands => String::new(),
-            TableSource::Files | TableSource::Mixed => table_folder.controller_xml(),
-        };
-        let list_xml = format!("<roster-file path=\"{LIST_FILE}\" look-every=\"100ms\"/>");
-        let text = settings(scenario, &controller_socket, &files_xml, &proxies_xml, &list_xml);
+        let text = controller_config(scenario, &controller_socket, &proxies, &table_folder, &config);
         fs::write(&config_path, text)?;
         let config = DaemonConfig::open(&config_path)?;
         Ok(Stage {
@@ -173,6 +166,24 @@
     Limits { even_balancing, ..Limits::new(&config.settings) }
 }
 
+/// The controller's whole configuration, once proxies and list are there; `config` is the one without them.
+fn controller_config(
+    scenario: &Scenario,
+    socket: &Path,
+    proxies: &[ProxyInstance],
+    table_folder: &TableFolder,
+    config: &DaemonConfig,
+) -> String {
+    let requests_per_s = requests_per_proxy(scenario, config);
+    let proxies_xml: String = proxies.iter().map(|proxy| proxy.to_xml(requests_per_s)).collect();
+    let files_xml = match scenario.proxies.table_source {
+        TableSource::Commands => String::new(),
+        TableSource::Files | TableSource::Mixed => table_folder.controller_xml(),
+    };
+    let list_xml = format!("<roster-file path=\"{LIST_FILE}\" look-every=\"100ms\"/>");
+    settings(scenario, socket, &files_xml, &proxies_xml, &list_xml)
+}
+
 /// Requests a second at each proxy.
 fn requests_per_proxy(scenario: &Scenario, config: &DaemonConfig) -> f64 {
     let rate: f64 = scenario.load.iter().map(|load| load.rate).sum();
--- a/crates/scenario/src/stage/proxies.rs
+++ b/crates/scenario/src/stage/proxies.rs
@@ -82,7 +82,7 @@
         Ok(proxies)
     }
 
-    /// Endpoints of the zone that a proxy knows before any controller told it of them.
+    /// Endpoints of the zone that a proxy knows before a controller assigns it a table.
     fn standing_table(&self, zone: &str, random: &mut WyRand) -> Vec<(String, SocketAddr)> {
         let mut in_zone: Vec<_> = self.entries.iter().filter(|(_, entry)| entry.zone == zone).collect();
         random.shuffle(&mut in_zone);
--- a/crates/testbed/src/fake_endpoint.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -1,6 +1,6 @@
-//! An endpoint of a scenario: cores that work requests off one by one, a warm-up, and the ways in which it fails.
+//! The process of a fake endpoint: what its handle and its tasks share.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -16,8 +16,9 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, watch};
-use tokio::task::{AbortHandle, JoinSet};
+use tokio::task::JoinSet;
 
+use crate::fake_endpoint::{EndpointConfig, FaultMode};
 use crate::headers::{self, header};
 use crate::slow_start::SlowStart;
 use crate::traffic_event::TrafficEvent;
@@ -29,43 +30,6 @@
 const MIN_SPEED: f64 = 1e-3;
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// How an endpoint is built.
-#[derive(Clone, Debug)]
-pub struct EndpointConfig {
-    /// The name under which its traffic is recorded.
-    pub name: String,
-    /// How many requests it works on at the same time.
-    pub cores: usize,
-    /// How fast each core is; at 1 a request takes as long as its stated work.
-    pub speed: f64,
-    /// Requests that may wait for a core; more are rejected before they are executed.
-    pub max_queued: usize,
-    /// Work that a rejected request costs, in seconds.
-    pub rejection_work_s: f64,
-    /// Work of a request by class, in seconds.
-    pub class_work_s: HashMap<String, f64>,
-    /// How it warms up after a start.
-    pub slow_start: SlowStart,
-}
-
-/// How an endpoint treats requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum FaultMode {
-    /// As it should.
-    #[default]
-    Healthy,
-    /// Takes requests and answers none; its health checks pass.
-    Hang,
-    /// Answers 500 at once.
-    Errors,
-    /// Rejects requests before they are executed.
-    Reject,
-    /// So many times slower.
-    Slow(f64),
-    /// The process is gone: nothing listens.
-    Down,
-}
-
 /// Work that reached an endpoint.
 struct WorkArrival {
     at: Duration,
@@ -86,8 +50,8 @@
     incarnation: u64,
 }
 
-/// What the handle and the tasks of an endpoint share.
-struct Shared {
+/// An endpoint, over all of its incarnations.
+pub struct Process {
     address: SocketAddr,
     config: EndpointConfig,
     state: Mutex<State>,
@@ -96,22 +60,8 @@
     recorder: TrafficRecorder,
 }
 
-/// A running endpoint; it ends when this is dropped.
-pub struct FakeEndpoint {
-    /// Where it listens, also after a restart.
-    pub address: SocketAddr,
-    shared: Arc<Shared>,
-    accept_task: AbortHandle,
-}
-
-impl FakeEndpoint {
-    /// Starts an endpoint that is warm already.
-    ///
-    /// # Errors
-    /// Its socket can't be bound.
-    pub async fn start(config: EndpointConfig, recorder: TrafficRecorder) -> io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?;
+impl Process {
+    pub fn new(address: SocketAddr, config: EndpointConfig, recorder: TrafficRecorder) -> Self {
         let state = State {
             mode: FaultMode::Healthy,
             started: None,
@@ -120,59 +70,38 @@
             rejection_backlog_s: 0.0,
             incarnation: 0,
         };
-        let shared = Arc::new(Shared {
+        Process {
             address,
             cores: Semaphore::new(config.cores),
             config,
             state: Mutex::new(state),
             mode_changed: watch::Sender::new(()),
             recorder,
-        });
-        let accept_task = tokio::spawn(shared.clone().accept_loop(listener)).abort_handle();
-        Ok(FakeEndpoint { address, shared, accept_task })
+        }
     }
 
-    /// Begins or ends a fault.
     pub fn set_fault_mode(&self, mode: FaultMode) {
-        let mut state = self.shared.state();
+        let mut state = self.state();
         if mode == FaultMode::Down {
             state.incarnation += 1;
-            let endpoint = self.shared.config.name.clone();
-            self.shared.recorder.record(TrafficEvent::EndpointStopped { endpoint });
+            let endpoint = self.config.name.clone();
+            self.recorder.record(TrafficEvent::EndpointStopped { endpoint });
         }
         state.mode = mode;
-        self.shared.mode_changed.send_replace(());
+        self.mode_changed.send_replace(());
     }
 
-    /// A new process in the place of one that is gone: healthy, and warming up.
     pub fn restart(&self) {
-        let shared = &self.shared;
-        let mut state = shared.state();
+        let mut state = self.state();
         state.mode = FaultMode::Healthy;
-        state.started = Some(shared.recorder.now());
+        state.started = Some(self.recorder.now());
         state.recent_work.clear();
-        let endpoint = shared.config.name.clone();
-        shared
-            .recorder
-            .record(TrafficEvent::EndpointStarted { endpoint, capacity: shared.config.capacity() });
-        shared.mode_changed.send_replace(());
-    }
-}
-
-impl Drop for FakeEndpoint {
-    fn drop(&mut self) {
-        self.accept_task.abort();
-    }
-}
-
-impl EndpointConfig {
-    /// Of a warm process, in cores at speed 1.
-    fn capacity(&self) -> f64 {
-        self.cores as f64 * self.speed
+        let endpoint = self.config.name.clone();
+        let capacity = self.config.capacity();
+        self.recorder.record(TrafficEvent::EndpointStarted { endpoint, capacity });
+        self.mode_changed.send_replace(());
     }
-}
 
-impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -188,7 +117,7 @@
     }
 
     /// Listens while the process is up; while it is not, the port is held and refuses connections.
-    async fn accept_loop(self: Arc<Self>, mut listener: TcpListener) {
+    pub async fn accept_loop(self: Arc<Self>, mut listener: TcpListener) {
         let mut mode_changed = self.mode_changed.subscribe();
         let mut connections = JoinSet::new();
         loop {
