--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -45,6 +45,4 @@
 pub use stage::{ProxyInstance, Stage, settings};
 pub use throttled_link::{StallPoint, ThrottledLink};
 pub use variants::{SearchSpace, SettingOverride, Variant, search};
-
-/// The schema of scenario files.
-pub const SCHEMA: &str = include_str!("../day.xsd");
+pub use xml::SCHEMA;
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -1,14 +1,10 @@
 //! A scenario as it is scripted.
 
-use std::path::Path;
 use std::time::Duration;
 
-use lockcroft_config::{ConfigErrors, Document};
-
 use crate::faults::FaultInjection;
 use crate::proxy_fleet::ProxyFleet;
 use crate::variants::{SearchSpace, Variant};
-use crate::xml;
 
 /// A scripted scenario.
 #[derive(Clone, Debug)]
@@ -68,21 +64,3 @@
     /// How often a client retries at once after a failure.
     pub max_client_retries: u32,
 }
-
-impl Scenario {
-    /// Reads a scenario's file.
-    ///
-    /// # Errors
-    /// All that is wrong with the file.
-    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
-        xml::read(&Document::open(file, crate::SCHEMA)?)
-    }
-
-    /// Reads a scenario from the text of a file.
-    ///
-    /// # Errors
-    /// All that is wrong with the text.
-    pub fn parse(text: &str) -> Result<Self, ConfigErrors> {
-        xml::read(&Document::new(Path::new("day.xml"), text.into(), crate::SCHEMA)?)
-    }
-}
--- a/crates/scenario/src/throttled_link/connection.rs
+++ b/crates/scenario/src/throttled_link/connection.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::throttled_link::{Shared, StallPoint};
+use crate::throttled_link::link_state::{LinkState, StallPoint};
 
 /// A proxy answers the commands it has within this, once nobody stalls it.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
 
 /// One control stream through the link.
 pub struct Connection<'a> {
-    link: &'a Shared,
+    link: &'a LinkState,
     pending: VecDeque<PendingCommand>,
     /// Commands of a message that were answered so far.
     answered: Vec<AnsweredCommand>,
@@ -37,7 +37,7 @@
 }
 
 impl<'a> Connection<'a> {
-    pub fn new(link: &'a Shared) -> Self {
+    pub fn new(link: &'a LinkState) -> Self {
         Connection {
             link,
             pending: VecDeque::new(),
--- a/crates/scenario/src/xml.rs
+++ b/crates/scenario/src/xml.rs
@@ -1,5 +1,6 @@
 //! The XML of scenarios: the one place that knows its names of elements and attributes. The schema is `day.xsd`.
 
+use std::path::Path;
 use std::str::FromStr;
 use std::time::Duration;
 
@@ -11,13 +12,33 @@
 use crate::scenario::{EndpointGroup, LoadProfile, Scenario};
 use crate::variants::{MachineTypeWeight, SearchSpace, SettingOverride, Variant};
 
+/// The schema of scenario files.
+pub const SCHEMA: &str = include_str!("../day.xsd");
 /// Each action with its updates and acknowledgements.
 const DEFAULT_LOG_LEVELS: &str =
     "info,lockcroft::action=debug,lockcroft::update=debug,lockcroft::acknowledgement=debug";
 const DEFAULT_NOTICE: Duration = Duration::from_secs(1);
 
+impl Scenario {
+    /// Reads a scenario's file.
+    ///
+    /// # Errors
+    /// All that is wrong with the file.
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
+        read(&Document::open(file, SCHEMA)?)
+    }
+
+    /// Reads a scenario from the text of a file.
+    ///
+    /// # Errors
+    /// All that is wrong with the text.
+    pub fn parse(text: &str) -> Result<Self, ConfigErrors> {
+        read(&Document::new(Path::new("day.xml"), text.into(), SCHEMA)?)
+    }
+}
+
 /// Reads a document that its schema allows.
-pub fn read(document: &Document) -> Result<Scenario, ConfigErrors> {
+fn read(document: &Document) -> Result<Scenario, ConfigErrors> {
     let tree = document.tree();
     let root = tree.root_element();
     let elements = |name: &'static str| root.children().filter(move |node| node.has_tag_name(name));
--- a/crates/testbed/src/fake_endpoint/mod.rs
+++ b/crates/testbed/src/fake_endpoint/mod.rs
@@ -1,8 +1,8 @@
 //! An endpoint of a scenario: cores that work requests off one by one, a warm-up, and the ways in which it fails.
 
+mod config;
 mod process;
 
-use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,48 +10,11 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-use crate::slow_start::SlowStart;
 use crate::traffic_recorder::TrafficRecorder;
 
+pub use self::config::{EndpointConfig, FaultMode};
 use self::process::Process;
 
-/// How an endpoint is built.
-#[derive(Clone, Debug)]
-pub struct EndpointConfig {
-    /// The name under which its traffic is recorded.
-    pub name: String,
-    /// How many requests it works on at the same time.
-    pub cores: usize,
-    /// How fast each core is; at 1 a request takes as long as its stated work.
-    pub speed: f64,
-    /// Requests that may wait for a core; more are rejected before they are executed.
-    pub max_queued: usize,
-    /// Work that a rejected request costs, in seconds.
-    pub rejection_work_s: f64,
-    /// Work of a request by class, in seconds.
-    pub class_work_s: HashMap<String, f64>,
-    /// How it warms up after a start.
-    pub slow_start: SlowStart,
-}
-
-/// How an endpoint treats requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum FaultMode {
-    /// As it should.
-    #[default]
-    Healthy,
-    /// Takes requests and answers none; its health checks pass.
-    Hang,
-    /// Answers 500 at once.
-    Errors,
-    /// Rejects requests before they are executed.
-    Reject,
-    /// So many times slower.
-    Slow(f64),
-    /// The process is gone: nothing listens.
-    Down,
-}
-
 /// A running endpoint; it ends when this is dropped.
 pub struct FakeEndpoint {
     /// Where it listens, also after a restart.
@@ -89,10 +52,3 @@
         self.accept_task.abort();
     }
 }
-
-impl EndpointConfig {
-    /// Of a warm process, in cores at speed 1.
-    fn capacity(&self) -> f64 {
-        self.cores as f64 * self.speed
-    }
-}
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-use crate::fake_endpoint::{EndpointConfig, FaultMode};
+use crate::fake_endpoint::config::{EndpointConfig, FaultMode};
 use crate::headers::{self, header};
 use crate::slow_start::SlowStart;
 use crate::traffic_event::TrafficEvent;
