--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -14,6 +14,7 @@
 /// An error of another crate, whose text is shown as it stands.
 pub type BoxedError = Box<dyn Error + Send + Sync>;
 
+/// Why a command was not done.
 #[derive(Debug, Error)]
 pub enum CliError {
     #[error(transparent)]
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -12,6 +12,7 @@
 /// The exit code for a wrong file or command line.
 pub const EXIT_USAGE: u8 = 2;
 
+/// Runs a controller until SIGTERM.
 pub fn serve(file: &Path) -> ExitCode {
     let config = match open(file, false) {
         Ok(config) => config,
@@ -20,6 +21,7 @@
     report(lockcroft_daemon::serve(&config).map(|()| ExitCode::SUCCESS).map_err(CliError::other))
 }
 
+/// Runs a proxy until SIGTERM.
 pub fn proxy(file: &Path) -> ExitCode {
     let config = match ProxyConfig::open(file) {
         Ok(config) => config,
@@ -39,6 +41,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, serving).map_err(CliError::other)
 }
 
+/// Checks a controller's configuration without starting anything.
 pub fn check(file: &Path, json: bool) -> ExitCode {
     match open(file, json) {
         Ok(config) if json => println!("{}", json!({"faults": [], "proxies": config.proxies.len()})),
--- a/crates/cli/src/snapshot_name.rs
+++ b/crates/cli/src/snapshot_name.rs
@@ -13,6 +13,7 @@
     pub version: Version,
 }
 
+/// A text that is no snapshot's name.
 #[derive(Debug, Error)]
 #[error("{0:?} is no generation; e7g41 is one")]
 pub struct ParseSnapshotNameError(String);
--- a/crates/cli/src/variants.rs
+++ b/crates/cli/src/variants.rs
@@ -12,6 +12,7 @@
 use crate::error::{CliError, report};
 use crate::serve::EXIT_USAGE;
 
+/// How often it is looked whether a process has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The variants that a scenario's file names, and those of its search space.
@@ -21,10 +22,13 @@
 
 /// What is compared, and how it is shown.
 pub struct Comparison<'a> {
+    /// The scenario's file.
     pub file: &'a Path,
     /// Compares the search space instead of the variants that the file names.
     pub search: bool,
+    /// Processes at the same time, at most.
     pub max_concurrent: usize,
+    /// Prints JSON instead of a table.
     pub json: bool,
 }
 
