--- a/crates/scenario/src/observed_state.rs
+++ b/crates/scenario/src/observed_state.rs
@@ -5,8 +5,8 @@
 
 use lockcroft_testbed::{AnsweredCommand, AppliedTable, ClassTable};
 
-/// The table that a proxy starts with.
-const STANDING_TABLE: &str = "standing";
+/// The table that a proxy starts with, by the name that it has in commands.
+const DEFAULT_TABLE: &str = "standing";
 const FULL_WEIGHT: u32 = 256;
 
 /// A table's entry as the commands left it.
@@ -52,16 +52,16 @@
 }
 
 impl ObservedState {
-    /// The proxy started with this standing table.
+    /// The proxy started with this default table.
     pub fn start(&mut self, endpoints: &[String], classes: &[String]) {
         let entry = |name: &String| (name.clone(), Entry { weight: FULL_WEIGHT, not_ready: false });
-        let standing = endpoints.iter().map(entry).collect();
-        self.tables = BTreeMap::from([(STANDING_TABLE.into(), standing)]);
+        let default_table = endpoints.iter().map(entry).collect();
+        self.tables = BTreeMap::from([(DEFAULT_TABLE.into(), default_table)]);
         self.version = 0;
         self.incarnation_start = self.history.len();
         self.ejected.clear();
         self.remember_all();
-        self.class_tables = classes.iter().map(|class| (class.clone(), STANDING_TABLE.into())).collect();
+        self.class_tables = classes.iter().map(|class| (class.clone(), DEFAULT_TABLE.into())).collect();
     }
 
     /// A control stream was opened or closed.
@@ -118,7 +118,7 @@
     }
 
     fn replace_tables(&mut self, tables: &[AppliedTable]) {
-        self.tables.retain(|name, _| name == STANDING_TABLE);
+        self.tables.retain(|name, _| name == DEFAULT_TABLE);
         for table in tables {
             let entries = table.entries.iter();
             let entries =
--- a/crates/scenario/src/proxy_fleet.rs
+++ b/crates/scenario/src/proxy_fleet.rs
@@ -9,8 +9,8 @@
 pub struct ProxyFleet {
     /// Proxies in each zone.
     pub per_zone: usize,
-    /// Endpoints of its own zone in a proxy's standing table.
-    pub standing_entries: usize,
+    /// Endpoints of its own zone in a proxy's default table.
+    pub default_table_entries: usize,
     /// From where proxies get their tables.
     pub table_source: TableSource,
     /// How proxies choose an endpoint.
@@ -20,11 +20,11 @@
     /// How long an attempt may take.
     pub attempt_timeout: Option<Duration>,
     /// Retries for each first attempt, at most.
-    pub retry_budget: Option<f64>,
+    pub retry_ratio: Option<f64>,
     /// Requests in flight to an endpoint, at most.
-    pub max_outstanding: Option<usize>,
+    pub max_in_flight: Option<usize>,
     /// Requests that wait for an endpoint, at most.
-    pub max_queued: Option<usize>,
+    pub max_queued_requests: Option<usize>,
 }
 
 /// From where a proxy gets its tables.
@@ -52,9 +52,9 @@
     pub fn apply(&self, config: &mut ProxyConfig) {
         config.limits.way = self.policy.unwrap_or(config.limits.way);
         config.limits.shuns_for = self.ejection_time.unwrap_or(config.limits.shuns_for);
-        config.limits.outstanding_most = self.max_outstanding.unwrap_or(config.limits.outstanding_most);
+        config.limits.outstanding_most = self.max_in_flight.unwrap_or(config.limits.outstanding_most);
         config.try_most = self.attempt_timeout.unwrap_or(config.try_most);
-        config.second_share = self.retry_budget.unwrap_or(config.second_share);
-        config.waiting_most = self.max_queued.unwrap_or(config.waiting_most);
+        config.second_share = self.retry_ratio.unwrap_or(config.second_share);
+        config.waiting_most = self.max_queued_requests.unwrap_or(config.waiting_most);
     }
 }
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -11,7 +11,7 @@
 pub struct Scenario {
     /// From the first request to the last.
     pub duration: Duration,
-    /// Of the load and of the standing tables.
+    /// Of the load and of the default tables.
     pub seed: u64,
     /// The levels of the controller's logs.
     pub log_levels: String,
--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/stage/mod.rs
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Ends a proxy with its streams, as if its process were gone, and starts a new one in its place, with the standing
+    /// Ends a proxy with its streams, as if its process were gone, and starts a new one in its place, with the default
     /// table.
     ///
     /// # Errors
@@ -162,7 +162,7 @@
 fn limits(scenario: &Scenario, config: &DaemonConfig) -> Limits {
     let policy = scenario.proxies.policy.unwrap_or_default();
     let even_balancing =
-        policy == LoadBalancingPolicy::SmoothWeightedRoundRobin && scenario.proxies.max_outstanding.is_none();
+        policy == LoadBalancingPolicy::SmoothWeightedRoundRobin && scenario.proxies.max_in_flight.is_none();
     Limits { even_balancing, ..Limits::new(&config.settings) }
 }
 
--- a/crates/scenario/src/stage/proxies.rs
+++ b/crates/scenario/src/stage/proxies.rs
@@ -46,7 +46,7 @@
         )
     }
 
-    /// Records that a new process started with its standing table.
+    /// Records that a new process started with its default table.
     pub(super) fn record_start(&self, recorder: &TrafficRecorder) {
         record_start(&self.config, recorder);
     }
@@ -75,18 +75,18 @@
         for zone in &self.config.names.zones {
             for number in 1..=self.scenario.proxies.per_zone {
                 let name = format!("r-{zone}-{number}");
-                let standing = self.standing_table(zone, &mut random);
-                proxies.push(self.start(name, zone, proxies.len(), standing).await?);
+                let default_table = self.default_table(zone, &mut random);
+                proxies.push(self.start(name, zone, proxies.len(), default_table).await?);
             }
         }
         Ok(proxies)
     }
 
     /// Endpoints of the zone that a proxy knows before a controller assigns it a table.
-    fn standing_table(&self, zone: &str, random: &mut WyRand) -> Vec<(String, SocketAddr)> {
+    fn default_table(&self, zone: &str, random: &mut WyRand) -> Vec<(String, SocketAddr)> {
         let mut in_zone: Vec<_> = self.entries.iter().filter(|(_, entry)| entry.zone == zone).collect();
         random.shuffle(&mut in_zone);
-        let chosen = in_zone.into_iter().take(self.scenario.proxies.standing_entries);
+        let chosen = in_zone.into_iter().take(self.scenario.proxies.default_table_entries);
         chosen.map(|(name, entry)| (name.clone(), entry.address)).collect()
     }
 
@@ -95,11 +95,11 @@
         name: String,
         zone: &str,
         number: usize,
-        standing: Vec<(String, SocketAddr)>,
+        default_table: Vec<(String, SocketAddr)>,
     ) -> Result<ProxyInstance, ScenarioError> {
         let control = Address::Unix(self.folder.join(format!("{name}.sock")));
         let mut config = self.proxy_config(&name, number, control.clone());
-        config.standing = standing;
+        config.standing = default_table;
         config.visits = self.runtimes.start(number, config.clone()).await?;
         record_start(&config, self.recorder);
         let link = ThrottledLink::open(&name, control, self.recorder.clone()).await?;
--- a/crates/scenario/src/xml.rs
+++ b/crates/scenario/src/xml.rs
@@ -76,14 +76,14 @@
 fn proxy_fleet(node: Node) -> ProxyFleet {
     ProxyFleet {
         per_zone: number(node, "per-zone", 1.0) as usize,
-        standing_entries: number(node, "standing", 8.0) as usize,
+        default_table_entries: number(node, "standing", 8.0) as usize,
         table_source: node.attribute("front").map_or(TableSource::default(), table_source),
         policy: parsed(node, "way"),
         ejection_time: time(node, "shuns-for"),
         attempt_timeout: time(node, "try-most"),
-        retry_budget: parsed(node, "second-share"),
-        max_outstanding: parsed(node, "outstanding-most"),
-        max_queued: parsed(node, "waiting-most"),
+        retry_ratio: parsed(node, "second-share"),
+        max_in_flight: parsed(node, "outstanding-most"),
+        max_queued_requests: parsed(node, "waiting-most"),
     }
 }
 
--- a/crates/scenario/tests/xml.rs
+++ b/crates/scenario/tests/xml.rs
@@ -35,7 +35,7 @@
     );
     let proxies = &scenario.proxies;
     assert_eq!(
-        (proxies.per_zone, proxies.standing_entries, proxies.table_source),
+        (proxies.per_zone, proxies.default_table_entries, proxies.table_source),
         (4, 5, TableSource::Mixed)
     );
     assert_eq!(
@@ -46,7 +46,7 @@
         matches!(proxies.policy, Some(policy) if policy != LoadBalancingPolicy::SmoothWeightedRoundRobin)
     );
     assert_eq!(
-        (proxies.retry_budget, proxies.max_outstanding, proxies.max_queued),
+        (proxies.retry_ratio, proxies.max_in_flight, proxies.max_queued_requests),
         (Some(0.25), Some(6), Some(7))
     );
     let load = &scenario.load[0];
--- a/crates/testbed/src/traffic_event.rs
+++ b/crates/testbed/src/traffic_event.rs
@@ -76,13 +76,13 @@
         #[serde(rename = "on")]
         stalled: bool,
     },
-    /// A proxy started with this standing table.
+    /// A proxy started with this default table.
     #[serde(rename = "Standing")]
     ProxyStarted {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// Endpoints of the standing table.
+        /// Endpoints of the default table.
         #[serde(rename = "servers")]
         endpoints: Vec<String>,
     },
