--- a/crates/cli/tests/daemon/aliases.rs
+++ b/crates/cli/tests/daemon/aliases.rs
@@ -41,3 +41,41 @@
     }
     assert_eq!(outcome(&["state", "--help"]), outcome(&["memory", "--help"]));
 }
+
+const SHORT: &str = r#"<day length="1s">
+  <terms>
+    <zones><zone name="a"/></zones>
+    <kinds><kind name="std"/></kinds>
+    <classes><class name="look" contract-time="400ms" patience="500ms" earnings="1"/></classes>
+    <fleet report-period="500ms" channel-lines-per-s="8000" queue-most-lines="12000"/>
+    <rules unserved-most="2s" drain-grace="2s" cold-share="0.25" warm-within="10s" cold-multiple="3" cold-span="2s"/>
+  </terms>
+  <endpoints kind="std" per-zone="1" cores="1"/>
+  <relays per-zone="1"/>
+  <visits class="look" rate="5" work="1ms"/>
+</day>"#;
+
+/// Times and counts differ from run to run; the rules, their limits and the verdicts don't.
+#[test]
+fn a_scenario_is_played_by_both_verbs() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = |name: &str| folder.path().join(name).display().to_string();
+    std::fs::write(path("short.xml"), SHORT).expect("written");
+    let play = |verb: &str| {
+        let report = path(verb);
+        let (code, text, progress) = outcome(&[verb, &path("short.xml"), "--json", &report]);
+        assert_eq!(code, Some(0), "{text}{progress}");
+        assert!(text.ends_with("rules kept\n"), "{text}");
+        let report: serde_json::Value =
+            serde_json::from_str(&std::fs::read_to_string(report).expect("written")).expect("JSON");
+        let keys: Vec<String> = report.as_object().expect("an object").keys().cloned().collect();
+        let verdicts = report["verdicts"].as_array().expect("a list").iter();
+        let rules: Vec<String> = verdicts
+            .map(|verdict| format!("{} {} {}", verdict["rule"], verdict["of"], verdict["limit"]))
+            .collect();
+        (keys, rules)
+    };
+    let scenario = play("scenario");
+    assert_eq!(scenario.1.len(), 9, "{scenario:?}");
+    assert_eq!(scenario, play("rehearse"));
+}
