--- /dev/null
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -0,0 +1,193 @@
+//! Short scenarios on real sockets, each with the faults that it checks. Judged by the rules'
+//! limits, not by times.
+
+use std::path::Path;
+
+use lockcroft_scenario::{Report, Scenario, run};
+use lockcroft_testbed::{TrafficEvent, TrafficRecord};
+
+use crate::controller_fixture::PROGRAM;
+
+fn run_scenario(seconds: u32, troubles: &str) -> (Report, String) {
+    run_scenario_with("commands", seconds, troubles)
+}
+
+fn run_scenario_with(table_source: &str, seconds: u32, troubles: &str) -> (Report, String) {
+    let text = format!(
+        r#"<day length="{seconds}s" seed="5">
+        <terms>
+          <zones><zone name="a"/><zone name="b"/></zones>
+          <kinds><kind name="std"/></kinds>
+          <classes>
+            <class name="look" contract-time="600ms" patience="2s" earnings="3" effect="safe"/>
+            <class name="book" contract-time="1s" patience="2s" earnings="1" effect="unsafe"/>
+          </classes>
+          <fleet report-period="500ms" message-delay="20ms" message-head-lines="2" messages-most="60" messages-span="10s"
+            channel-lines-per-s="4000" queue-most-lines="6000" connections-least="200" shuns-after="5"/>
+          <rules unserved-most="2s" drain-grace="3s" cold-share="0.3" warm-within="8s" cold-multiple="3" cold-span="2s"/>
+        </terms>
+        <endpoints kind="std" per-zone="3" cores="2" queue="40"/>
+        <relays front="{table_source}" per-zone="2" standing="3" shuns-for="3s" try-most="1500ms"/>
+        <visits class="look" rate="30" work="30ms"/>
+        <visits class="book" rate="15" work="40ms"/>
+        {troubles}
+        </day>"#
+    );
+    let scenario = Scenario::parse(&text).expect("a valid scenario");
+    let folder = tempfile::tempdir().expect("a folder");
+    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let played =
+        runtime.expect("a runtime").block_on(run(&scenario, Path::new(PROGRAM), folder.path(), |_| {}));
+    let report = played.expect("the scenario was played");
+    let log = std::fs::read_to_string(folder.path().join("pilot.log")).unwrap_or_default();
+    assert!(
+        report.rules_kept() && report.exit_code == Some(0),
+        "{report}\nexit {:?}\n{log}",
+        report.exit_code
+    );
+    (report, log)
+}
+
+fn any_event(report: &Report, expected: impl Fn(&TrafficEvent) -> bool) -> bool {
+    report.records.iter().any(|record| expected(&record.event))
+}
+
+/// All updates of a run: proxy, command, answer.
+fn updates(report: &Report) -> impl DoubleEndedIterator<Item = (&String, &String, &String)> {
+    report.records.iter().flat_map(|record| match &record.event {
+        TrafficEvent::UpdateAnswered { proxy, commands } => {
+            commands.iter().map(|of| (proxy, &of.command, &of.answer)).collect()
+        }
+        _ => Vec::new(),
+    })
+}
+
+/// A proxy stops half way through a batch while an endpoint drains in the midst of it; the others go on.
+#[test]
+fn a_stalled_proxy_and_a_drain_within_an_update_batch() {
+    let (report, log) = run_scenario(
+        14,
+        r#"<trouble at="7s" for="4s" kind="stall-relay" relay="r-a-1" after-commands="1"/>
+           <trouble at="7.2s" kind="drain" servers="a-1 b-2"/>"#,
+    );
+    assert!(
+        any_event(&report, |event| matches!(event, TrafficEvent::ControlStreamStalled { stalled: true, .. })),
+        "the stall took place"
+    );
+    // The proxy comes to the right tables once it goes on.
+    let last = |proxy: &str| {
+        let of = |(at, command, answer): &(&String, &String, &String)| {
+            *at == proxy && answer.is_empty() && command.contains("b-2 weight")
+        };
+        updates(&report).rfind(of).map(|(_, command, _)| command.clone())
+    };
+    assert_eq!(last("r-a-1"), Some("set server t0/b-2 weight 0".into()));
+    assert_eq!(last("r-b-1"), Some("set server t0/b-2 weight 0".into()));
+    // From the list to the proxy's answer by the number of the batch.
+    let listed =
+        log.lines().filter(|line| line.contains("lockcroft::input: listed")).nth(1).expect("listed twice");
+    let batch = listed.split_whitespace().find(|word| word.starts_with("wave=")).expect("a wave");
+    for text in [
+        "lockcroft::action: t0: b-2 weighs 0",
+        "lockcroft::update: sent",
+        "lockcroft::acknowledgement: answered",
+    ] {
+        let of_batch = |line: &&str| line.contains(text) && line.split_whitespace().any(|word| word == batch);
+        assert!(log.lines().any(|line| of_batch(&line)), "{text} of {batch}\n{log}");
+    }
+}
+
+/// A stream breaks after updates were carried out and before they were answered: none of them takes
+/// effect a second time. Another proxy restarts and gets all it lost.
+#[test]
+fn a_stream_that_breaks_between_update_and_answer() {
+    let (report, _) = run_scenario(
+        13,
+        r#"<trouble at="1s" kind="break-relay" relay="r-b-2" after-commands="3"/>
+           <trouble at="8s" kind="restart-relay" relay="r-a-2"/>"#,
+    );
+    let broke = report.records.iter().position(
+        |record| matches!(&record.event, TrafficEvent::ControlStream { proxy, open: false } if proxy == "r-b-2"),
+    );
+    assert!(broke.is_some(), "the stream broke");
+    let mut added = std::collections::BTreeMap::new();
+    for (proxy, command, answer) in updates(&report) {
+        assert!(!answer.starts_with("Already"), "{proxy}: {command}");
+        if proxy == "r-b-2" && command.starts_with("add server") {
+            *added.entry(command.clone()).or_insert(0) += 1;
+        }
+    }
+    assert!(added.len() == 6 && added.values().all(|times| *times == 1), "{added:?}");
+    let bound =
+        updates(&report).filter(|(proxy, command, _)| *proxy == "r-a-2" && command.starts_with("set map"));
+    assert_eq!(bound.count(), 4, "two classes, before and after the restart");
+}
+
+/// The controller is killed; meanwhile a zone dies, and it recovers, warming up, after the controller did.
+#[test]
+fn a_killed_controller_and_a_lost_zone() {
+    let (report, _) = run_scenario(
+        24,
+        r#"<trouble at="7s" for="2s" kind="kill-pilot"/>
+           <trouble at="8s" for="6s" kind="lose" zone="b" notice="1500ms"/>
+           <trouble at="11s" for="4s" kind="lie" servers="a-1"/>"#,
+    );
+    assert!(
+        any_event(&report, |event| matches!(event, TrafficEvent::EndpointStarted { .. })),
+        "they came back"
+    );
+    assert!(!any_event(&report, |event| matches!(event, TrafficEvent::EndpointOverloaded { .. })));
+    assert!(report.score.goodput > 0.7, "{report}");
+}
+
+/// An endpoint takes requests and answers none, while its health checks go on; the rest is overloaded.
+#[test]
+fn a_hung_endpoint_and_an_overload() {
+    let (report, _) = run_scenario(
+        20,
+        r#"<trouble at="7s" for="8s" kind="hang" servers="a-2"/>
+           <trouble at="11s" for="6s" kind="load" times="5"/>"#,
+    );
+    let sent = |from: u64, to: u64| {
+        let here = report.records.iter().filter(|record| (from..to).contains(&record.at.as_secs()));
+        here.filter(
+            |record| matches!(&record.event, TrafficEvent::RequestArrived { endpoint, .. } if endpoint == "a-2"),
+        )
+        .count()
+    };
+    assert!(sent(5, 7) > 5, "it had its share");
+    assert!(sent(11, 15) < sent(7, 11).max(10), "and lost it: {} then {}", sent(7, 11), sent(11, 15));
+}
+
+/// Half of the proxies read files. An endpoint dies while the controller is killed, which starts again with the next
+/// epoch; a proxy that reads files is restarted, and another endpoint drains.
+#[test]
+fn a_mixed_fleet_through_a_killed_controller() {
+    let (report, log) = run_scenario_with(
+        "mixed",
+        20,
+        r#"<trouble at="7s" for="2s" kind="kill-pilot"/>
+           <trouble at="7.5s" for="4s" kind="lose" servers="a-2" notice="1s"/>
+           <trouble at="8s" kind="restart-relay" relay="r-a-2"/>
+           <trouble at="16s" kind="drain" servers="b-3"/>"#,
+    );
+    let applied_by = |expected: &str| {
+        let count = |record: &&TrafficRecord| matches!(&record.event, TrafficEvent::SnapshotApplied { proxy, .. } if proxy == expected);
+        report.records.iter().filter(count).count()
+    };
+    assert!(
+        applied_by("r-a-2") >= 4 && applied_by("r-b-2") >= 4,
+        "{} and {}\n{log}",
+        applied_by("r-a-2"),
+        applied_by("r-b-2")
+    );
+    assert_eq!((applied_by("r-a-1"), applied_by("r-b-1")), (0, 0), "those are ordered");
+    assert!(
+        !updates(&report).any(|(proxy, command, _)| proxy.ends_with("-2") && command.contains("server")),
+        "nobody who reads is ordered"
+    );
+    assert!(
+        log.contains("epoch of files taken epoch=1") && log.contains("epoch of files taken epoch=2"),
+        "{log}"
+    );
+}
