--- a/crates/state-store/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -1,4 +1,4 @@
-//! The store against one JSON file rewritten whole: a fleet's memory loaded, and a second's worth of changes kept.
+//! The store against one JSON file that is rewritten whole: loading a fleet's state, and persisting one second of changes.
 //! `cargo bench -p lockcroft-state-store`
 
 use std::fs::{self, File};
@@ -10,18 +10,18 @@
 };
 use serde_json::{Value, json};
 
-const SERVERS: usize = 640;
+const ENDPOINTS: usize = 640;
 const TABLES: u32 = 42;
 const ROUNDS: usize = 60;
 
-fn owner() -> StoreIdentity {
+fn identity() -> StoreIdentity {
     StoreIdentity::of("p", ["a", "gen3", "look"].into_iter())
 }
 
-/// Everything that a pilot of 640 servers, 42 tables and two classes keeps.
+/// The entries of a controller with 640 endpoints, 42 tables and two classes.
 fn fleet() -> Vec<Entry> {
-    let server = |i: usize| {
-        let note = EndpointNote {
+    let endpoint = |i: usize| {
+        let value = EndpointNote {
             zone: ["a", "b", "c", "d"][i % 4].into(),
             kind: "gen3".into(),
             counter: Some(4),
@@ -33,22 +33,22 @@
             Entry {
                 at_ms: 1_800_000_000_000,
                 key: Key::Server(name.clone()),
-                what: EntryValue::Server(note),
+                what: EntryValue::Server(value),
             },
             Entry { at_ms: 1_800_000_000_000, key: Key::Size(name), what: EntryValue::Size(2.05) },
         ]
     };
-    let level = |table: u32| {
+    let admission = |table: u32| {
         ["look", "book"].map(|class| Entry {
             at_ms: 1_800_000_000_000,
             key: Key::Level(class.into(), table),
             what: EntryValue::Level(1.0),
         })
     };
-    (0..SERVERS).flat_map(server).chain((0..TABLES).flat_map(level)).collect()
+    (0..ENDPOINTS).flat_map(endpoint).chain((0..TABLES).flat_map(admission)).collect()
 }
 
-/// A busy second: a tenth of the servers move.
+/// A busy second: a tenth of the endpoints change.
 fn second(round: usize) -> Vec<Entry> {
     let all = fleet();
     let some =
@@ -60,24 +60,24 @@
     entries.iter().map(|entry| json!({"at": entry.at_ms, "key": format!("{:?}", entry.key), "what": format!("{:?}", entry.what)})).collect()
 }
 
-fn say(name: &str, mut times: Vec<Duration>, bytes: u64) {
+fn print_times(name: &str, mut times: Vec<Duration>, bytes: u64) {
     times.sort();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-    println!("{name:52} p50 {:>9.1?}  p99 {:>9.1?}  {bytes:>8} bytes", at(0.5), at(0.99));
+    let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
+    println!("{name:52} p50 {:>9.1?}  p99 {:>9.1?}  {bytes:>8} bytes", quantile(0.5), quantile(0.99));
 }
 
 fn timed(into: &mut Vec<Duration>, work: impl FnOnce()) {
-    let begun = Instant::now();
+    let started = Instant::now();
     work();
-    into.push(begun.elapsed());
+    into.push(started.elapsed());
 }
 
 fn main() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("a directory");
     let (mut store, _) =
-        Store::open(DirectoryStorage::hold(folder.path()).expect("held"), owner()).expect("opened");
+        Store::open(DirectoryStorage::hold(directory.path()).expect("held"), identity()).expect("opened");
     store.append(&fleet()).expect("written");
-    store.begin().expect("begun");
+    store.rotate().expect("rotated");
     let (mut appended, mut flushed) = (vec![], vec![]);
     let before = store.bytes();
     for round in 0..ROUNDS {
@@ -86,8 +86,8 @@
         timed(&mut flushed, || store.flush().expect("flushed"));
     }
     let each = (store.bytes() - before) as u64 / ROUNDS as u64;
-    say("64 changes appended", appended, each);
-    say("and flushed", flushed, 0);
+    print_times("64 changes appended", appended, each);
+    print_times("and flushed", flushed, 0);
     drop(store);
     let (mut loaded, mut aged) = (vec![], vec![]);
     let rules = AgeingRules { report_period: Duration::from_secs(2), warm_within: Duration::from_secs(10) };
@@ -95,15 +95,15 @@
     for _ in 0..ROUNDS {
         let mut state = None;
         timed(&mut loaded, || {
-            state = Some(load(&DirectoryStorage::look(folder.path()), &owner()).expect("sound"))
+            state = Some(load(&DirectoryStorage::look(directory.path()), &identity()).expect("sound"))
         });
         let state = state.expect("loaded");
         bytes = state.bytes;
         timed(&mut aged, || drop(age(&state.state, 1_800_000_060_000, &rules)));
     }
-    say("640 servers, 84 levels, 640 sizes loaded", loaded, bytes);
-    say("and aged", aged, 0);
-    let path = folder.path().join("plain.json");
+    print_times("640 servers, 84 levels, 640 sizes loaded", loaded, bytes);
+    print_times("and aged", aged, 0);
+    let path = directory.path().join("plain.json");
     let all = fleet();
     let (mut rewritten, mut read) = (vec![], vec![]);
     for _ in 0..ROUNDS {
@@ -117,6 +117,6 @@
         });
     }
     let bytes = fs::metadata(&path).expect("there").len();
-    say("one JSON file rewritten whole and flushed", rewritten, bytes);
-    say("and read", read, bytes);
+    print_times("one JSON file rewritten whole and flushed", rewritten, bytes);
+    print_times("and read", read, bytes);
 }
--- /dev/null
+++ b/crates/state-store/src/entry.rs
@@ -0,0 +1,67 @@
+//! Entries of the store, and the state that they add up to.
+
+use std::collections::BTreeMap;
+
+/// What an entry is about.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Key {
+    /// An endpoint, by name.
+    Server(String),
+    /// The admission rate of a class at a routing table.
+    Level(String, u32),
+    /// The measured capacity of an endpoint, by its name.
+    Size(String),
+}
+
+/// What was known of an endpoint. Times are milliseconds of the wall clock, 0 for none.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct EndpointNote {
+    /// Name of its zone.
+    pub zone: String,
+    /// Name of its machine type.
+    pub kind: String,
+    /// The endpoint list no longer had it, or reported it as removed.
+    pub gone: bool,
+    /// The endpoint list reported it as draining.
+    pub draining: bool,
+    /// The rise/fall counter of its health checks; `None` if unknown.
+    pub counter: Option<u32>,
+    /// Until when it counts as an outlier.
+    pub doubted_until_ms: u64,
+    /// When its process started.
+    pub started_ms: u64,
+    /// When its slow start ends.
+    pub warm_ms: u64,
+    /// Fraction of its full weight, from 0 to 1, that load-based weight reduction left.
+    pub relief: f64,
+}
+
+/// What was learned; its variant is that of the entry's [`Key`].
+#[derive(Clone, Debug, PartialEq)]
+pub enum EntryValue {
+    /// Figures of an endpoint.
+    Server(EndpointNote),
+    /// Admission rate, from 0 to 1.
+    Level(f64),
+    /// Capacity in cores.
+    Size(f64),
+}
+
+/// One thing that was learned, and when.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Entry {
+    /// When it was so, in milliseconds of the wall clock.
+    pub at_ms: u64,
+    /// What it is about.
+    pub key: Key,
+    /// What was learned.
+    pub what: EntryValue,
+}
+
+/// The last entry of each key: its time in milliseconds of the wall clock, and its value.
+pub type State = BTreeMap<Key, (u64, EntryValue)>;
+
+/// Replaces what the state had for the entry's key.
+pub(crate) fn apply(state: &mut State, entry: Entry) {
+    state.insert(entry.key, (entry.at_ms, entry.what));
+}
--- a/crates/state-store/src/frame.rs
+++ b/crates/state-store/src/frame.rs
@@ -1,26 +1,28 @@
-//! Frames: length, kind, checksum, payload. A frame that is not whole, or not as its checksum has it, ends a file.
+//! Frames of a file: payload length, kind, checksum, payload. The first frame that is incomplete or does not match its
+//! checksum ends the file.
 
 use protobuf::Message;
 
 /// The format that is written, and the newest that is read.
 pub const FORMAT: u32 = 1;
 
-/// Bytes before a payload: length (4, little end first), kind (1), CRC-32 of kind and payload (4).
-const HEAD: usize = 9;
-/// Payloads are no longer than this.
-const MOST: usize = 1 << 20;
+/// Bytes before a payload: length (4, little-endian), kind (1), CRC-32 of kind and payload (4).
+const FRAME_HEADER_BYTES: usize = 9;
+/// A longer payload is taken for a broken length.
+const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
+/// What a frame's payload is. Readers skip kinds that they don't know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub(crate) enum FrameKind {
     Header = 1,
     Entry = 2,
     End = 3,
 }
 
-/// Puts a frame behind what is there.
-pub fn put(out: &mut Vec<u8>, kind: Kind, message: &impl Message) {
+/// Appends a frame with this message as its payload.
+pub(crate) fn append_frame(out: &mut Vec<u8>, kind: FrameKind, message: &impl Message) {
     let payload = message.write_to_bytes().expect("messages without required fields are written to memory");
-    debug_assert!(payload.len() <= MOST, "an entry of {} bytes", payload.len());
+    debug_assert!(payload.len() <= MAX_PAYLOAD_BYTES, "an entry of {} bytes", payload.len());
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.push(kind as u8);
     out.extend_from_slice(&checksum(kind as u8, &payload).to_le_bytes());
@@ -28,48 +30,59 @@
 }
 
 fn checksum(kind: u8, payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&[kind]);
-    sum.update(payload);
-    sum.finalize()
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&[kind]);
+    hasher.update(payload);
+    hasher.finalize()
 }
 
-/// Frames from the front of some bytes, until one is not whole.
-pub struct Frames<'a> {
+/// One whole frame.
+pub(crate) struct Frame<'a> {
+    /// The number of its [`FrameKind`], or of one that only later programs know.
+    pub kind: u8,
+    pub payload: &'a [u8],
+}
+
+/// Iterates over the frames of a file up to the first one that is not whole.
+pub(crate) struct FrameReader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
-impl<'a> Frames<'a> {
+impl<'a> FrameReader<'a> {
     pub fn new(bytes: &'a [u8]) -> Self {
-        Frames { bytes, at: 0 }
+        FrameReader { bytes, position: 0 }
     }
 
-    /// Bytes that were whole frames.
-    pub fn read(&self) -> usize {
-        self.at
+    /// The number of bytes in the frames that were read.
+    pub fn position(&self) -> usize {
+        self.position
     }
 
-    /// Whether there are bytes behind the last whole frame.
-    pub fn torn(&self) -> bool {
-        self.at < self.bytes.len()
+    /// Whether bytes remain after the frames that were read.
+    pub fn has_remainder(&self) -> bool {
+        self.position < self.bytes.len()
     }
 }
 
-impl<'a> Iterator for Frames<'a> {
-    /// Kind and payload.
-    type Item = (u8, &'a [u8]);
+impl<'a> Iterator for FrameReader<'a> {
+    type Item = Frame<'a>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        let rest = &self.bytes[self.at..];
-        let head: &[u8; HEAD] = rest.first_chunk()?;
-        let long = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        let sum = u32::from_le_bytes([head[5], head[6], head[7], head[8]]);
-        let payload = rest.get(HEAD..HEAD.checked_add(long).filter(|_| long <= MOST)?)?;
-        if checksum(head[4], payload) != sum {
+        let remainder = &self.bytes[self.position..];
+        let header: &[u8; FRAME_HEADER_BYTES] = remainder.first_chunk()?;
+        let payload_len = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+        let kind = header[4];
+        let stated_checksum = u32::from_le_bytes([header[5], header[6], header[7], header[8]]);
+        if payload_len > MAX_PAYLOAD_BYTES {
+            return None;
+        }
+        let frame_len = FRAME_HEADER_BYTES + payload_len;
+        let payload = remainder.get(FRAME_HEADER_BYTES..frame_len)?;
+        if checksum(kind, payload) != stated_checksum {
             return None;
         }
-        self.at += HEAD + long;
-        Some((head[4], payload))
+        self.position += frame_len;
+        Some(Frame { kind, payload })
     }
 }
--- a/crates/state-store/src/lib.rs
+++ b/crates/state-store/src/lib.rs
@@ -1,21 +1,36 @@
-//! What a pilot learned, kept across restarts. [`Store`] is a journal of entries with snapshots in one folder: what was
-//! flushed is there after any crash, a torn end is cut at the last whole entry, and a broken snapshot falls back to
-//! the one before. [`age`] says what of it is still good, without I/O or clock.
+//! Persists what a controller has learned across restarts.
+//!
+//! [`Store`] is a write-ahead journal of entries with snapshots in one directory, as databases keep it: entries that
+//! were flushed survive any crash, a torn end of a journal is cut at the last whole entry, and a broken snapshot falls
+//! back to the one before it. [`age`] decides how much of the loaded [`State`] is still valid, without I/O or clock.
+//!
+//! The protobuf messages on disk keep their own field names; `codec` is the only module that maps them.
 
-mod age;
-mod disk;
+#![warn(missing_docs)]
+
+mod ageing;
+mod codec;
+mod entry;
+mod error;
+mod file_name;
 mod frame;
-mod state;
+mod identity;
+mod recovery;
+mod storage;
 mod store;
 
-/// Messages as they are kept.
+/// The stored messages, generated from `proto/memory.proto`.
+#[allow(missing_docs)]
 pub mod proto {
     include!(concat!(env!("OUT_DIR"), "/proto/mod.rs"));
     pub use memory::*;
 }
 
-pub use age::{AgeingRules, RecoveredEndpoint, RecoveredState, age};
-pub use disk::{DirectoryStorage, Storage};
+pub use ageing::{AgeingRules, RecoveredEndpoint, RecoveredState, age};
+pub use entry::{EndpointNote, Entry, EntryValue, Key, State};
+pub use error::{OpenError, RecoveryError};
 pub use frame::FORMAT;
-pub use state::{EndpointNote, Entry, EntryValue, Key, State, StoreIdentity};
-pub use store::{LoadedState, OpenError, RecoveryError, Store, load, owner_of};
+pub use identity::StoreIdentity;
+pub use recovery::{LoadedState, load, owner_of};
+pub use storage::{DirectoryStorage, Storage};
+pub use store::Store;
--- a/crates/state-store/src/store.rs
+++ b/crates/state-store/src/store.rs
@@ -1,341 +1,186 @@
-//! The store: numbered snapshots, each with the journal of what came after it.
+//! The writer of a store: appends entries to a journal and starts a new snapshot when one is due.
 //!
-//! `snapshot-7` is all that was known when it was made, `journal-7` what was learned since. A new number is begun at
-//! every start, so that nothing is ever put behind a torn end, and when the journal has grown; the number before stays
-//! until the next, for a snapshot that turns out broken.
+//! `snapshot-7` is everything that was known when it was made, `journal-7` what was learned since. A new number is
+//! started at every open, so that nothing is ever appended after a torn end, and when the journal has grown. The number
+//! before it stays until the next one is complete, in case the new snapshot turns out to be broken.
 
-use std::fmt;
 use std::io;
 
-use protobuf::Message;
-
-use crate::disk::Storage;
-use crate::frame::{FORMAT, Frames, Kind, put};
-use crate::proto;
-use crate::state::{Entry, State, StoreIdentity, take};
-
-/// A journal is closed once it is so many times as long as its snapshot, and this long at least.
-const GROWN: usize = 4;
-const GROWN_LEAST: usize = 64 << 10;
-
-/// Why a folder's memory is left alone.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OpenError {
-    /// File, its format: of a later program.
-    Newer(String, u32),
-    /// File, the pilot whose it is.
-    Foreign(String, String),
-    /// File: of a fleet with other zones, kinds or classes.
-    OtherFleet(String),
-}
-
-impl fmt::Display for OpenError {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            OpenError::Newer(file, format) => {
-                write!(out, "{file}: format {format}, up to {FORMAT} is read here")
-            }
-            OpenError::Foreign(file, pilot) => write!(out, "{file}: the memory of pilot {pilot:?}"),
-            OpenError::OtherFleet(file) => {
-                write!(out, "{file}: of a fleet with other zones, kinds or classes")
-            }
-        }
-    }
-}
-
-#[derive(Debug)]
-pub enum RecoveryError {
-    Open(OpenError),
-    Io(io::Error),
-}
-
-impl fmt::Display for RecoveryError {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            RecoveryError::Open(refused) => write!(out, "{refused}"),
-            RecoveryError::Io(error) => write!(out, "{error}"),
-        }
-    }
-}
-
-impl std::error::Error for RecoveryError {}
-
-impl From<io::Error> for RecoveryError {
-    fn from(error: io::Error) -> Self {
-        RecoveryError::Io(error)
-    }
-}
-
-/// What a folder holds.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct LoadedState {
-    pub state: State,
-    /// What was passed over or cut, for people.
-    pub remarks: Vec<String>,
-    /// The highest number met, sound or not, and that of the snapshot that was read; 0 for none.
-    pub number: u64,
-    pub from: u64,
-    /// Numbers of snapshots and journals that there are.
-    pub files: usize,
-    pub bytes: u64,
-}
-
-fn number(name: &str, what: &str) -> Option<u64> {
-    name.strip_prefix(what)?.strip_prefix('-')?.parse().ok()
-}
-
-/// Whether the file is this owner's and of a format that is read here; none if there is no telling.
-fn own(name: &str, frames: &mut Frames, owner: &StoreIdentity) -> Result<bool, OpenError> {
-    let header = frames.next().filter(|(kind, _)| *kind == Kind::Header as u8);
-    let header = header.and_then(|(_, payload)| proto::Header::parse_from_bytes(payload).ok());
-    let Some(header) = header else { return Ok(false) };
-    if header.format > FORMAT {
-        return Err(OpenError::Newer(name.into(), header.format));
-    }
-    if header.pilot != owner.pilot {
-        return Err(OpenError::Foreign(name.into(), header.pilot));
-    }
-    if header.fleet != owner.fleet {
-        return Err(OpenError::OtherFleet(name.into()));
-    }
-    Ok(true)
-}
-
-/// Whose a folder's newest readable file is; none where there is none.
-///
-/// # Errors
-/// As the file system says.
-pub fn owner_of(disk: &impl Storage) -> io::Result<Option<StoreIdentity>> {
-    let names = disk.list()?;
-    let numbered = names.iter().filter_map(|name| {
-        let number = number(name, "snapshot").or_else(|| number(name, "journal"))?;
-        Some((number, name))
-    });
-    let mut numbered: Vec<(u64, &String)> = numbered.collect();
-    numbered.sort_unstable();
-    for (_, name) in numbered.into_iter().rev() {
-        let bytes = disk.read(name)?;
-        let first = Frames::new(&bytes).next().filter(|(kind, _)| *kind == Kind::Header as u8);
-        if let Some(header) = first.and_then(|(_, payload)| proto::Header::parse_from_bytes(payload).ok()) {
-            return Ok(Some(StoreIdentity { pilot: header.pilot, fleet: header.fleet }));
-        }
-    }
-    Ok(None)
-}
-
-/// Takes entries in until there is none, or one that is not whole; how many.
-fn entries(frames: &mut Frames, state: &mut State, end: &mut Option<u64>) -> u64 {
-    let mut count = 0;
-    for (kind, payload) in frames.by_ref() {
-        if kind == Kind::End as u8 {
-            *end = proto::End::parse_from_bytes(payload).ok().map(|end| end.entries);
-            break;
-        }
-        // A kind or an entry of which nothing is known here is passed over.
-        let entry =
-            (kind == Kind::Entry as u8).then(|| proto::Entry::parse_from_bytes(payload).ok()).flatten();
-        entry.and_then(Entry::read).into_iter().for_each(|entry| take(state, entry));
-        count += 1;
-    }
-    count
-}
-
-/// Reads what a folder holds, whoever writes in it.
-///
-/// # Errors
-/// It is another's or a later program's, or as the file system says. A file that can't be read is an error, not a
-/// loss: the disk may be well again.
-pub fn load(disk: &impl Storage, owner: &StoreIdentity) -> Result<LoadedState, RecoveryError> {
-    let names = disk.list()?;
-    let mut loaded = LoadedState { files: names.len(), ..LoadedState::default() };
-    let mut journals: Vec<u64> = names.iter().filter_map(|name| number(name, "journal")).collect();
-    let mut snapshots: Vec<u64> = names.iter().filter_map(|name| number(name, "snapshot")).collect();
-    journals.sort_unstable();
-    snapshots.sort_unstable();
-    loaded.number = journals.iter().chain(&snapshots).copied().max().unwrap_or(0);
-    let mut from = None;
-    for snapshot in snapshots.into_iter().rev() {
-        let name = format!("snapshot-{snapshot}");
-        let bytes = disk.read(&name)?;
-        loaded.bytes += bytes.len() as u64;
-        let (mut frames, mut state, mut end) = (Frames::new(&bytes), State::new(), None);
-        let sound = own(&name, &mut frames, owner).map_err(RecoveryError::Open)?;
-        let count = entries(&mut frames, &mut state, &mut end);
-        if sound && end == Some(count) && !frames.torn() {
-            (loaded.state, loaded.from, from) = (state, snapshot, Some(snapshot));
-            break;
-        }
-        loaded.remarks.push(format!("{name}: broken, the one before is taken"));
-    }
-    for journal in journals.into_iter().filter(|journal| from.is_none_or(|from| *journal >= from)) {
-        let name = format!("journal-{journal}");
-        let bytes = disk.read(&name)?;
-        loaded.bytes += bytes.len() as u64;
-        let (mut frames, mut end) = (Frames::new(&bytes), None);
-        let sound = own(&name, &mut frames, owner).map_err(RecoveryError::Open)?;
-        if sound {
-            entries(&mut frames, &mut loaded.state, &mut end);
-        }
-        if !sound || frames.torn() {
-            loaded.remarks.push(format!("{name}: cut at {} of {} bytes", frames.read(), bytes.len()));
-        }
-    }
-    Ok(loaded)
-}
-
-/// The one writer.
-pub struct Store<D> {
-    disk: D,
-    owner: StoreIdentity,
+use crate::codec::{encode_end, encode_entry, encode_header};
+use crate::entry::{Entry, State, apply};
+use crate::error::RecoveryError;
+use crate::file_name::{FileRole, snapshot_or_journal_number};
+use crate::frame::{FrameKind, append_frame};
+use crate::identity::StoreIdentity;
+use crate::recovery::{LoadedState, load};
+use crate::storage::Storage;
+
+/// A new number is due once the journal is longer than this many times its snapshot …
+const MAX_JOURNAL_TO_SNAPSHOT_RATIO: usize = 4;
+/// … and longer than this, so that a small state is not rewritten all the time.
+const MIN_JOURNAL_BYTES_TO_ROTATE: usize = 64 << 10;
+
+/// The one writer of a stored state.
+pub struct Store<S> {
+    storage: S,
+    identity: StoreIdentity,
     state: State,
     number: u64,
-    /// The last number that was begun to its end, which stays until another is.
-    sound: u64,
+    /// The last number whose snapshot and journal are complete; it stays until a later one is.
+    complete_number: u64,
     journal_bytes: usize,
     snapshot_bytes: usize,
-    unflushed: bool,
-    /// A write failed: nothing may be put behind it, and the next one begins a new number.
-    spoilt: bool,
+    has_unflushed_entries: bool,
+    /// A write failed: nothing may be appended after it, and the next write starts a new number.
+    is_journal_broken: bool,
 }
 
-impl<D: Storage> Store<D> {
-    /// Loads what is there, and begins a new number with it.
+impl<S: Storage> Store<S> {
+    /// Loads the stored state and starts a new number with it.
     ///
     /// # Errors
-    /// It is another's or a later program's, or as the file system says.
-    pub fn open(disk: D, owner: StoreIdentity) -> Result<(Self, LoadedState), RecoveryError> {
-        let loaded = load(&disk, &owner)?;
+    /// The state belongs to another controller or fleet, a later program wrote it, or the storage failed.
+    pub fn open(storage: S, owner: StoreIdentity) -> Result<(Self, LoadedState), RecoveryError> {
+        let loaded = load(&storage, &owner)?;
         let mut store = Store {
-            disk,
-            owner,
+            storage,
+            identity: owner,
             state: loaded.state.clone(),
             number: loaded.number,
-            // What was loaded may have come from the number before its highest.
-            sound: loaded.from,
+            // The highest number may be broken: only the one that was loaded is known to be complete.
+            complete_number: loaded.from,
             journal_bytes: 0,
             snapshot_bytes: 0,
-            unflushed: false,
-            spoilt: false,
+            has_unflushed_entries: false,
+            is_journal_broken: false,
         };
-        store.begin()?;
+        store.rotate()?;
         Ok((store, loaded))
     }
 
+    /// Everything that was appended or loaded, flushed or not.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Bytes that are in use: of the last snapshot and its journal.
+    /// Bytes of the current snapshot and its journal.
     pub fn bytes(&self) -> usize {
         self.snapshot_bytes + self.journal_bytes
     }
 
+    /// The number of the current snapshot and its journal.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Puts entries into the journal. They are safe once [`Store::flush`] says so.
+    /// Appends entries to the journal. They survive a crash once [`Store::flush`] has succeeded.
     ///
     /// # Errors
-    /// As the file system says: what is known stays known here, and goes with the next snapshot.
+    /// The storage failed. The entries stay in [`Store::state`] and go into the next snapshot.
     pub fn append(&mut self, entries: &[Entry]) -> io::Result<()> {
         let mut bytes = Vec::new();
         for entry in entries {
-            put(&mut bytes, Kind::Entry, &entry.message());
-            take(&mut self.state, entry.clone());
+            append_frame(&mut bytes, FrameKind::Entry, &encode_entry(entry));
+            apply(&mut self.state, entry.clone());
         }
-        if self.spoilt || self.journal_bytes > GROWN_LEAST.max(GROWN * self.snapshot_bytes) {
-            return self.begin();
+        if self.is_journal_broken || self.is_rotation_due() {
+            return self.rotate();
         }
-        let written = self.disk.append(&journal(self.number), &bytes);
-        self.spoilt = written.is_err();
+        let written = self.storage.append(&FileRole::Journal.file_name(self.number), &bytes);
+        self.is_journal_broken = written.is_err();
         self.journal_bytes += bytes.len();
-        self.unflushed = true;
+        self.has_unflushed_entries = true;
         written
     }
 
-    /// What was appended before this is there after any crash.
+    fn is_rotation_due(&self) -> bool {
+        let max_bytes = MIN_JOURNAL_BYTES_TO_ROTATE.max(MAX_JOURNAL_TO_SNAPSHOT_RATIO * self.snapshot_bytes);
+        self.journal_bytes > max_bytes
+    }
+
+    /// Flushes the journal: everything that was appended before survives any crash.
     ///
     /// # Errors
-    /// As the file system says: after a flush that failed nobody knows what is there, and a new number is begun
-    /// with the next entries.
+    /// The storage failed. After a failed flush nobody knows which bytes are stored, so the next write starts a new
+    /// number.
     pub fn flush(&mut self) -> io::Result<()> {
-        if self.spoilt {
-            return self.begin();
+        if self.is_journal_broken {
+            return self.rotate();
         }
-        if std::mem::take(&mut self.unflushed) {
-            let flushed = self.disk.flush(&journal(self.number));
-            self.spoilt = flushed.is_err();
-            return flushed;
+        if !self.has_unflushed_entries {
+            return Ok(());
         }
-        Ok(())
+        self.has_unflushed_entries = false;
+        let flushed = self.storage.flush(&FileRole::Journal.file_name(self.number));
+        self.is_journal_broken = flushed.is_err();
+        flushed
     }
 
-    /// Begins a new number: a snapshot of all that is known, and an empty journal. The last number stays, and what is
-    /// before it goes.
+    /// Starts a new number: a snapshot of the whole state and an empty journal. The last complete number stays, and
+    /// files of earlier ones are removed.
     ///
     /// # Errors
-    /// As the file system says: the numbers before are as they were.
-    pub fn begin(&mut self) -> io::Result<()> {
-        self.spoilt = true;
-        // What the number before has to offer, should this snapshot break, is all there.
-        if self.unflushed {
-            let _ = self.disk.flush(&journal(self.number));
+    /// The storage failed. The files of earlier numbers are unchanged.
+    pub fn rotate(&mut self) -> io::Result<()> {
+        self.is_journal_broken = true;
+        if self.has_unflushed_entries {
+            // The number before is the fallback for a broken snapshot, so its journal should be whole. A failure
+            // is ignored: the new snapshot has these entries too.
+            let _ = self.storage.flush(&FileRole::Journal.file_name(self.number));
         }
-        let next = self.number + 1;
-        let mut bytes = self.header(next);
+        // The number is used up even if one of the writes below fails.
+        self.number += 1;
+        let snapshot_bytes = self.write_snapshot()?;
+        let journal_bytes = self.create_journal()?;
+        self.storage.sync_directory()?;
+        self.snapshot_bytes = snapshot_bytes;
+        self.journal_bytes = journal_bytes;
+        self.is_journal_broken = false;
+        self.has_unflushed_entries = false;
+        let fallback = std::mem::replace(&mut self.complete_number, self.number);
+        self.remove_files_before(fallback);
+        Ok(())
+    }
+
+    /// Writes the snapshot beside the others and renames it when it is flushed; returns its length in bytes.
+    fn write_snapshot(&mut self) -> io::Result<usize> {
+        let mut bytes = self.encoded_header();
         for (key, (at_ms, what)) in &self.state {
             let entry = Entry { at_ms: *at_ms, key: key.clone(), what: what.clone() };
-            put(&mut bytes, Kind::Entry, &entry.message());
+            append_frame(&mut bytes, FrameKind::Entry, &encode_entry(&entry));
         }
-        put(&mut bytes, Kind::End, &proto::End { entries: self.state.len() as u64, ..Default::default() });
-        // Its number is spent, whatever becomes of it.
-        self.number = next;
-        let beside = format!("new-{next}");
-        self.disk.append(&beside, &bytes)?;
-        self.disk.flush(&beside)?;
-        self.disk.rename(&beside, &snapshot(next))?;
-        let header = self.header(next);
-        self.disk.append(&journal(next), &header)?;
-        self.disk.flush(&journal(next))?;
-        self.disk.flush_names()?;
-        (self.snapshot_bytes, self.journal_bytes) = (bytes.len(), header.len());
-        (self.spoilt, self.unflushed) = (false, false);
-        let last = std::mem::replace(&mut self.sound, next);
-        self.clear(last);
-        Ok(())
+        append_frame(&mut bytes, FrameKind::End, &encode_end(self.state.len()));
+        let unfinished = FileRole::Unfinished.file_name(self.number);
+        self.storage.append(&unfinished, &bytes)?;
+        self.storage.flush(&unfinished)?;
+        self.storage.rename(&unfinished, &FileRole::Snapshot.file_name(self.number))?;
+        Ok(bytes.len())
     }
 
-    fn header(&self, number: u64) -> Vec<u8> {
-        let header = proto::Header {
-            format: FORMAT,
-            pilot: self.owner.pilot.clone(),
-            fleet: self.owner.fleet,
-            number,
-            ..Default::default()
-        };
+    /// Creates a journal without entries; returns its length in bytes.
+    fn create_journal(&mut self) -> io::Result<usize> {
+        let header = self.encoded_header();
+        let journal = FileRole::Journal.file_name(self.number);
+        self.storage.append(&journal, &header)?;
+        self.storage.flush(&journal)?;
+        Ok(header.len())
+    }
+
+    fn encoded_header(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        put(&mut bytes, Kind::Header, &header);
+        append_frame(&mut bytes, FrameKind::Header, &encode_header(&self.identity, self.number));
         bytes
     }
 
-    /// Files of numbers before this one, and what a crash left beside them; what can't be taken away is tried again.
-    fn clear(&mut self, last: u64) {
-        let names = self.disk.list().unwrap_or_default();
-        let old = |name: &&String| {
-            let kept = ["snapshot", "journal"].iter().find_map(|what| number(name, what));
-            kept.is_some_and(|number| number < last) || number(name, "new").is_some()
+    /// Removes files of lower numbers and unfinished snapshots. A failure is ignored: the next rotation tries again.
+    fn remove_files_before(&mut self, first_kept: u64) {
+        let names = self.storage.list().unwrap_or_default();
+        let is_obsolete = |name: &&String| {
+            let is_before = snapshot_or_journal_number(name).is_some_and(|number| number < first_kept);
+            is_before || FileRole::Unfinished.number_of(name).is_some()
         };
-        for name in names.iter().filter(old) {
-            let _ = self.disk.remove(name);
+        for name in names.iter().filter(is_obsolete) {
+            let _ = self.storage.remove(name);
         }
     }
 }
-
-fn journal(number: u64) -> String {
-    format!("journal-{number}")
-}
-
-fn snapshot(number: u64) -> String {
-    format!("snapshot-{number}")
-}
