--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Wrong files: each is refused with its line, what is wrong and what is allowed.
+//! Configuration files: how attributes become settings, and what is reported for wrong ones.
 
 use std::path::Path;
 
@@ -24,15 +24,15 @@
 
 fn read(text: &str) -> Result<DaemonConfig, String> {
     let document = Document::new(Path::new("pilot.xml"), text.into(), SCHEMA);
-    document.and_then(|document| DaemonConfig::read(&document)).map_err(|faults| faults.to_string())
+    document.and_then(|document| DaemonConfig::read(&document)).map_err(|errors| errors.to_string())
 }
 
 #[test]
-fn attributes_become_the_terms_that_decisions_read() {
-    let post = read(SOUND).expect("sound");
-    assert_eq!((post.name.as_str(), post.seed, post.proxies[0].request_rate), ("p1", 9, 6.5));
-    let settings = &post.settings;
-    for (name, read, value) in [
+fn attributes_become_the_settings_of_the_decisions() {
+    let config = read(SOUND).expect("sound");
+    assert_eq!((config.name.as_str(), config.seed, config.proxies[0].request_rate), ("p1", 9, 6.5));
+    let settings = &config.settings;
+    for (name, setting, expected) in [
         ("report-period", settings.fleet.report_period.as_secs_f64(), 1.0),
         ("queue-most-lines", settings.fleet.max_queued_entries, 12_000.0),
         ("proxies", settings.fleet.proxies.unwrap_or(0.0), 1.0),
@@ -41,101 +41,101 @@
         ("cold-share", settings.rules.initial_weight_fraction, 0.25),
         ("unserved-most", settings.rules.max_unserved.as_secs_f64(), 2.0),
     ] {
-        assert_eq!(read, value, "{name}");
+        assert_eq!(setting, expected, "{name}");
     }
     assert_eq!(settings.classes[0].only_zones, Some(vec![1]));
     assert!(settings.health_checks_allowed);
 }
 
-/// Puts one text in place of another and compares what is said.
-fn refused(from: &str, to: &str, said: Expect) {
+/// Replaces a part of the sound file and compares the errors.
+fn assert_errors(from: &str, to: &str, expected: Expect) {
     assert!(SOUND.contains(from), "{from}");
-    said.assert_eq(&read(&SOUND.replace(from, to)).expect_err("refused"));
+    expected.assert_eq(&read(&SOUND.replace(from, to)).expect_err("refused"));
 }
 
 #[test]
-fn faults_name_place_wrong_and_allowed() {
-    refused(
+fn errors_state_the_place_the_message_and_what_is_allowed() {
+    assert_errors(
         r#""600ms""#,
         r#""600""#,
         expect![
             "pilot.xml:7: /lockcroft/classes/class: attribute contract-time: \"600\" does not fit; allowed: a time with its unit (us, ms, s, min, h), such as 500ms"
         ],
     );
-    refused(
+    assert_errors(
         "<pilot name",
         "<pilot nmae",
         expect![
             "pilot.xml:2: /lockcroft/pilot: Attribute 'nmae' is not allowed for this element; allowed: attributes name, seed, answer-within, redial-least, redial-most"
         ],
     );
-    refused(
+    assert_errors(
         "level=\"admin\"",
         "level=\"root\"",
         expect![
             "pilot.xml:3: /lockcroft/runtime/listen: attribute level: \"root\" does not fit; allowed: one of user, operator, admin"
         ],
     );
-    refused(
+    assert_errors(
         "<kinds><kind name=\"std\"/></kinds>",
         "<kinds><sort/></kinds>",
         expect![[r#"
         pilot.xml:5: /lockcroft/kinds: Element 'sort' is not allowed at this position in the content model; allowed: elements kind
         pilot.xml:5: /lockcroft/kinds: Element 'kinds' content model is incomplete: expected more child elements; allowed: elements kind"#]],
     );
-    refused(
+    assert_errors(
         "cold-share=\"0.25\"",
         "cold-share=\"1.5\"",
         expect![
             "pilot.xml:10: /lockcroft/rules: attribute cold-share: \"1.5\" does not fit; allowed: a share above 0 and up to 1"
         ],
     );
-    refused(
+    assert_errors(
         " drain-grace=\"2s\"",
         "",
         expect![
             "pilot.xml:10: /lockcroft/rules: Required attribute 'drain-grace' is missing; allowed: attributes unserved-most, drain-grace, cold-share, warm-within, cold-multiple, cold-span, only-draining-binds, fixed-weights"
         ],
     );
-    refused(
+    assert_errors(
         "</lockcroft>",
         "",
         expect!["pilot.xml:1: not well-formed: the root node was opened but never closed"],
     );
-    refused(
+    assert_errors(
         "only-zones=\"south\"",
         "only-zones=\"west\"",
         expect![
             "pilot.xml:7: /lockcroft/classes/class: only-zones: \"west\" is not listed; allowed: north, south"
         ],
     );
-    refused(
+    assert_errors(
         "patience=\"2s\"",
         "patience=\"500ms\"",
         expect![
             "pilot.xml:7: /lockcroft/classes/class: contract-time 600ms is longer than patience 500ms; allowed: contract-time up to patience"
         ],
     );
-    refused(
+    assert_errors(
         "zone=\"north\" kind",
         "zone=\"nort\" kind",
         expect!["pilot.xml:13: /lockcroft/roster/server: unknown zone \"nort\"; allowed: north, south"],
     );
-    refused(
+    assert_errors(
         "5001\"/>",
         "5001\" weight=\"2\"/>",
         expect![
             "pilot.xml:13: /lockcroft/roster/server: a weight of 2; allowed: up to 1, the fleet's weight-most"
         ],
     );
-    refused(
+    assert_errors(
         "5001\"/>",
         "5001\" started=\"2026-12-01T08:00:00+02:00\"/>",
         expect![
             "pilot.xml:13: /lockcroft/roster/server: started: timestamp format is invalid; allowed: a time in UTC such as 2026-12-01T08:30:00Z"
         ],
     );
-    refused(
+    assert_errors(
         "127.0.0.1:4001",
         "127.0.0.1:99999",
         expect![
@@ -145,9 +145,12 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_at_once() {
+fn all_errors_of_a_file_are_reported_at_once() {
     let twice = SOUND.replace("<zone name=\"south\"/>", "<zone name=\"north\"/>");
-    let said = read(&twice).expect_err("refused");
-    assert_eq!(said.lines().count(), 2, "{said}");
-    assert!(said.contains("north is listed twice") && said.contains("\"south\" is not listed"), "{said}");
+    let errors = read(&twice).expect_err("refused");
+    assert_eq!(errors.lines().count(), 2, "{errors}");
+    assert!(
+        errors.contains("north is listed twice") && errors.contains("\"south\" is not listed"),
+        "{errors}"
+    );
 }
