--- a/crates/solver/benches/solve.rs
+++ b/crates/solver/benches/solve.rs
@@ -1,22 +1,22 @@
-//! Time of an answer by size, against the plain linear program of the whole and against a greedy way;
-//! and of a new answer after one change. Run: cargo bench -p lockcroft-solver --bench solve
+//! Time of an answer by size, compared with a linear program of the whole problem and with a greedy method, and of a new
+//! answer after one change. Run: cargo bench -p lockcroft-solver --bench solve
 
-#[path = "../tests/whole/mod.rs"]
-mod whole;
+#[path = "../tests/linear_program/mod.rs"]
+mod linear_program;
 
 use std::time::{Duration, Instant};
 
 use lockcroft_solver::{ChangePrice, Class, Endpoint, LoadDistribution, PlanStabilizer, Problem, solve};
 
-/// Sizes double; places are spread by whole numbers, not by chance.
+/// Endpoints of four sizes, distributed without random numbers.
 fn problem(servers: usize, zones: usize, classes: usize) -> Problem {
-    let server = |i: usize| Endpoint {
+    let endpoint = |i: usize| Endpoint {
         zone: i % zones,
         capacity: [1.0, 2.0, 4.0, 8.0][i / zones % 4],
         warmth: if i.is_multiple_of(17) { 0.25 } else { 1.0 },
         withdrawn: i.is_multiple_of(23),
     };
-    let room = servers as f64 * 3.75;
+    let total_cores = servers as f64 * 3.75;
     let class = |k: usize| Class {
         work: 0.02 * (k + 1) as f64,
         contract_time: 0.5 + 0.1 * k as f64,
@@ -27,35 +27,36 @@
         demand: (0..zones)
             .map(|zone| {
                 let skew = (zone + 1) as f64 / (zones + 1) as f64;
-                1.1 * room * skew / (zones * classes) as f64 / (0.02 * (k + 1) as f64)
+                1.1 * total_cores * skew / (zones * classes) as f64 / (0.02 * (k + 1) as f64)
             })
             .collect(),
     };
     Problem {
         zones,
-        servers: (0..servers).map(server).collect(),
+        servers: (0..servers).map(endpoint).collect(),
         classes: (0..classes).map(class).collect(),
         crossing: 0.2,
     }
 }
 
-/// Classes by earnings of their work, each into its own zone first and then in order: what one would
-/// do by hand, without regard to lateness.
+/// Classes in the order of the value of their work, each in its own zone first and then in the others, without regard to
+/// latency.
 fn greedy(problem: &Problem) -> f64 {
-    let mut room: Vec<f64> = vec![0.0; problem.zones];
-    for server in problem.servers.iter().filter(|server| !server.withdrawn) {
-        room[server.zone] += server.capacity * server.warmth;
+    let mut capacity: Vec<f64> = vec![0.0; problem.zones];
+    for endpoint in problem.servers.iter().filter(|endpoint| !endpoint.withdrawn) {
+        capacity[endpoint.zone] += endpoint.capacity * endpoint.warmth;
     }
     let mut order: Vec<&Class> = problem.classes.iter().collect();
     order.sort_by(|a, b| (b.earnings / b.work).total_cmp(&(a.earnings / a.work)));
     let mut sum = 0.0;
     for class in order {
-        for (zone, visits) in class.demand.iter().enumerate() {
-            let mut left = visits * class.work;
+        for (zone, requests) in class.demand.iter().enumerate() {
+            let mut remaining = requests * class.work;
             let may = |to: &usize| class.zones.is_empty() || class.zones.contains(to);
             for to in std::iter::once(zone).chain((0..problem.zones).filter(|to| *to != zone)).filter(may) {
-                let units = left.min(room[to]);
-                (left, room[to]) = (left - units, room[to] - units);
+                let units = remaining.min(capacity[to]);
+                remaining -= units;
+                capacity[to] -= units;
                 let crossing = if to == zone { 0.0 } else { problem.crossing };
                 sum += units * (class.earnings - crossing) / class.work;
             }
@@ -64,7 +65,7 @@
     sum
 }
 
-/// The most memory that this process had so far, where the system tells.
+/// The peak memory of this process, if the system reports it.
 fn memory() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmHWM"));
@@ -74,10 +75,10 @@
 fn timed<T>(work: impl Fn() -> T) -> (Duration, T) {
     let mut best = (Duration::MAX, work());
     for _ in 0..5 {
-        let begun = Instant::now();
+        let started = Instant::now();
         let got = work();
-        if begun.elapsed() < best.0 {
-            best = (begun.elapsed(), got);
+        if started.elapsed() < best.0 {
+            best = (started.elapsed(), got);
         }
     }
     best
@@ -92,11 +93,11 @@
         changed.servers[1].withdrawn = true;
         let price = ChangePrice { line: 0.01, lines_most: 1000, stands: 10.0 };
         let numbers: Vec<usize> = (0..servers).collect();
-        let mut keeper = PlanStabilizer::default();
-        keeper.take(&problem, &numbers, &answer, price);
+        let mut stabilizer = PlanStabilizer::default();
+        stabilizer.take(&problem, &numbers, &answer, price);
         let (again, lines) = timed(|| {
             let answer = solve(&changed).expect("sound");
-            keeper.clone().take(&changed, &numbers, &answer, price).len()
+            stabilizer.clone().take(&changed, &numbers, &answer, price).len()
         });
         let spread = LoadDistribution::new(&problem);
         let equal = spread.value(&vec![1; servers], &answer.let_in);
@@ -111,9 +112,9 @@
             memory(),
         );
         if servers <= 200 {
-            let begun = Instant::now();
-            let best = whole::best(&problem);
-            println!("       the whole as a linear program: {:.1?}, total {best:.1}", begun.elapsed());
+            let started = Instant::now();
+            let best = linear_program::best_total(&problem);
+            println!("       the whole as a linear program: {:.1?}, total {best:.1}", started.elapsed());
         }
     }
 }
--- a/crates/solver/src/answer.rs
+++ b/crates/solver/src/answer.rs
@@ -1,67 +1,84 @@
-//! What a solver says.
+//! What the solver returns.
 
-/// A weight is one of so many steps of the greatest.
+/// A weight is a number of steps, of which the greatest weight has this many.
 pub const WEIGHT_STEPS: u32 = 256;
 
-/// Weights and what follows from them.
+/// Weights, and the plan that they follow from. Work is in seconds of one core in a second, that is, in cores.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    /// Listed weight by server, in steps of the greatest.
+    /// Weight by endpoint, in steps.
     pub weights: Vec<u32>,
-    /// By class, then zone of the proxies: servers in their order, with the work that each is planned to do
-    /// of it, in seconds of one core in a second; those that do none are left out.
-    pub placed: Vec<Vec<Vec<(usize, f64)>>>,
-    /// Planned work of each server: seconds of one core in a second.
+    /// By class and then by zone of the proxies: the endpoints that are planned to do work of it, in their order.
+    pub placed: Vec<Vec<Vec<PlannedWork>>>,
+    /// Planned work of each endpoint.
     pub loads: Vec<f64>,
-    /// The share of each class's visits that is let in, from 0 to 1.
+    /// Admission rate of each class, from 0 to 1.
     pub let_in: Vec<f64>,
+    /// The classes that are not admitted in full, with the reason.
     pub dropped: Vec<ShedReason>,
+    /// The value of the plan.
     pub objective: Objective,
 }
 
+/// Work that an endpoint is planned to do.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PlannedWork {
+    /// Index of the endpoint.
+    pub endpoint: usize,
+    /// In cores.
+    pub work: f64,
+}
+
 impl Answer {
-    /// Weights of a table for one class and zone of proxies alone.
+    /// The table for one class and one zone of proxies alone: endpoints and their weights in steps.
+    #[must_use]
     pub fn table(&self, class: usize, zone: usize) -> Vec<(usize, u32)> {
-        let placed = &self.placed[class][zone];
-        let weights = weigh(&placed.iter().map(|(_, work)| *work).collect::<Vec<_>>());
-        let lines = placed.iter().zip(weights).map(|((server, _), weight)| (*server, weight));
-        lines.filter(|(_, weight)| *weight > 0).collect()
+        let planned = &self.placed[class][zone];
+        let work: Vec<f64> = planned.iter().map(|planned| planned.work).collect();
+        let endpoints = planned.iter().map(|planned| planned.endpoint);
+        endpoints.zip(to_weight_steps(&work)).filter(|(_, weight)| *weight > 0).collect()
     }
 }
 
-/// Visits of a class that find no room.
+/// Why requests of a class are shed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShedReason {
+    /// Index of the class.
     pub class: usize,
-    /// Visits a second.
+    /// Shed requests a second.
     pub visits: f64,
-    /// Cores that would take them in, where the class may go, used as those that are there.
+    /// Cores that would take them, among the endpoints of the class and as utilized as the present ones.
     pub restored_by: f64,
-    /// Cores that there are where the class may go.
+    /// Cores of the endpoints that the class may use.
     pub room: f64,
-    /// Classes that have room there before it.
+    /// Other classes that use these endpoints.
     pub before: Vec<usize>,
 }
 
-/// What is sought most, by its parts, in earnings a second.
+/// The objective by its parts, in value a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Objective {
+    /// Value of the admitted requests.
     pub earned: f64,
+    /// Cost of requests that cross zones.
     pub crossing: f64,
+    /// Cost of latency.
     pub lateness: f64,
 }
 
 impl Objective {
+    /// Value less costs; the plan maximizes this.
+    #[must_use]
     pub fn total(&self) -> f64 {
         self.earned - self.crossing - self.lateness
     }
 }
 
-/// Parts on the grid of weights, rounded: one so small beside the greatest that it has no step is left out.
-pub fn weigh(parts: &[f64]) -> Vec<u32> {
-    let most = parts.iter().copied().fold(0.0, f64::max);
-    let weight = |part: &f64| {
-        if most <= 0.0 { 0 } else { (part / most * f64::from(WEIGHT_STEPS)).round() as u32 }
-    };
-    parts.iter().map(weight).collect()
+/// Rounds parts to weights, the greatest to [`WEIGHT_STEPS`]. A part that is far smaller than the greatest gets 0.
+pub(crate) fn to_weight_steps(parts: &[f64]) -> Vec<u32> {
+    let max = parts.iter().copied().fold(0.0, f64::max);
+    if max <= 0.0 {
+        return vec![0; parts.len()];
+    }
+    parts.iter().map(|part| (part / max * f64::from(WEIGHT_STEPS)).round() as u32).collect()
 }
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -1,24 +1,30 @@
-//! Listed weights worked out ahead. A [`Problem`] says what servers can do, what is asked of them and
-//! what it earns; [`solve`] says how much of each class to let in, where it goes and at which weights;
-//! [`PlanStabilizer`] holds on to an answer until another gains more than its lines cost, [`Tables`] on to those of zones and classes; [`CapacityEstimator`] finds out what a
-//! problem needs from what reports show. Free of I/O and clock; the same input gives the same answer,
-//! to the bit, as all sums are of whole numbers.
+//! Plans weights ahead of time. Free of I/O and clock.
+//!
+//! A [`Problem`] states what endpoints can do, what is asked of them and what it is worth. [`solve`] returns how much of
+//! each class to admit, where its work goes and the weights for that, as a flow of greatest gain. [`PlanStabilizer`] and
+//! [`Tables`] keep the weights and the table fractions in force until another plan gains more than its changes cost.
+//! [`CapacityEstimator`] estimates the capacities that a problem needs from load reports. The same input gives the same
+//! answer to the bit, as the flow is computed in whole numbers. `docs/solver.md` has the objective and its reasons.
+
+#![warn(missing_docs)]
 
 mod answer;
+mod capacity_estimator;
+mod endpoint_group;
 mod flow;
-mod groups;
-mod lateness;
-mod learn;
+mod latency;
+mod load_distribution;
+mod plan_stabilizer;
 mod problem;
+mod queueing;
 mod solve;
-mod steady;
-mod tables;
-mod value;
+mod table_stabilizer;
 
-pub use answer::{Answer, Objective, ShedReason, WEIGHT_STEPS};
-pub use learn::{CapacityEstimate, CapacityEstimator, CapacityPrior, LoadSample};
+pub use answer::{Answer, Objective, PlannedWork, ShedReason, WEIGHT_STEPS};
+pub use capacity_estimator::{CapacityEstimate, CapacityEstimator, CapacityPrior, LoadSample};
+pub use flow::{FlowNetwork, max_gain_flow};
+pub use load_distribution::LoadDistribution;
+pub use plan_stabilizer::{ChangePrice, PlanStabilizer};
 pub use problem::{Class, Endpoint, Problem, ProblemError};
 pub use solve::solve;
-pub use steady::{ChangePrice, PlanStabilizer};
-pub use tables::{Shares, TableScope, Tables};
-pub use value::LoadDistribution;
+pub use table_stabilizer::{Shares, TableScope, Tables};
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -1,147 +1,159 @@
-//! What is to be solved: servers, classes, demand.
+//! What is to be solved: endpoints, classes and their demand.
 
-use std::fmt;
-
-/// A server, by its place in [`Problem::servers`].
+/// An endpoint; others refer to it by its index in [`Problem::servers`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Place among the zones.
+    /// Index of its zone.
     pub zone: usize,
-    /// Work that it does in a second once it is warm, in seconds of one core: its cores, for short.
+    /// Cores: the work that it does in a second after slow start, in seconds of one core.
     pub capacity: f64,
-    /// The share of its capacity that it has now; below 1 while it is cold.
+    /// The fraction of its capacity that it has now; below 1 during slow start.
     pub warmth: f64,
-    /// Takes nothing: withdrawn, draining, or down.
+    /// It takes no requests: ejected, draining or down.
     pub withdrawn: bool,
 }
 
 impl Endpoint {
-    /// Cores that it has now.
+    /// The cores that it has now.
+    #[must_use]
     pub fn room(&self) -> f64 {
         if self.withdrawn { 0.0 } else { self.capacity * self.warmth }
     }
 }
 
-/// A class of visits.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Seconds of one core that a visit takes.
+    /// Work of a request, in seconds of one core.
     pub work: f64,
-    /// Seconds within which an answer is on time.
+    /// Latency objective in seconds.
     pub contract_time: f64,
-    /// What a visit earns that is answered on time.
+    /// Value of a request that is answered within the latency objective.
     pub earnings: f64,
-    /// Servers that it may use, by zone; empty: all zones.
+    /// Zones whose endpoints it may use; empty for all.
     pub zones: Vec<usize>,
-    /// Servers that it may use, by place; none stated: all of its zones. A list without a member is one.
+    /// Endpoints that it may use; `None` for all of its zones. An empty list stands for none.
     pub servers: Option<Vec<usize>>,
-    /// Visits a second, by zone of the proxies that they come to.
+    /// Requests a second, by zone of the proxies that receive them.
     pub demand: Vec<f64>,
 }
 
-/// All that weights are worked out from.
+/// The input of the solver.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Problem {
+    /// Number of zones.
     pub zones: usize,
+    /// The endpoints.
     pub servers: Vec<Endpoint>,
+    /// The classes.
     pub classes: Vec<Class>,
-    /// What a visit that crosses zones costs, in earnings.
+    /// Cost of a request that crosses zones, in the unit of [`Class::earnings`].
     pub crossing: f64,
 }
 
-/// What is wrong with a problem, and with which entry of it.
-#[derive(Clone, Debug, PartialEq)]
+/// What is wrong with a problem.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ProblemError {
-    /// Endpoint, figure, value: below 0, above what whole numbers hold, or not a number.
+    /// An endpoint's value is out of its range: index of the endpoint, name of the value, value.
+    #[error("server {0}: {1} {2}")]
     Endpoint(usize, &'static str, f64),
-    /// Class, figure, value.
+    /// A class's value is out of its range: index of the class, name of the value, value.
+    #[error("class {0}: {1} {2}")]
     Class(usize, &'static str, f64),
-    /// Class, its list, the entry that is not there.
+    /// A class refers to something that does not exist: index of the class, what it is, the index in question.
+    #[error("class {0}: no such {1}: {2}")]
     Place(usize, &'static str, usize),
+    /// The cost of crossing zones is out of its range.
+    #[error("crossing {0}")]
     Crossing(f64),
 }
 
-impl fmt::Display for ProblemError {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ProblemError::Endpoint(server, what, value) => write!(out, "server {server}: {what} {value}"),
-            ProblemError::Class(class, what, value) => write!(out, "class {class}: {what} {value}"),
-            ProblemError::Place(class, what, place) => write!(out, "class {class}: no such {what}: {place}"),
-            ProblemError::Crossing(value) => write!(out, "crossing {value}"),
-        }
-    }
-}
-
-impl std::error::Error for ProblemError {}
+/// The greatest value that is accepted. Sums of all work in whole units stay far below what is exact.
+const MAX_VALUE: f64 = 1e9;
+/// The least value that is accepted as a divisor.
+const MIN_DIVISOR: f64 = 1e-6;
 
-/// Sums of all servers' work stay whole numbers of [`UNIT`] far below what is exact.
-const MOST: f64 = 1e9;
-/// Figures that divide may not be smaller.
-const LEAST: f64 = 1e-6;
-
-/// Whole units in a second of work: a microsecond of one core.
-pub(crate) const UNIT: f64 = 1e6;
+/// Whole units in a second of work on one core: a unit is a microsecond.
+pub(crate) const UNITS_PER_CORE: f64 = 1e6;
 
 /// Work in whole units.
-pub(crate) fn units(work: f64) -> i64 {
-    (work * UNIT).round() as i64
+fn to_units(work: f64) -> i64 {
+    (work * UNITS_PER_CORE).round() as i64
+}
+
+fn is_valid(value: f64) -> bool {
+    value.is_finite() && (0.0..=MAX_VALUE).contains(&value)
 }
 
 impl Problem {
+    /// Checks all values.
+    ///
     /// # Errors
-    /// The first entry that makes no sense.
+    /// The first value that is out of its range.
     pub fn check(&self) -> Result<(), ProblemError> {
-        let sound = |value: f64| value.is_finite() && (0.0..=MOST).contains(&value);
-        for (place, server) in self.servers.iter().enumerate() {
-            if server.zone >= self.zones {
-                return Err(ProblemError::Endpoint(place, "zone", server.zone as f64));
-            }
-            if !sound(server.capacity) {
-                return Err(ProblemError::Endpoint(place, "capacity", server.capacity));
-            }
-            if !(0.0..=1.0).contains(&server.warmth) {
-                return Err(ProblemError::Endpoint(place, "warmth", server.warmth));
-            }
+        for index in 0..self.servers.len() {
+            self.check_endpoint(index)?;
         }
-        for (place, class) in self.classes.iter().enumerate() {
-            let least = |value: f64| sound(value) && value >= LEAST;
-            let figures = [("work", class.work), ("contract time", class.contract_time)];
-            if let Some((what, value)) = figures.into_iter().find(|(_, value)| !least(*value)) {
-                return Err(ProblemError::Class(place, what, value));
-            }
-            if !sound(class.earnings) {
-                return Err(ProblemError::Class(place, "earnings", class.earnings));
-            }
-            if class.demand.len() != self.zones {
-                return Err(ProblemError::Class(place, "zones of demand", class.demand.len() as f64));
-            }
-            if let Some(value) = class.demand.iter().find(|value| !sound(**value * class.work)) {
-                return Err(ProblemError::Class(place, "demand", *value));
-            }
-            if let Some(zone) = class.zones.iter().find(|zone| **zone >= self.zones) {
-                return Err(ProblemError::Place(place, "zone", *zone));
-            }
-            if let Some(server) = class.servers.iter().flatten().find(|server| **server >= self.servers.len())
-            {
-                return Err(ProblemError::Place(place, "server", *server));
+        for index in 0..self.classes.len() {
+            self.check_class(index)?;
+        }
+        if is_valid(self.crossing) { Ok(()) } else { Err(ProblemError::Crossing(self.crossing)) }
+    }
+
+    fn check_endpoint(&self, index: usize) -> Result<(), ProblemError> {
+        let endpoint = &self.servers[index];
+        if endpoint.zone >= self.zones {
+            return Err(ProblemError::Endpoint(index, "zone", endpoint.zone as f64));
+        }
+        if !is_valid(endpoint.capacity) {
+            return Err(ProblemError::Endpoint(index, "capacity", endpoint.capacity));
+        }
+        if !(0.0..=1.0).contains(&endpoint.warmth) {
+            return Err(ProblemError::Endpoint(index, "warmth", endpoint.warmth));
+        }
+        Ok(())
+    }
+
+    fn check_class(&self, index: usize) -> Result<(), ProblemError> {
+        let class = &self.classes[index];
+        for (name, value) in [("work", class.work), ("contract time", class.contract_time)] {
+            if !is_valid(value) || value < MIN_DIVISOR {
+                return Err(ProblemError::Class(index, name, value));
             }
         }
-        if sound(self.crossing) { Ok(()) } else { Err(ProblemError::Crossing(self.crossing)) }
+        if !is_valid(class.earnings) {
+            return Err(ProblemError::Class(index, "earnings", class.earnings));
+        }
+        if class.demand.len() != self.zones {
+            return Err(ProblemError::Class(index, "zones of demand", class.demand.len() as f64));
+        }
+        if let Some(demand) = class.demand.iter().find(|demand| !is_valid(**demand * class.work)) {
+            return Err(ProblemError::Class(index, "demand", *demand));
+        }
+        if let Some(zone) = class.zones.iter().find(|zone| **zone >= self.zones) {
+            return Err(ProblemError::Place(index, "zone", *zone));
+        }
+        let mut endpoints = class.servers.iter().flatten();
+        if let Some(endpoint) = endpoints.find(|endpoint| **endpoint >= self.servers.len()) {
+            return Err(ProblemError::Place(index, "server", *endpoint));
+        }
+        Ok(())
     }
 
-    /// Work that a server can do in a second now, in whole units.
-    pub(crate) fn room(&self, server: usize) -> i64 {
-        units(self.servers[server].room())
+    /// The present capacity of an endpoint, in whole units of work a second.
+    pub(crate) fn capacity_units(&self, endpoint: usize) -> i64 {
+        to_units(self.servers[endpoint].room())
     }
 
-    /// Work that a class asks for in a zone in a second, in whole units.
-    pub(crate) fn asked(&self, class: usize, zone: usize) -> i64 {
-        units(self.classes[class].demand[zone] * self.classes[class].work)
+    /// The work that a class asks for in a zone, in whole units a second.
+    pub(crate) fn asked_units(&self, class: usize, zone: usize) -> i64 {
+        to_units(self.classes[class].demand[zone] * self.classes[class].work)
     }
 
-    /// Earnings that a unit of a class's work brings, less the crossing.
-    pub(crate) fn gain(&self, class: usize, crosses: bool) -> f64 {
-        let Class { earnings, work, .. } = self.classes[class];
-        (earnings - if crosses { self.crossing } else { 0.0 }) / work
+    /// The value of a second of a class's work, less the cost of crossing zones if it does.
+    pub(crate) fn unit_gain(&self, class: usize, crosses_zones: bool) -> f64 {
+        let class = &self.classes[class];
+        let crossing_cost = if crosses_zones { self.crossing } else { 0.0 };
+        (class.earnings - crossing_cost) / class.work
     }
 }
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -1,163 +1,230 @@
-//! A problem becomes a net of sources (a class in a zone) and sinks (a piece of a group's room), the
-//! net's flow becomes loads, and loads become weights.
+//! Turns a problem into a flow network and its flow into an answer. Sources are a class in a zone of proxies, sinks a
+//! segment of a group's capacity.
 
-use crate::answer::{Answer, Objective, ShedReason, weigh};
-use crate::flow::{FlowNetwork, most_gain};
-use crate::groups::{Group, groups};
-use crate::lateness::pieces;
-use crate::problem::{Problem, ProblemError, UNIT};
+use crate::answer::{Answer, Objective, PlannedWork, ShedReason, to_weight_steps};
+use crate::endpoint_group::{EndpointGroup, group_endpoints};
+use crate::flow::{FlowNetwork, max_gain_flow};
+use crate::latency::latency_segments;
+use crate::problem::{Problem, ProblemError, UNITS_PER_CORE};
 
-/// Gains become whole numbers: this many steps in the greatest gain of a unit of work.
-const STEPS: f64 = 1e9;
+/// Gains are rounded to whole numbers of which the greatest has this many.
+const GAIN_STEPS: f64 = 1e9;
 
-/// Works out an answer.
+/// Solves a problem.
 ///
 /// # Errors
-/// The problem makes no sense; the fault names the entry.
+/// A value of the problem is out of its range.
 pub fn solve(problem: &Problem) -> Result<Answer, ProblemError> {
     problem.check()?;
-    let groups = groups(problem);
-    let plan = Plan::new(problem, &groups);
-    let flow = most_gain(&plan.net);
-    Ok(plan.answer(&flow))
+    let groups = group_endpoints(problem);
+    let model = FlowModel::new(problem, &groups);
+    let flow = max_gain_flow(&model.network());
+    Ok(model.plan(&flow).answer())
 }
 
-struct Plan<'a> {
+/// The work of a class in one zone of proxies.
+struct Source {
+    class: usize,
+    zone: usize,
+}
+
+/// A segment of a group's capacity.
+struct Sink {
+    group: usize,
+    /// In whole units.
+    capacity: i64,
+    /// Cost of latency of a unit of work.
+    latency_cost: f64,
+}
+
+struct FlowModel<'a> {
     problem: &'a Problem,
-    groups: &'a [Group],
-    /// Class and zone of each source.
-    sources: Vec<(usize, usize)>,
-    /// Group of each sink, and what a unit of work costs there by lateness.
-    sinks: Vec<(usize, f64)>,
-    net: FlowNetwork,
+    groups: &'a [EndpointGroup],
+    sources: Vec<Source>,
+    sinks: Vec<Sink>,
 }
 
-impl<'a> Plan<'a> {
-    fn new(problem: &'a Problem, groups: &'a [Group]) -> Self {
+impl<'a> FlowModel<'a> {
+    fn new(problem: &'a Problem, groups: &'a [EndpointGroup]) -> Self {
         let classes = 0..problem.classes.len();
-        let all = classes.flat_map(|class| (0..problem.zones).map(move |zone| (class, zone)));
-        let sources: Vec<_> = all.filter(|(class, zone)| problem.asked(*class, *zone) > 0).collect();
-        let (mut sinks, mut room) = (Vec::new(), Vec::new());
-        for (place, group) in groups.iter().enumerate() {
-            for piece in pieces(problem, group) {
-                sinks.push((place, piece.cost));
-                room.push(piece.room);
-            }
+        let sources = classes.flat_map(|class| (0..problem.zones).map(move |zone| Source { class, zone }));
+        let sources = sources.filter(|source| problem.asked_units(source.class, source.zone) > 0).collect();
+        let mut sinks = Vec::new();
+        for (index, group) in groups.iter().enumerate() {
+            sinks.extend(latency_segments(problem, group).into_iter().map(|segment| Sink {
+                group: index,
+                capacity: segment.capacity,
+                latency_cost: segment.cost,
+            }));
         }
-        let work = sources.iter().map(|(class, zone)| problem.asked(*class, *zone)).collect();
-        let most = sources.iter().map(|(class, _)| problem.gain(*class, false)).fold(0.0, f64::max);
-        let step = if most > 0.0 { STEPS / most } else { 0.0 };
-        let gain = |(class, zone): &(usize, usize), (group, cost): &(usize, f64)| {
-            let group = &groups[*group];
-            let may = group.classes.binary_search(class).is_ok();
-            may.then(|| ((problem.gain(*class, *zone != group.zone) - cost) * step).round() as i64)
-        };
-        let gain = sources.iter().map(|from| sinks.iter().map(|to| gain(from, to)).collect()).collect();
-        Plan { problem, groups, sources, sinks, net: FlowNetwork { work, room, gain } }
+        FlowModel { problem, groups, sources, sinks }
     }
 
-    fn answer(&self, flow: &[Vec<i64>]) -> Answer {
-        let problem = self.problem;
-        // By class, zone of the proxies, and group.
-        let mut placed = vec![vec![vec![0_i64; self.groups.len()]; problem.zones]; problem.classes.len()];
-        let mut lateness = 0.0;
-        for ((class, zone), row) in self.sources.iter().zip(flow) {
-            for ((group, cost), units) in self.sinks.iter().zip(row) {
-                placed[*class][*zone][*group] += units;
-                lateness += cost * *units as f64 / UNIT;
-            }
+    fn network(&self) -> FlowNetwork {
+        let max_gain =
+            self.sources.iter().map(|source| self.problem.unit_gain(source.class, false)).fold(0.0, f64::max);
+        let steps_per_gain = if max_gain > 0.0 { GAIN_STEPS / max_gain } else { 0.0 };
+        let gains =
+            |source: &Source| self.sinks.iter().map(|sink| self.gain(source, sink, steps_per_gain)).collect();
+        FlowNetwork {
+            supply: self
+                .sources
+                .iter()
+                .map(|source| self.problem.asked_units(source.class, source.zone))
+                .collect(),
+            capacity: self.sinks.iter().map(|sink| sink.capacity).collect(),
+            gain: self.sources.iter().map(gains).collect(),
         }
-        let mut loads = vec![0.0; problem.servers.len()];
-        for (place, group) in self.groups.iter().enumerate() {
-            let work: i64 = placed.iter().flatten().map(|groups| groups[place]).sum();
-            for server in &group.servers {
-                loads[*server] = work as f64 * (problem.room(*server) as f64 / group.room as f64) / UNIT;
-            }
+    }
+
+    /// The gain of a unit of work, or `None` if the class may not use the group.
+    fn gain(&self, source: &Source, sink: &Sink, steps_per_gain: f64) -> Option<i64> {
+        let group = &self.groups[sink.group];
+        if !group.is_usable_by(source.class) {
+            return None;
         }
-        let (mut earned, mut crossing) = (0.0, 0.0);
-        let mut let_in = Vec::new();
-        let mut dropped = Vec::new();
-        for (class, zones) in placed.iter().enumerate() {
-            let (mut asked, mut got) = (0_i64, 0_i64);
-            for (zone, groups) in zones.iter().enumerate() {
-                asked += problem.asked(class, zone);
-                got += groups.iter().sum::<i64>();
-                let abroad = self.groups.iter().zip(groups).filter(|(group, _)| group.zone != zone);
-                let abroad: i64 = abroad.map(|(_, units)| units).sum();
-                crossing += abroad as f64 / UNIT / problem.classes[class].work * problem.crossing;
+        let gain = self.problem.unit_gain(source.class, source.zone != group.zone);
+        Some(((gain - sink.latency_cost) * steps_per_gain).round() as i64)
+    }
+
+    fn plan(&self, flow: &[Vec<i64>]) -> Plan<'a> {
+        let zones = vec![vec![0_i64; self.groups.len()]; self.problem.zones];
+        let mut units = vec![zones; self.problem.classes.len()];
+        let mut latency_cost = 0.0;
+        for (source, row) in self.sources.iter().zip(flow) {
+            for (sink, sent) in self.sinks.iter().zip(row) {
+                units[source.class][source.zone][sink.group] += sent;
+                latency_cost += sink.latency_cost * *sent as f64 / UNITS_PER_CORE;
             }
-            earned += got as f64 / UNIT * problem.gain(class, false);
-            let_in.push(if asked > 0 { got as f64 / asked as f64 } else { 1.0 });
-            if got < asked {
-                dropped.push(self.dropped(class, asked - got, &placed));
+        }
+        Plan { problem: self.problem, groups: self.groups, units, latency_cost }
+    }
+}
+
+/// Where the flow goes.
+struct Plan<'a> {
+    problem: &'a Problem,
+    groups: &'a [EndpointGroup],
+    /// Whole units by class, zone of the proxies, and group.
+    units: Vec<Vec<Vec<i64>>>,
+    latency_cost: f64,
+}
+
+impl Plan<'_> {
+    fn answer(&self) -> Answer {
+        let loads = self.loads();
+        let mut admission_rates = Vec::new();
+        let mut shed = Vec::new();
+        for class in 0..self.units.len() {
+            let asked: i64 = (0..self.problem.zones).map(|zone| self.problem.asked_units(class, zone)).sum();
+            let admitted = self.admitted_units(class);
+            admission_rates.push(if asked > 0 { admitted as f64 / asked as f64 } else { 1.0 });
+            if admitted < asked {
+                shed.push(self.shed_reason(class, asked - admitted));
             }
         }
         Answer {
             weights: self.weights(&loads),
-            placed: self.placed(&placed),
+            placed: self
+                .units
+                .iter()
+                .map(|zones| zones.iter().map(|zone| self.planned_work(zone)).collect())
+                .collect(),
             loads,
-            let_in,
-            dropped,
-            objective: Objective { earned, crossing, lateness },
+            let_in: admission_rates,
+            dropped: shed,
+            objective: self.objective(),
         }
     }
 
-    fn dropped(&self, class: usize, units: i64, placed: &[Vec<Vec<i64>>]) -> ShedReason {
-        let work = self.problem.classes[class].work;
-        let own = |group: &&Group| group.classes.binary_search(&class).is_ok();
-        let room: i64 = self.groups.iter().filter(own).map(|group| group.room).sum();
-        let own_work = |zones: &Vec<Vec<i64>>| {
-            let there = |groups: &Vec<i64>| -> i64 {
-                self.groups.iter().zip(groups).filter(|(group, _)| own(group)).map(|(_, units)| units).sum()
-            };
-            zones.iter().map(there).sum::<i64>()
-        };
-        let before = |other: &usize| *other != class && own_work(&placed[*other]) > 0;
-        let before = (0..placed.len()).filter(before).collect();
-        // New cores would be used no further than those that are there.
-        let used = placed.iter().map(own_work).sum::<i64>();
-        let share = if used > 0 { used as f64 / room as f64 } else { 1.0 };
-        let visits = units as f64 / UNIT / work;
+    fn admitted_units(&self, class: usize) -> i64 {
+        self.units[class].iter().flatten().sum()
+    }
+
+    /// The work of each endpoint, in cores. Within a group all endpoints are utilized alike.
+    fn loads(&self) -> Vec<f64> {
+        let mut loads = vec![0.0; self.problem.servers.len()];
+        for (index, group) in self.groups.iter().enumerate() {
+            let work: i64 = self.units.iter().flatten().map(|groups| groups[index]).sum();
+            for endpoint in &group.endpoints {
+                let fraction = self.problem.capacity_units(*endpoint) as f64 / group.capacity as f64;
+                loads[*endpoint] = work as f64 * fraction / UNITS_PER_CORE;
+            }
+        }
+        loads
+    }
+
+    fn objective(&self) -> Objective {
+        let mut value = 0.0;
+        let mut crossing_cost = 0.0;
+        for (class, zones) in self.units.iter().enumerate() {
+            for (zone, groups) in zones.iter().enumerate() {
+                let crossing = self.groups.iter().zip(groups).filter(|(group, _)| group.zone != zone);
+                let units: i64 = crossing.map(|(_, units)| units).sum();
+                let requests = units as f64 / UNITS_PER_CORE / self.problem.classes[class].work;
+                crossing_cost += requests * self.problem.crossing;
+            }
+            let admitted = self.admitted_units(class) as f64 / UNITS_PER_CORE;
+            value += admitted * self.problem.unit_gain(class, false);
+        }
+        Objective { earned: value, crossing: crossing_cost, lateness: self.latency_cost }
+    }
+
+    fn shed_reason(&self, class: usize, shed_units: i64) -> ShedReason {
+        let usable = self.groups.iter().filter(|group| group.is_usable_by(class));
+        let capacity: i64 = usable.map(|group| group.capacity).sum();
+        let is_competitor = |other: &usize| *other != class && self.units_in_groups_of(class, *other) > 0;
+        let used: i64 = (0..self.units.len()).map(|other| self.units_in_groups_of(class, other)).sum();
+        // New cores would be utilized as far as the present ones.
+        let utilization = if used > 0 { used as f64 / capacity as f64 } else { 1.0 };
+        let shed_work = shed_units as f64 / UNITS_PER_CORE;
         ShedReason {
             class,
-            visits,
-            restored_by: units as f64 / UNIT / share,
-            room: room as f64 / UNIT,
-            before,
+            visits: shed_work / self.problem.classes[class].work,
+            restored_by: shed_work / utilization,
+            room: capacity as f64 / UNITS_PER_CORE,
+            before: (0..self.units.len()).filter(is_competitor).collect(),
         }
     }
 
-    /// A server's listed weight is its part of the planned work if it were warm: what holds a cold
-    /// one back is decided by the module, with each minute of its warm-up.
-    fn weights(&self, loads: &[f64]) -> Vec<u32> {
-        let warm = |server: usize| {
-            let warmth = self.problem.servers[server].warmth;
-            if warmth > 0.0 { loads[server] / warmth } else { 0.0 }
+    /// The units that another class has in the groups that this class may use.
+    fn units_in_groups_of(&self, class: usize, other: usize) -> i64 {
+        let in_zone = |groups: &Vec<i64>| -> i64 {
+            let usable = self.groups.iter().zip(groups).filter(|(group, _)| group.is_usable_by(class));
+            usable.map(|(_, units)| units).sum()
         };
-        let mut weights = weigh(&(0..loads.len()).map(warm).collect::<Vec<_>>());
-        // Where nothing is asked for, room alone says what a visit that does come should find.
-        let idle = loads.iter().all(|load| *load <= 0.0);
-        if idle {
-            let room = (0..loads.len()).map(|server| {
-                if self.problem.room(server) > 0 { self.problem.servers[server].capacity } else { 0.0 }
-            });
-            weights = weigh(&room.collect::<Vec<_>>());
-        }
-        weights
+        self.units[other].iter().map(in_zone).sum()
     }
 
-    /// By class and zone of the proxies: work of each server that has some.
-    fn placed(&self, placed: &[Vec<Vec<i64>>]) -> Vec<Vec<Vec<(usize, f64)>>> {
-        let table = |groups: &Vec<i64>| {
-            let mut parts: Vec<(usize, f64)> = Vec::new();
-            for (group, units) in self.groups.iter().zip(groups).filter(|(_, units)| **units > 0) {
-                let each = *units as f64 / group.room as f64 / UNIT;
-                let work = |server: &usize| (*server, each * self.problem.room(*server) as f64);
-                parts.extend(group.servers.iter().map(work));
+    /// Weights by the work that each endpoint would do after slow start: the decisions reduce the weight of an endpoint
+    /// in slow start themselves, minute by minute. Where no work is planned, weights follow capacity.
+    fn weights(&self, loads: &[f64]) -> Vec<u32> {
+        let is_idle = loads.iter().all(|load| *load <= 0.0);
+        let part = |endpoint: usize| {
+            let warmth = self.problem.servers[endpoint].warmth;
+            if is_idle {
+                let is_available = self.problem.capacity_units(endpoint) > 0;
+                if is_available { self.problem.servers[endpoint].capacity } else { 0.0 }
+            } else if warmth > 0.0 {
+                loads[endpoint] / warmth
+            } else {
+                0.0
             }
-            parts.sort_by_key(|(server, _)| *server);
-            parts
         };
-        placed.iter().map(|zones| zones.iter().map(table).collect()).collect()
+        to_weight_steps(&(0..loads.len()).map(part).collect::<Vec<_>>())
+    }
+
+    /// The endpoints that do work of one class and zone, in their order.
+    fn planned_work(&self, groups: &[i64]) -> Vec<PlannedWork> {
+        let mut planned = Vec::new();
+        for (group, units) in self.groups.iter().zip(groups).filter(|(_, units)| **units > 0) {
+            let utilization = *units as f64 / group.capacity as f64 / UNITS_PER_CORE;
+            planned.extend(group.endpoints.iter().map(|endpoint| PlannedWork {
+                endpoint: *endpoint,
+                work: utilization * self.problem.capacity_units(*endpoint) as f64,
+            }));
+        }
+        planned.sort_by_key(|planned| planned.endpoint);
+        planned
     }
 }
