--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -23,6 +23,7 @@
 pub use duration::{DurationError, parse_duration};
 pub use endpoint_list::{EndpointEntry, EndpointListConfig};
 pub use error::{ConfigError, ConfigErrors};
+pub use xml::{attribute_text, child_elements};
 
 /// The schema of configurations and endpoint lists, as published with the program.
 pub const SCHEMA: &str = include_str!("../lockcroft.xsd");
--- a/crates/config/src/xml.rs
+++ b/crates/config/src/xml.rs
@@ -7,12 +7,14 @@
 use crate::duration::parse_duration;
 
 /// The elements in a list element; none if there is no list.
-pub(crate) fn child_elements<'d, 'i>(list: Option<Node<'d, 'i>>) -> Vec<Node<'d, 'i>> {
+#[must_use]
+pub fn child_elements<'d, 'i>(list: Option<Node<'d, 'i>>) -> Vec<Node<'d, 'i>> {
     list.into_iter().flat_map(|list| list.children().filter(Node::is_element)).collect()
 }
 
 /// The text of an attribute; empty if there is none.
-pub(crate) fn attribute_text<'d>(node: Node<'d, '_>, name: &str) -> &'d str {
+#[must_use]
+pub fn attribute_text<'d>(node: Node<'d, '_>, name: &str) -> &'d str {
     node.attribute(name).unwrap_or_default()
 }
 
--- a/crates/solver-format/src/lib.rs
+++ b/crates/solver-format/src/lib.rs
@@ -1,12 +1,19 @@
-//! A solver's problem as a file, and its answer for people: XML by a schema in, text, JSON and a
-//! picture out. What a running pilot solved last can be written as such a file and solved again.
+//! Solver problems as files, and answers for people and programs.
+//!
+//! A problem is an XML file with a schema; an answer becomes text, JSON or a picture. A running controller can write its
+//! last problem as such a file, which can then be solved again elsewhere. Names of elements, attributes and JSON keys are
+//! part of the interface; `read`, `write`, `text` and `json` map them.
 
+#![warn(missing_docs)]
+
+mod json;
 mod picture;
 mod read;
-mod tell;
+mod text;
 mod write;
 
-pub use picture::picture;
+pub use json::json;
+pub use picture::{PictureError, picture};
 pub use read::{NamedProblem, SCHEMA};
-pub use tell::{json, text};
+pub use text::text;
 pub use write::write;
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -1,136 +1,159 @@
-//! Problem files.
+//! Reads problem files.
 
+use std::collections::BTreeSet;
 use std::path::Path;
 
-use lockcroft_config::{ConfigError, ConfigErrors, Document, parse_duration};
+use lockcroft_config::{ConfigError, ConfigErrors, Document, attribute_text, child_elements, parse_duration};
 use lockcroft_solver::{Class, Endpoint, Problem};
 use roxmltree::Node;
 
+/// The schema of problem files, as published with the program.
 pub const SCHEMA: &str = include_str!("../problem.xsd");
 
-/// A problem with the names behind its places.
+/// How many of the known names an error lists.
+const MAX_NAMES_IN_ERROR: usize = 8;
+
+/// A problem with the names behind its indices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedProblem {
+    /// The problem.
     pub problem: Problem,
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Names of the endpoints.
     pub servers: Vec<String>,
+    /// Names of the classes.
     pub classes: Vec<String>,
 }
 
 impl NamedProblem {
+    /// Reads and checks a file.
+    ///
     /// # Errors
-    /// All that is wrong with the file.
+    /// All errors in the file.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         NamedProblem::read(&Document::open(file, SCHEMA)?)
     }
 
+    /// Reads a problem that was checked against the schema.
+    ///
     /// # Errors
-    /// All that no schema can see: names that are not listed, or listed twice.
+    /// All errors that no schema can express: names that are unknown or listed twice.
     pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
-        let mut reader = Reader { document, named: NamedProblem::default(), faults: Vec::new() };
-        reader.named.problem.crossing = number(root, "crossing").unwrap_or(0.0);
-        reader.zones(part(root, "zones"));
-        reader.servers(part(root, "servers"));
-        reader.classes(part(root, "classes"));
-        if reader.faults.is_empty() { Ok(reader.named) } else { Err(ConfigErrors(reader.faults)) }
+        let elements = |list: &str| child_elements(root.children().find(|node| node.has_tag_name(list)));
+        let mut reader = ProblemReader { document, named: NamedProblem::default(), errors: Vec::new() };
+        reader.named.problem.crossing = attribute_number(root, "crossing").unwrap_or(0.0);
+        reader.read_zones(elements("zones"));
+        reader.read_endpoints(elements("servers"));
+        reader.read_classes(elements("classes"));
+        if reader.errors.is_empty() { Ok(reader.named) } else { Err(ConfigErrors(reader.errors)) }
     }
 }
 
-struct Reader<'a> {
+struct ProblemReader<'a> {
     document: &'a Document,
     named: NamedProblem,
-    faults: Vec<ConfigError>,
+    errors: Vec<ConfigError>,
 }
 
-impl Reader<'_> {
-    fn zones(&mut self, nodes: Vec<Node>) {
+impl ProblemReader<'_> {
+    fn read_zones(&mut self, nodes: Vec<Node>) {
+        let mut known = BTreeSet::new();
         for node in nodes {
-            let name = self.once(node, &self.named.zones.clone());
+            let name = self.read_new_name(node, &mut known);
             self.named.zones.push(name);
         }
         self.named.problem.zones = self.named.zones.len();
     }
 
-    fn servers(&mut self, nodes: Vec<Node>) {
-        let mut met = std::collections::BTreeSet::new();
+    fn read_endpoints(&mut self, nodes: Vec<Node>) {
+        let zones = self.named.zones.clone();
+        let mut known = BTreeSet::new();
         for node in nodes {
-            let name = text(node, "name").to_string();
-            if !met.insert(name.clone()) {
-                self.wrong(node, format!("{name} is listed twice"), "each name once");
-            }
-            let zone = self.place(node, text(node, "zone"), "zone", &self.named.zones.clone());
+            let name = self.read_new_name(node, &mut known);
+            let zone = self.index_of(node, attribute_text(node, "zone"), "zone", &zones);
             self.named.servers.push(name);
             self.named.problem.servers.push(Endpoint {
                 zone,
-                capacity: number(node, "cores").unwrap_or(0.0),
-                warmth: number(node, "warmth").unwrap_or(1.0),
+                capacity: attribute_number(node, "cores").unwrap_or(0.0),
+                warmth: attribute_number(node, "warmth").unwrap_or(1.0),
                 withdrawn: matches!(node.attribute("withdrawn"), Some("true" | "1")),
             });
         }
     }
 
-    fn classes(&mut self, nodes: Vec<Node>) {
-        let (zones, servers) = (self.named.zones.clone(), self.named.servers.clone());
+    fn read_classes(&mut self, nodes: Vec<Node>) {
+        let zones = self.named.zones.clone();
+        let endpoints = self.named.servers.clone();
+        let mut known = BTreeSet::new();
         for node in nodes {
-            let name = self.once(node, &self.named.classes.clone());
+            let name = self.read_new_name(node, &mut known);
             self.named.classes.push(name);
-            let mut list = |attribute: &str, what: &str, known: &[String]| -> Vec<usize> {
-                let words = node.attribute(attribute).unwrap_or_default().split_whitespace();
-                words.map(|word| self.place(node, word, what, known)).collect()
-            };
-            let only = (list("only-zones", "zone", &zones), list("only-servers", "server", &servers));
-            let mut demand = vec![0.0; zones.len()];
-            for part in node.children().filter(Node::is_element) {
-                let zone = self.place(part, text(part, "zone"), "zone", &zones);
-                if let Some(sum) = demand.get_mut(zone) {
-                    *sum += number(part, "visits-per-s").unwrap_or(0.0);
-                }
-            }
-            let seconds = |name: &str| parse_duration(text(node, name)).unwrap_or_default().as_secs_f64();
+            let only_zones = self.read_indices(node, "only-zones", "zone", &zones);
+            let only_endpoints = self.read_indices(node, "only-servers", "server", &endpoints);
+            let demand = self.read_demand(node, &zones);
             self.named.problem.classes.push(Class {
-                work: seconds("work"),
-                contract_time: seconds("contract-time"),
-                earnings: number(node, "earnings").unwrap_or(0.0),
-                zones: only.0,
-                servers: node.attribute("only-servers").map(|_| only.1),
+                work: attribute_seconds(node, "work"),
+                contract_time: attribute_seconds(node, "contract-time"),
+                earnings: attribute_number(node, "earnings").unwrap_or(0.0),
+                zones: only_zones,
+                servers: node.has_attribute("only-servers").then_some(only_endpoints),
                 demand,
             });
         }
     }
 
-    fn once(&mut self, node: Node, known: &[String]) -> String {
-        let name = text(node, "name").to_string();
-        if known.contains(&name) {
-            self.wrong(node, format!("{name} is listed twice"), "each name once");
+    /// The demand of a class by zone; a zone may be listed several times.
+    fn read_demand(&mut self, class: Node, zones: &[String]) -> Vec<f64> {
+        let mut demand = vec![0.0; zones.len()];
+        for node in child_elements(Some(class)) {
+            let zone = self.index_of(node, attribute_text(node, "zone"), "zone", zones);
+            if let Some(sum) = demand.get_mut(zone) {
+                *sum += attribute_number(node, "visits-per-s").unwrap_or(0.0);
+            }
+        }
+        demand
+    }
+
+    /// The name of an element, which must not be in its list already.
+    fn read_new_name(&mut self, node: Node, known: &mut BTreeSet<String>) -> String {
+        let name = attribute_text(node, "name").to_string();
+        if !known.insert(name.clone()) {
+            self.report(node, format!("{name} is listed twice"), "each name once");
         }
         name
     }
 
-    fn place(&mut self, node: Node, name: &str, what: &str, known: &[String]) -> usize {
-        known.iter().position(|other| other == name).unwrap_or_else(|| {
-            let some = known.iter().take(8).cloned().collect::<Vec<_>>().join(", ");
-            let more = if known.len() > 8 { ", …" } else { "" };
-            self.wrong(node, format!("{what} {name:?} is not listed"), &(some + more));
-            0
-        })
+    /// The indices of the names in an attribute.
+    fn read_indices(&mut self, node: Node, attribute: &str, kind: &str, known: &[String]) -> Vec<usize> {
+        let names = attribute_text(node, attribute).split_whitespace();
+        names.map(|name| self.index_of(node, name, kind, known)).collect()
     }
 
-    fn wrong(&mut self, node: Node, wrong: String, allowed: &str) {
-        self.faults.push(self.document.error(node, wrong, Some(allowed)));
+    /// The index of a name; 0, with an error reported, if it is unknown.
+    fn index_of(&mut self, node: Node, name: &str, kind: &str, known: &[String]) -> usize {
+        if let Some(index) = known.iter().position(|other| other == name) {
+            return index;
+        }
+        let mut expected = known.iter().take(MAX_NAMES_IN_ERROR).cloned().collect::<Vec<_>>().join(", ");
+        if known.len() > MAX_NAMES_IN_ERROR {
+            expected += ", …";
+        }
+        self.report(node, format!("{kind} {name:?} is not listed"), &expected);
+        0
     }
-}
 
-fn part<'d, 'i>(root: Node<'d, 'i>, name: &str) -> Vec<Node<'d, 'i>> {
-    let list = root.children().find(|node| node.has_tag_name(name));
-    list.into_iter().flat_map(|list| list.children().filter(Node::is_element)).collect()
+    fn report(&mut self, node: Node, message: String, expected: &str) {
+        self.errors.push(self.document.error(node, message, Some(expected)));
+    }
 }
 
-fn text<'a>(node: Node<'a, '_>, name: &str) -> &'a str {
-    node.attribute(name).unwrap_or_default()
+fn attribute_number(node: Node, name: &str) -> Option<f64> {
+    node.attribute(name)?.trim().parse().ok()
 }
 
-fn number(node: Node, name: &str) -> Option<f64> {
-    node.attribute(name)?.trim().parse().ok()
+fn attribute_seconds(node: Node, name: &str) -> f64 {
+    parse_duration(attribute_text(node, name)).unwrap_or_default().as_secs_f64()
 }
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -1,52 +1,72 @@
-//! A problem as the file that it could be read from.
+//! Writes a problem as the file that it could be read from.
 
-use std::fmt::Write;
+use std::fmt::{self, Write};
+
+use lockcroft_solver::Class;
 
 use crate::read::NamedProblem;
 
-/// The file's text. Figures are written so that they are read back as they are.
+/// The text of the file. Numbers are written so that they are read back exactly.
+///
+/// # Panics
+/// Never: writing to a string can't fail.
+#[must_use]
 pub fn write(named: &NamedProblem) -> String {
-    let NamedProblem { problem, zones, servers, classes } = named;
-    let mut out = format!("<problem crossing=\"{}\">\n  <zones>", problem.crossing);
-    // Writing to a String cannot fail.
-    for zone in zones {
-        let _ = write!(out, "<zone name=\"{zone}\"/>");
+    let mut out = String::new();
+    write_problem(&mut out, named).expect("writing to a string can't fail");
+    out
+}
+
+fn write_problem(out: &mut String, named: &NamedProblem) -> fmt::Result {
+    write!(out, "<problem crossing=\"{}\">\n  <zones>", named.problem.crossing)?;
+    for zone in &named.zones {
+        write!(out, "<zone name=\"{zone}\"/>")?;
     }
-    out += "</zones>\n  <servers>\n";
-    for (name, server) in servers.iter().zip(&problem.servers) {
-        let _ = write!(
-            out,
-            "    <server name=\"{name}\" zone=\"{}\" cores=\"{}\"",
-            zones[server.zone], server.capacity
-        );
-        if server.warmth < 1.0 {
-            let _ = write!(out, " warmth=\"{}\"", server.warmth);
-        }
-        if server.withdrawn {
-            out += " withdrawn=\"true\"";
-        }
-        out += "/>\n";
+    out.write_str("</zones>\n  <servers>\n")?;
+    write_endpoints(out, named)?;
+    out.write_str("  </servers>\n  <classes>\n")?;
+    for (name, class) in named.classes.iter().zip(&named.problem.classes) {
+        write_class(out, named, name, class)?;
     }
-    out += "  </servers>\n  <classes>\n";
-    for (name, class) in classes.iter().zip(&problem.classes) {
-        let _ = write!(
-            out,
-            "    <class name=\"{name}\" work=\"{}s\" contract-time=\"{}s\" earnings=\"{}\"",
-            class.work, class.contract_time, class.earnings
-        );
-        let mut list = |attribute: &str, places: &[usize], known: &[String]| {
-            let names: Vec<&str> = places.iter().map(|place| known[*place].as_str()).collect();
-            let _ = write!(out, " {attribute}=\"{}\"", names.join(" "));
-        };
-        if !class.zones.is_empty() {
-            list("only-zones", &class.zones, zones);
+    out.write_str("  </classes>\n</problem>\n")
+}
+
+fn write_endpoints(out: &mut String, named: &NamedProblem) -> fmt::Result {
+    for (name, endpoint) in named.servers.iter().zip(&named.problem.servers) {
+        let zone = &named.zones[endpoint.zone];
+        write!(out, "    <server name=\"{name}\" zone=\"{zone}\" cores=\"{}\"", endpoint.capacity)?;
+        if endpoint.warmth < 1.0 {
+            write!(out, " warmth=\"{}\"", endpoint.warmth)?;
         }
-        class.servers.iter().for_each(|only| list("only-servers", only, servers));
-        out += ">\n";
-        for (zone, visits) in zones.iter().zip(&class.demand).filter(|(_, visits)| **visits > 0.0) {
-            let _ = writeln!(out, "      <demand zone=\"{zone}\" visits-per-s=\"{visits}\"/>");
+        if endpoint.withdrawn {
+            out.write_str(" withdrawn=\"true\"")?;
         }
-        out += "    </class>\n";
+        out.write_str("/>\n")?;
     }
-    out + "  </classes>\n</problem>\n"
+    Ok(())
+}
+
+fn write_class(out: &mut String, named: &NamedProblem, name: &str, class: &Class) -> fmt::Result {
+    write!(
+        out,
+        "    <class name=\"{name}\" work=\"{}s\" contract-time=\"{}s\" earnings=\"{}\"",
+        class.work, class.contract_time, class.earnings
+    )?;
+    if !class.zones.is_empty() {
+        write_names(out, "only-zones", &class.zones, &named.zones)?;
+    }
+    if let Some(endpoints) = &class.servers {
+        write_names(out, "only-servers", endpoints, &named.servers)?;
+    }
+    out.write_str(">\n")?;
+    for (zone, requests) in named.zones.iter().zip(&class.demand).filter(|(_, requests)| **requests > 0.0) {
+        writeln!(out, "      <demand zone=\"{zone}\" visits-per-s=\"{requests}\"/>")?;
+    }
+    out.write_str("    </class>\n")
+}
+
+/// Writes an attribute with the names behind some indices.
+fn write_names(out: &mut String, attribute: &str, indices: &[usize], names: &[String]) -> fmt::Result {
+    let listed: Vec<&str> = indices.iter().map(|index| names[*index].as_str()).collect();
+    write!(out, " {attribute}=\"{}\"", listed.join(" "))
 }
--- a/crates/solver-format/tests/plans.rs
+++ b/crates/solver-format/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Problem files there and back, and answers as people see them.
+//! Problem files read and written, and answers as text, JSON and picture.
 
 use std::path::Path;
 
@@ -11,11 +11,11 @@
 
 fn read(text: &str) -> Result<NamedProblem, String> {
     let document = Document::new(Path::new("problem.xml"), text.into(), SCHEMA);
-    document.and_then(|document| NamedProblem::read(&document)).map_err(|faults| faults.to_string())
+    document.and_then(|document| NamedProblem::read(&document)).map_err(|errors| errors.to_string())
 }
 
 #[test]
-fn an_answer_says_what_is_dropped_and_who_has_what() {
+fn an_answer_states_what_is_shed_and_the_load_of_each_endpoint() {
     let named = read(PROBLEM).expect("sound");
     let answer = solve(&named.problem).expect("sound");
     expect![[r#"
@@ -40,37 +40,36 @@
 }
 
 #[test]
-fn a_problem_that_was_written_is_read_as_it_was() {
+fn a_written_problem_is_read_back_unchanged() {
     let named = read(PROBLEM).expect("sound");
     assert_eq!(read(&write(&named)).expect("sound"), named);
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_line() {
-    let lost = PROBLEM.replace(
+fn errors_state_their_line_and_what_is_allowed() {
+    let unknown_zone = PROBLEM.replace(
         "<demand zone=\"patra\" visits-per-s=\"10\"/>",
         "<demand zone=\"corinth\" visits-per-s=\"10\"/>",
     );
-    let twice = PROBLEM.replace("name=\"patra-2\"", "name=\"patra-1\"");
-    let below = PROBLEM.replace("cores=\"2\"", "cores=\"-2\"");
-    let mut said = String::new();
-    for text in [lost, twice, below] {
-        said += &(read(&text).expect_err("wrong") + "\n");
+    let repeated_name = PROBLEM.replace("name=\"patra-2\"", "name=\"patra-1\"");
+    let negative_cores = PROBLEM.replace("cores=\"2\"", "cores=\"-2\"");
+    let mut errors = String::new();
+    for text in [unknown_zone, repeated_name, negative_cores] {
+        errors += &(read(&text).expect_err("wrong") + "\n");
     }
     expect![[r#"
         problem.xml:21: /problem/classes/class/demand: zone "corinth" is not listed; allowed: athens, patra
         problem.xml:10: /problem/servers/server: patra-1 is listed twice; allowed: each name once
         problem.xml:6: /problem/servers/server: attribute cores: "-2" does not fit; allowed: a number of 0 or more
-    "#]].assert_eq(&said);
+    "#]].assert_eq(&errors);
 }
 
-/// Bars that overflow are red above, and none below.
 #[test]
-fn the_picture_shows_who_was_overloaded() {
+fn the_picture_marks_overload_before_solving_and_none_after() {
     let named = read(PROBLEM).expect("sound");
     let answer = solve(&named.problem).expect("sound");
-    let drawn = picture(&named, &answer).expect("drawn");
-    let (above, below) = drawn.split_once("as solved").expect("two charts");
-    let red = |part: &str| part.matches("#FF0000").count();
+    let svg = picture(&named, &answer).expect("drawn");
+    let (above, below) = svg.split_once("as solved").expect("two charts");
+    let red = |chart: &str| chart.matches("#FF0000").count();
     assert!(red(above) > 0 && red(below) == 0, "{} above, {} below", red(above), red(below));
 }
