--- a/crates/solver/src/capacity_estimator.rs
+++ b/crates/solver/src/capacity_estimator.rs
@@ -28,9 +28,9 @@
     /// The estimate.
     pub capacity: f64,
     /// It has at least this much.
-    pub least: f64,
+    pub min: f64,
     /// It has at most this much.
-    pub most: f64,
+    pub max: f64,
     /// Age of the last sample.
     pub age: Option<Duration>,
 }
@@ -41,7 +41,7 @@
     /// In cores.
     pub cores: f64,
     /// Estimates stay within this factor of it.
-    pub within: f64,
+    pub factor: f64,
 }
 
 /// The factor of an assumption for machines of any type.
@@ -61,28 +61,28 @@
     /// One assumption for machines of any type.
     #[must_use]
     pub fn guessed(cores: f64) -> Self {
-        CapacityPrior { cores, within: GUESS_FACTOR }
+        CapacityPrior { cores, factor: GUESS_FACTOR }
     }
 
     /// What other endpoints of its machine type turned out to have.
     #[must_use]
     pub fn alike(cores: f64) -> Self {
-        CapacityPrior { cores, within: MACHINE_TYPE_FACTOR }
+        CapacityPrior { cores, factor: MACHINE_TYPE_FACTOR }
     }
 
     /// What the configuration states of its machine type. An endpoint that does less is slow for a while, which is not
     /// a matter of planned weights: load-based weight reduction reacts within a report period.
     #[must_use]
     pub fn stated(cores: f64) -> Self {
-        CapacityPrior { cores, within: STATED_FACTOR }
+        CapacityPrior { cores, factor: STATED_FACTOR }
     }
 
     fn min(self) -> f64 {
-        self.cores / self.within
+        self.cores / self.factor
     }
 
     fn max(self) -> f64 {
-        self.cores * self.within
+        self.cores * self.factor
     }
 }
 
@@ -139,8 +139,8 @@
         let known = self.evidence.get(&endpoint);
         CapacityEstimate {
             capacity: evidence.measured.unwrap_or(prior.cores).clamp(evidence.min, evidence.max),
-            least: evidence.min,
-            most: evidence.max,
+            min: evidence.min,
+            max: evidence.max,
             age: known.map(|known| now.saturating_sub(known.last_sample_at)),
         }
     }
--- a/crates/solver/src/flow.rs
+++ b/crates/solver/src/flow.rs
@@ -124,27 +124,27 @@
     }
 
     /// Calls back with the head and cost of each arc out of a node that can take more flow.
-    fn for_each_arc(&self, node: usize, mut visit: impl FnMut(usize, i64)) {
+    fn for_each_arc(&self, node: usize, mut handle: impl FnMut(usize, i64)) {
         let source_count = self.source_count();
         if node == self.start() {
             for source in (0..source_count).filter(|source| self.remaining_supply[*source] > 0) {
-                visit(source, 0);
+                handle(source, 0);
             }
         } else if node < source_count {
             for (sink, gain) in self.network.gain[node].iter().enumerate() {
                 if let Some(gain) = gain {
-                    visit(source_count + sink, self.best_gain - gain);
+                    handle(source_count + sink, self.best_gain - gain);
                 }
             }
         } else if node < self.start() {
             let sink = node - source_count;
             if self.remaining_capacity[sink] > 0 {
-                visit(self.end(), 0);
+                handle(self.end(), 0);
             }
             // Flow that a source sends here can be taken back.
             for source in (0..source_count).filter(|source| self.flow[*source][sink] > 0) {
                 let gain = self.network.gain[source][sink].unwrap_or(0);
-                visit(source, gain - self.best_gain);
+                handle(source, gain - self.best_gain);
             }
         }
     }
--- a/crates/solver/tests/stabilizers.rs
+++ b/crates/solver/tests/stabilizers.rs
@@ -83,7 +83,7 @@
     assert_eq!(stabilizer.weights().len(), 2, "removed endpoints are forgotten");
 }
 
-const PRIOR: CapacityPrior = CapacityPrior { cores: 2.0, within: 4.0 };
+const PRIOR: CapacityPrior = CapacityPrior { cores: 2.0, factor: 4.0 };
 
 fn estimator() -> CapacityEstimator {
     CapacityEstimator::new(Duration::from_secs(30))
--- a/crates/state-store/src/recovery.rs
+++ b/crates/state-store/src/recovery.rs
@@ -103,18 +103,18 @@
 /// # Errors
 /// The state belongs to another controller or fleet, a later program wrote it, or the storage failed. A file that
 /// can't be read is an error and not taken for a missing one, because the storage may work again later.
-pub fn load(storage: &impl Storage, owner: &StoreIdentity) -> Result<LoadedState, RecoveryError> {
+pub fn load(storage: &impl Storage, identity: &StoreIdentity) -> Result<LoadedState, RecoveryError> {
     let names = storage.list()?;
     let journals = FileRole::Journal.numbers_in(&names);
     let snapshots = FileRole::Snapshot.numbers_in(&names);
     let mut loaded = LoadedState { files: names.len(), ..LoadedState::default() };
     loaded.number = journals.iter().chain(&snapshots).copied().max().unwrap_or(0);
-    let snapshot_number = load_newest_sound_snapshot(storage, owner, &snapshots, &mut loaded)?;
+    let snapshot_number = load_newest_sound_snapshot(storage, identity, &snapshots, &mut loaded)?;
     loaded.from = snapshot_number.unwrap_or(0);
     // Without a sound snapshot every journal counts.
     let first_journal = loaded.from;
     for number in journals.into_iter().filter(|number| *number >= first_journal) {
-        load_journal(storage, owner, number, &mut loaded)?;
+        load_journal(storage, identity, number, &mut loaded)?;
     }
     Ok(loaded)
 }
--- a/crates/state-store/src/store.rs
+++ b/crates/state-store/src/store.rs
@@ -40,11 +40,11 @@
     ///
     /// # Errors
     /// The state belongs to another controller or fleet, a later program wrote it, or the storage failed.
-    pub fn open(storage: S, owner: StoreIdentity) -> Result<(Self, LoadedState), RecoveryError> {
-        let loaded = load(&storage, &owner)?;
+    pub fn open(storage: S, identity: StoreIdentity) -> Result<(Self, LoadedState), RecoveryError> {
+        let loaded = load(&storage, &identity)?;
         let mut store = Store {
             storage,
-            identity: owner,
+            identity,
             state: loaded.state.clone(),
             number: loaded.number,
             // The highest number may be broken: only the one that was loaded is known to be complete.
