--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -96,7 +96,7 @@
 
 impl Place {
     fn keys(&self) -> Result<KeyRing, String> {
-        read_keys(&self.keys)
+        read_keys(&self.keys).map_err(|error| error.to_string())
     }
 
     fn find(&self, Name(epoch, version): Name) -> Result<LoadedSnapshot, String> {
@@ -158,7 +158,8 @@
         for (name, current) in self.named()? {
             let found = find(&layout, name.0, name.1, &keys);
             sound &= found.is_ok() || !current;
-            let said = found.map_or_else(|why| why, |found| format!("sound, sealed with {}", found.key));
+            let said =
+                found.map_or_else(|why| why.to_string(), |found| format!("sound, sealed with {}", found.key));
             if self.json {
                 rows.push(json!({"generation": name.to_string(), "current": current, "said": said}));
             } else {
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -33,8 +33,9 @@
         print!("{}", text(&named, &answer));
     }
     let Some(path) = drawn else { return ExitCode::SUCCESS };
-    let written =
-        picture(&named, &answer).and_then(|svg| std::fs::write(path, svg).map_err(|e| e.to_string()));
+    let written = picture(&named, &answer)
+        .map_err(|e| e.to_string())
+        .and_then(|svg| std::fs::write(path, svg).map_err(|e| e.to_string()));
     match written {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -22,7 +22,7 @@
     pub fn start(at: &TableFilesConfig, pilot: &str, told: Told) -> Result<Self, String> {
         let (sender, inbox) = channel();
         // Wrong keys are told at the start; later the last good ones stay.
-        read_keys(&at.key_file)?;
+        read_keys(&at.key_file).map_err(|error| error.to_string())?;
         let hand = ProxyConnections { at: at.clone(), pilot: pilot.into(), writer: None };
         let work = move || hand.work(&inbox, &told);
         let thread = std::thread::Builder::new().name("files".into()).spawn(work);
@@ -69,7 +69,7 @@
                 info!(target: "lockcroft::daemon", epoch = writer.epoch(), "epoch of files taken");
                 none.insert(writer)
             }
-            (None, Err(wrong)) => return Err(PublishError::Failed(wrong)),
+            (None, Err(wrong)) => return Err(PublishError::Failed(wrong.to_string())),
         };
         writer.write(&publication.content, publication.keep).map_err(|wrong| match wrong {
             WriteError::Fenced(epoch) => PublishError::Fenced(epoch),
