--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -7,7 +7,7 @@
 use clap::Subcommand;
 use lockcroft_table_format::{KeyRing, proto};
 use lockcroft_table_store::{
-    LoadedSnapshot, RetentionPolicy, SnapshotWriter, StatusReader, StoreLayout, find, read_keys,
+    LoadedSnapshot, RetentionPolicy, SnapshotWriter, StatusReader, StoreLayout, load_snapshot, read_keys,
 };
 use serde_json::{Value, json};
 
@@ -16,7 +16,7 @@
 use crate::snapshot_rows::rows;
 
 /// What `files back` leaves of the earlier snapshots.
-const RETENTION: RetentionPolicy = RetentionPolicy { generations: 2, earlier_epochs: true };
+const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 2, keep_earlier_epochs: true };
 
 #[derive(Subcommand)]
 pub enum FilesCommand {
@@ -90,7 +90,8 @@
     }
 
     fn load(&self, name: SnapshotName) -> Result<LoadedSnapshot, CliError> {
-        let found = find(&StoreLayout::new(&self.folder), name.epoch, name.version, &self.read_keys()?);
+        let found =
+            load_snapshot(&StoreLayout::new(&self.folder), name.epoch, name.version, &self.read_keys()?);
         found.map_err(|error| CliError::Snapshot { folder: self.folder.clone(), name, source: error.into() })
     }
 
@@ -126,7 +127,7 @@
             println!("{}", snapshot_json(name, &snapshot, &proxies));
             return Ok(ExitCode::SUCCESS);
         }
-        let LoadedSnapshot { pilot: controller, key, bytes, .. } = &snapshot;
+        let LoadedSnapshot { controller, key, bytes, .. } = &snapshot;
         println!("generation {name} by {controller}, sealed with {key}, {bytes} bytes");
         rows(&snapshot.content).iter().for_each(|row| println!("{row}"));
         println!("laid by {} proxies", proxies.len());
@@ -139,7 +140,7 @@
             let last = status.laid.last();
             last.is_some_and(|laid| SnapshotName { epoch: laid.epoch, version: laid.version } == name)
         };
-        let statuses = StatusReader::default().look(&self.folder).unwrap_or_default();
+        let statuses = StatusReader::default().read_changed(&self.folder).unwrap_or_default();
         statuses.into_iter().filter(applied).map(|status| status.proxy).collect()
     }
 
@@ -149,7 +150,7 @@
         let mut json_rows = Vec::new();
         let mut sound = true;
         for ListedSnapshot { name, current } in self.list()? {
-            let found = find(&layout, name.epoch, name.version, &keys);
+            let found = load_snapshot(&layout, name.epoch, name.version, &keys);
             sound &= found.is_ok() || !current;
             let finding = match found {
                 Ok(snapshot) => format!("sound, sealed with {}", snapshot.key),
@@ -179,7 +180,7 @@
             println!("{}", json!({"from": from.to_string(), "to": to.to_string(), "lines": differences}));
         } else {
             differences.iter().for_each(|row| println!("{row}"));
-            println!("{} lines differ", after.differs(&before));
+            println!("{} lines differ", after.changed_entry_count(&before));
         }
         Ok(ExitCode::SUCCESS)
     }
@@ -187,7 +188,7 @@
     /// Takes the folder over, which fences off its writer, and publishes an earlier snapshot as the newest.
     fn publish_again(&self, earlier: SnapshotName) -> Result<ExitCode, CliError> {
         let snapshot = self.load(earlier)?;
-        let mut writer = SnapshotWriter::take(&self.folder, "operator", self.read_keys()?)
+        let mut writer = SnapshotWriter::acquire_epoch(&self.folder, "operator", self.read_keys()?)
             .map_err(|error| CliError::at(&self.folder, error))?;
         let written =
             writer.write(&snapshot.content, RETENTION).map_err(|error| CliError::at(&self.folder, error))?;
@@ -206,7 +207,7 @@
 fn snapshot_json(name: SnapshotName, snapshot: &LoadedSnapshot, proxies: &[String]) -> Value {
     json!({
         "generation": name.to_string(),
-        "pilot": snapshot.pilot,
+        "pilot": snapshot.controller,
         "key": snapshot.key,
         "bytes": snapshot.bytes,
         "lines": rows(&snapshot.content),
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -57,7 +57,7 @@
 }
 
 fn serve(path: &Path, config: Config, log_levels: String) -> Result<(), CliError> {
-    let log = LogConfig { levels: Some(log_levels), json: false };
+    let log = LogConfig { filter: Some(log_levels), json: false };
     // Held until the end: dropping it ends the log's writer.
     let _logging = lockcroft_daemon::start_logs(&log).map_err(CliError::other)?;
     io::serve(path, config).map_err(CliError::other)
--- a/crates/cli/src/snapshot_rows.rs
+++ b/crates/cli/src/snapshot_rows.rs
@@ -6,14 +6,14 @@
 pub fn rows(content: &SnapshotContent) -> Vec<String> {
     let mut rows = table_rows(content);
     rows.extend(assignment_rows(content));
-    rows.extend(content.withdrawn.iter().map(|endpoint| format!("withdrawn {endpoint}")));
+    rows.extend(content.ejected.iter().map(|endpoint| format!("withdrawn {endpoint}")));
     rows
 }
 
 fn table_rows(content: &SnapshotContent) -> Vec<String> {
     let mut rows = Vec::new();
     for (number, table) in &content.tables {
-        for (endpoint, entry) in &table.lines {
+        for (endpoint, entry) in &table.entries {
             rows.push(format!("t{number} {endpoint} {} weight {}", entry.address, entry.weight));
         }
     }
@@ -24,10 +24,10 @@
     let mut rows = Vec::new();
     for group in content.groups.values() {
         let proxies = group.proxies.iter().cloned().collect::<Vec<_>>().join(",");
-        for (class, assignment) in &group.bound {
+        for (class, assignment) in &group.assignments {
             let table = assignment.table;
-            let admission_rate = f64::from(assignment.level) / 1e3;
-            let retries = if assignment.again { ", second tries" } else { "" };
+            let admission_rate = f64::from(assignment.admission_per_mille) / 1e3;
+            let retries = if assignment.retries { ", second tries" } else { "" };
             rows.push(format!("{class} t{table} let in {admission_rate}{retries} at {proxies}"));
         }
     }
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -59,9 +59,9 @@
 /// The solver's error with the name that the file gives to the endpoint or class that it is about.
 fn describe(problem: &NamedProblem, error: &ProblemError) -> String {
     let name = match error {
-        ProblemError::Endpoint(index, ..) => problem.servers.get(*index),
+        ProblemError::Endpoint(index, ..) => problem.endpoints.get(*index),
         ProblemError::Class(index, ..) | ProblemError::Place(index, ..) => problem.classes.get(*index),
-        ProblemError::Crossing(_) => None,
+        ProblemError::CrossingCost(_) => None,
     };
     name.map_or_else(|| error.to_string(), |name| format!("{name} ({error})"))
 }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -6,7 +6,7 @@
 
 use clap::Subcommand;
 use lockcroft_state_store::{
-    DirectoryStorage, EntryValue, Key, LoadedState, RecoveryError, Store, StoreIdentity, load, owner_of,
+    DirectoryStorage, EntryValue, Key, LoadedState, RecoveryError, Store, StoreIdentity, load, read_identity,
 };
 use serde_json::{Value, json};
 
@@ -44,12 +44,13 @@
 }
 
 fn identity(folder: &Path, storage: &DirectoryStorage) -> Result<StoreIdentity, CliError> {
-    let identity = owner_of(storage).map_err(|error| CliError::at(folder, RecoveryError::from(error)))?;
+    let identity =
+        read_identity(storage).map_err(|error| CliError::at(folder, RecoveryError::from(error)))?;
     identity.ok_or_else(|| CliError::NoState(folder.into()))
 }
 
 fn read(folder: &Path) -> Result<LoadedState, CliError> {
-    let storage = DirectoryStorage::look(folder);
+    let storage = DirectoryStorage::open_read_only(folder);
     let identity = identity(folder, &storage)?;
     load(&storage, &identity).map_err(|error| CliError::at(folder, error))
 }
@@ -58,10 +59,10 @@
     let rows: Vec<Value> =
         loaded.state.iter().map(|(key, (at_ms, value))| entry_json(key, *at_ms, value)).collect();
     if json {
-        println!("{}", json!({"entries": rows, "bytes": loaded.bytes, "snapshot": loaded.from}));
+        println!("{}", json!({"entries": rows, "bytes": loaded.bytes, "snapshot": loaded.snapshot_number}));
     } else {
         rows.iter().for_each(|row| println!("{row}"));
-        println!("{} entries, snapshot {}, {} bytes", rows.len(), loaded.from, loaded.bytes);
+        println!("{} entries, snapshot {}, {} bytes", rows.len(), loaded.snapshot_number, loaded.bytes);
     }
     ExitCode::SUCCESS
 }
@@ -69,15 +70,15 @@
 /// One learned value with the time of its entry, in milliseconds since the Unix epoch.
 fn entry_json(key: &Key, at_ms: u64, value: &EntryValue) -> Value {
     match (key, value) {
-        (Key::Server(name), EntryValue::Server(endpoint)) => json!({
-            "at_ms": at_ms, "server": name, "zone": endpoint.zone, "kind": endpoint.kind, "gone": endpoint.gone,
-            "draining": endpoint.draining, "counter": endpoint.counter, "relief": endpoint.relief,
-            "warm_ms": endpoint.warm_ms, "doubted_until_ms": endpoint.doubted_until_ms,
+        (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => json!({
+            "at_ms": at_ms, "server": name, "zone": endpoint.zone, "kind": endpoint.machine_type, "gone": endpoint.removed,
+            "draining": endpoint.draining, "counter": endpoint.health_counter, "relief": endpoint.weight_factor,
+            "warm_ms": endpoint.slow_start_until_ms, "doubted_until_ms": endpoint.outlier_until_ms,
         }),
-        (Key::Level(class, table), EntryValue::Level(rate)) => {
+        (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
             json!({"at_ms": at_ms, "class": class, "table": table, "level": rate})
         }
-        (Key::Size(endpoint), EntryValue::Size(cores)) => {
+        (Key::Capacity(endpoint), EntryValue::Capacity(cores)) => {
             json!({"at_ms": at_ms, "server": endpoint, "cores": cores})
         }
         (key, value) => json!({"at_ms": at_ms, "key": format!("{key:?}"), "what": format!("{value:?}")}),
@@ -85,11 +86,11 @@
 }
 
 fn verify(loaded: &LoadedState, json: bool) -> ExitCode {
-    let sound = loaded.remarks.is_empty();
+    let sound = loaded.warnings.is_empty();
     if json {
-        println!("{}", json!({"sound": sound, "remarks": loaded.remarks}));
+        println!("{}", json!({"sound": sound, "remarks": loaded.warnings}));
     } else {
-        loaded.remarks.iter().for_each(|remark| println!("{remark}"));
+        loaded.warnings.iter().for_each(|remark| println!("{remark}"));
         let verdict = if sound { "sound" } else { "not all sound" };
         println!("{} entries in {} files, {verdict}", loaded.state.len(), loaded.files);
     }
@@ -97,13 +98,13 @@
 }
 
 fn compact(folder: &Path) -> Result<ExitCode, CliError> {
-    let identity = identity(folder, &DirectoryStorage::look(folder))?;
-    let storage = DirectoryStorage::hold(folder).map_err(|error| match error.kind() {
+    let identity = identity(folder, &DirectoryStorage::open_read_only(folder))?;
+    let storage = DirectoryStorage::open_exclusive(folder).map_err(|error| match error.kind() {
         io::ErrorKind::WouldBlock => CliError::StateInUse(folder.into()),
         _ => CliError::at(folder, RecoveryError::from(error)),
     })?;
     // Opening a store begins a new file number, which writes all of the state as its snapshot.
     let (store, loaded) = Store::open(storage, identity).map_err(|error| CliError::at(folder, error))?;
-    println!("{} entries, {} bytes, snapshot {}", loaded.state.len(), store.bytes(), store.number());
+    println!("{} entries, {} bytes, snapshot {}", loaded.state.len(), store.bytes(), store.snapshot_number());
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -111,23 +111,25 @@
     std::fs::write(&keys, format!("k1 {}\n", "ab".repeat(32))).expect("written");
     std::fs::set_permissions(&keys, std::fs::Permissions::from_mode(0o600)).expect("set");
     let read = lockcroft_table_store::read_keys(&keys).expect("sound");
-    let mut writer = lockcroft_table_store::SnapshotWriter::take(&folder, "north", read).expect("taken");
-    let keep = lockcroft_table_store::RetentionPolicy { generations: 8, earlier_epochs: false };
+    let mut writer =
+        lockcroft_table_store::SnapshotWriter::acquire_epoch(&folder, "north", read).expect("taken");
+    let keep = lockcroft_table_store::RetentionPolicy { max_snapshots: 8, keep_earlier_epochs: false };
     for weight in [64, 128, 256] {
         let line = lockcroft_table_format::TableEntry {
             address: "127.0.0.1:8101".parse().expect("an address"),
             weight,
         };
-        let table = lockcroft_table_format::Table { lines: [("e1".to_string(), line)].into() };
-        let bound = lockcroft_table_format::ProxyAssignment { table: 3, level: 500, again: true };
+        let table = lockcroft_table_format::Table { entries: [("e1".to_string(), line)].into() };
+        let bound =
+            lockcroft_table_format::ProxyAssignment { table: 3, admission_per_mille: 500, retries: true };
         let group = lockcroft_table_format::ProxyGroup {
             proxies: ["r1".to_string(), "r2".to_string()].into(),
-            bound: [("look-up".to_string(), bound)].into(),
+            assignments: [("look-up".to_string(), bound)].into(),
         };
         let content = lockcroft_table_format::SnapshotContent {
             tables: [(3, table)].into(),
             groups: [(0, group)].into(),
-            withdrawn: ["e9".to_string()].into(),
+            ejected: ["e9".to_string()].into(),
         };
         writer.write(&content, keep).expect("written");
     }
--- a/crates/config/src/daemon_config.rs
+++ b/crates/config/src/daemon_config.rs
@@ -5,7 +5,7 @@
 
 use lockcroft::{Settings, ZoneId};
 use lockcroft_host::NameIndex;
-use lockcroft_runtime_api::{Address, Level};
+use lockcroft_runtime_api::{AccessLevel, Address};
 use roxmltree::Node;
 
 use crate::daemon_reader::read_daemon_config;
@@ -50,7 +50,7 @@
     /// The address to bind.
     pub address: Address,
     /// The commands that its clients may use.
-    pub level: Level,
+    pub access_level: AccessLevel,
 }
 
 /// A proxy that the controller controls.
@@ -96,15 +96,15 @@
     /// Whether events are JSON objects rather than text.
     pub json: bool,
     /// Levels by target, as `info,lockcroft::daemon=debug`.
-    pub levels: Option<String>,
+    pub filter: Option<String>,
 }
 
 impl LogConfig {
     /// Reads the element `log`, if there is one.
     #[must_use]
-    pub fn read(node: Option<Node>) -> Self {
+    pub fn from_element(node: Option<Node>) -> Self {
         let attribute = |name: &str| node.and_then(|node| node.attribute(name));
-        LogConfig { json: attribute("form") == Some("json"), levels: attribute("levels").map(String::from) }
+        LogConfig { json: attribute("form") == Some("json"), filter: attribute("levels").map(String::from) }
     }
 }
 
--- a/crates/config/src/daemon_reader.rs
+++ b/crates/config/src/daemon_reader.rs
@@ -5,7 +5,7 @@
 
 use lockcroft::Settings;
 use lockcroft_host::NameIndex;
-use lockcroft_runtime_api::{Address, Level};
+use lockcroft_runtime_api::{AccessLevel, Address};
 use roxmltree::Node;
 
 use crate::daemon_config::{
@@ -66,7 +66,7 @@
             listeners,
             proxies,
             endpoints,
-            log: LogConfig::read(self.child("log")),
+            log: LogConfig::from_element(self.child("log")),
             table_files,
             state_directory: self
                 .child("memory")
@@ -126,7 +126,10 @@
             let level = node.attribute("level").and_then(|level| level.parse().ok());
             match attribute_text(node, "address").parse::<Address>() {
                 Ok(address) => {
-                    listeners.push(ListenerConfig { address, level: level.unwrap_or(Level::Operator) });
+                    listeners.push(ListenerConfig {
+                        address,
+                        access_level: level.unwrap_or(AccessLevel::Operator),
+                    });
                 }
                 Err(error) => self.report(node, error.to_string(), None),
             }
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -99,7 +99,7 @@
                 .map_err(|source| DaemonError::Listen { address: address.clone(), source })?;
             let wake = self.wake.clone();
             let handler = self.commands.clone();
-            let level = listener_config.level;
+            let level = listener_config.access_level;
             self.tasks.spawn_local(lockcroft_runtime_api::serve(listener, level, handler, move || {
                 wake.notify_one();
             }));
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -40,7 +40,7 @@
 /// # Errors
 /// The levels are malformed, or logs were started before.
 pub fn start(config: &LogConfig) -> Result<Logging, LoggingError> {
-    let levels = config.levels.clone().unwrap_or_else(|| DEFAULT_LEVELS.into());
+    let levels = config.filter.clone().unwrap_or_else(|| DEFAULT_LEVELS.into());
     let (filter, handle) = reload::Layer::new(parse_levels(&levels)?);
     let lines = fmt::layer().with_writer(std::io::stderr);
     let registry = tracing_subscriber::registry().with(filter);
--- a/crates/daemon/src/operator_commands.rs
+++ b/crates/daemon/src/operator_commands.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use lockcroft_fleet::{FleetController, OperatorError};
-use lockcroft_runtime_api::{Command, CommandEntry, CommandHandler, CommandResult, Level};
+use lockcroft_runtime_api::{AccessLevel, Command, CommandEntry, CommandHandler, CommandResult};
 use lockcroft_solver_format::NamedProblem;
 use thiserror::Error;
 use tokio::sync::Notify;
@@ -146,11 +146,11 @@
 ];
 
 const fn user(words: &'static str, help: &'static str) -> CommandEntry {
-    CommandEntry { words, level: Level::User, help }
+    CommandEntry { words, level: AccessLevel::User, help }
 }
 
 const fn admin(words: &'static str, help: &'static str) -> CommandEntry {
-    CommandEntry { words, level: Level::Admin, help }
+    CommandEntry { words, level: AccessLevel::Admin, help }
 }
 
 /// The problem that was solved last, as a file for `lockcroft solve`.
@@ -160,7 +160,7 @@
     Ok(lockcroft_solver_format::write(&NamedProblem {
         problem: problem.clone(),
         zones: names.zones.clone(),
-        servers: endpoints,
+        endpoints,
         classes: names.classes.clone(),
     }))
 }
@@ -177,7 +177,7 @@
         CommandResult::Text(self.execute(entry, command).unwrap_or_else(|error| format!("{error}\n")))
     }
 
-    fn more(&mut self, position: &mut u64) -> String {
+    fn read_from(&mut self, position: &mut u64) -> String {
         self.fleet.events_since(position)
     }
 }
--- a/crates/daemon/src/proxy_connections.rs
+++ b/crates/daemon/src/proxy_connections.rs
@@ -103,7 +103,7 @@
                     if !self.report_responses(connection, &mut responses).await {
                         return Ok(());
                     }
-                    if responses.held() > MAX_RESPONSE_BYTES {
+                    if responses.pending_len() > MAX_RESPONSE_BYTES {
                         return Err(ConnectionError::ResponseTooLong);
                     }
                 }
@@ -113,7 +113,7 @@
 
     /// Hands on the responses that are complete. Returns whether anybody still takes them.
     async fn report_responses(&self, connection: u64, reader: &mut ResponseReader) -> bool {
-        let responses: Vec<String> = std::iter::from_fn(|| reader.next_answer()).collect();
+        let responses: Vec<String> = std::iter::from_fn(|| reader.next_response()).collect();
         if responses.is_empty() {
             return true;
         }
--- a/crates/daemon/src/snapshot_publisher.rs
+++ b/crates/daemon/src/snapshot_publisher.rs
@@ -83,14 +83,14 @@
         let keys = read_keys(&self.config.key_file);
         if self.writer.is_none() {
             let keys = keys.map_err(|error| PublishError::Failed(error.into()))?;
-            let taken = SnapshotWriter::take(&self.config.directory, &self.controller, keys);
+            let taken = SnapshotWriter::acquire_epoch(&self.config.directory, &self.controller, keys);
             let writer = taken.map_err(|source| self.folder_error(source))?;
             info!(target: "lockcroft::daemon", epoch = writer.epoch(), "epoch of files taken");
             return Ok(self.writer.insert(writer));
         }
         let writer = self.writer.as_mut().ok_or(PublishError::Unexpected)?;
         match keys {
-            Ok(keys) => writer.turn_over(keys),
+            Ok(keys) => writer.replace_keys(keys),
             Err(error) => warn_operators(&format!("the keys stay as they were: {error}")),
         }
         Ok(writer)
--- a/crates/daemon/src/snapshot_status.rs
+++ b/crates/daemon/src/snapshot_status.rs
@@ -17,7 +17,7 @@
         let directory = directory.clone();
         // A disk that hangs keeps nobody waiting but this task.
         let scan = tokio::task::spawn_blocking(move || {
-            let changed = reader.look(&directory).unwrap_or_default();
+            let changed = reader.read_changed(&directory).unwrap_or_default();
             (reader, changed)
         });
         let Ok((returned, changed)) = scan.await else { return };
--- a/crates/daemon/src/state_writer.rs
+++ b/crates/daemon/src/state_writer.rs
@@ -38,7 +38,7 @@
     /// nothing recovered, and leaves the folder alone.
     pub fn open(config: &DaemonConfig, directory: &Path, events: EventSender) -> Option<OpenedState> {
         let started = Instant::now();
-        let opened = DirectoryStorage::hold(directory)
+        let opened = DirectoryStorage::open_exclusive(directory)
             .map_err(RecoveryError::from)
             .and_then(|storage| Store::open(storage, store_identity(config)));
         let (store, loaded) = match opened {
@@ -66,15 +66,15 @@
 }
 
 fn recover(loaded: LoadedState, settings: &Settings, started: Instant) -> RecoveredState {
-    let LoadedState { state, remarks, from, bytes, .. } = loaded;
+    let LoadedState { state, warnings: remarks, snapshot_number: from, bytes, .. } = loaded;
     for remark in remarks {
         warn!(target: "lockcroft::state_store", "{remark}");
     }
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let recovered = age(&state, now.as_millis() as u64, &ageing_rules(settings));
     // These field names stand in the page on the state store.
-    info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recovered.servers.len(),
-        levels = recovered.levels.len(), ahead = recovered.ahead, us = started.elapsed().as_micros() as u64, "recalled");
+    info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recovered.endpoints.len(),
+        levels = recovered.admission_rates.len(), ahead = recovered.future_entries, us = started.elapsed().as_micros() as u64, "recalled");
     recovered
 }
 
@@ -83,13 +83,13 @@
     let lists = [&config.names.zones, &config.names.machine_types, &config.names.classes];
     // A blank stands between the lists, since none of the names has one.
     let names = lists.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
-    StoreIdentity::of(&config.name, names)
+    StoreIdentity::from_names(&config.name, names)
 }
 
 fn ageing_rules(settings: &Settings) -> AgeingRules {
     AgeingRules {
         report_period: settings.fleet.report_period.max(MIN_REPORT_PERIOD),
-        warm_within: settings.rules.slow_start_window,
+        slow_start_window: settings.rules.slow_start_window,
     }
 }
 
@@ -154,7 +154,7 @@
         StateStoreStatus {
             entries: self.store.state().len(),
             bytes: self.store.bytes(),
-            snapshot_number: self.store.number(),
+            snapshot_number: self.store.snapshot_number(),
             last_flush,
             error: self.last_error.clone(),
         }
--- a/crates/fleet/src/applied_state.rs
+++ b/crates/fleet/src/applied_state.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable};
+use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable_name};
 
 use crate::applied_entry::{AppliedEntry, Backend};
 use crate::endpoint_list::EndpointList;
@@ -33,9 +33,9 @@
     pub fn read(states: &[StateRow], map: &str, endpoints: &mut EndpointList, classes: &[String]) -> Self {
         let mut applied = AppliedState::default();
         for row in states {
-            let endpoint = endpoints.intern(&row.server);
+            let endpoint = endpoints.intern(&row.endpoint);
             let backend = applied.backend(&row.backend);
-            let in_maintenance = row.admin & (FORCED_MAINT | FORCED_DRAIN) != 0;
+            let in_maintenance = row.admin_state & (FORCED_MAINT | FORCED_DRAIN) != 0;
             let address = row.address.parse().ok().map(|ip| SocketAddr::new(ip, row.port));
             let entry = AppliedEntry { weight: row.weight, in_maintenance, address };
             applied.entries.insert((backend, endpoint), entry);
@@ -57,10 +57,10 @@
         let class_map: BTreeMap<&str, Backend> =
             self.class_map.iter().map(|(class, backend)| (classes[*class].as_str(), *backend)).collect();
         for (class, backend) in class_map {
-            digest.bound(class, &self.backend_name(backend));
+            digest.add_class(class, &self.backend_name(backend));
         }
         for (name, value) in self.admission_variables(classes) {
-            digest.variable(&name, value);
+            digest.add_variable(&name, value);
         }
         digest.value()
     }
@@ -74,14 +74,14 @@
         entries.sort_by(|a, b| (&a.0, a.1).cmp(&(&b.0, b.1)));
         for (backend, endpoint, entry) in entries {
             let address = entry.address_or_unspecified();
-            digest.line(&backend, endpoint, address, entry.weight, entry.in_maintenance);
+            digest.add_entry(&backend, endpoint, address, entry.weight, entry.in_maintenance);
         }
     }
 
     fn admission_variables(&self, classes: &[String]) -> BTreeMap<String, i64> {
         let mut variables = BTreeMap::new();
         for (class, admission) in &self.admissions {
-            let name = |what: &str| class_variable(what, &classes[*class]);
+            let name = |what: &str| class_variable_name(what, &classes[*class]);
             variables.extend(admission.thousandths.map(|value| (name("level"), i64::from(value))));
             variables.extend(admission.retry.map(|retry| (name("again"), i64::from(retry))));
         }
--- a/crates/fleet/src/capacity_model.rs
+++ b/crates/fleet/src/capacity_model.rs
@@ -100,10 +100,10 @@
             }
             let prior = self.prior(&type_capacities, state);
             let sample = self.sample(endpoint, totals, mix);
-            self.estimator.look(now, endpoint, prior, sample);
+            self.estimator.observe(now, endpoint, prior, sample);
         }
         self.has_changed = true;
-        self.estimator.keep(|endpoint| endpoints.contains_key(&endpoint));
+        self.estimator.retain(|endpoint| endpoints.contains_key(&endpoint));
         self.loads.retain(|endpoint, _| endpoints.contains_key(endpoint));
     }
 
@@ -111,8 +111,8 @@
         let succeeded = totals.attempts - totals.failed;
         let latency = totals.seconds / succeeded.max(1.0);
         LoadSample {
-            done: succeeded * mix.work / self.interval.as_secs_f64(),
-            late: latency > mix.latency_objective || totals.failed * 2.0 > totals.attempts,
+            completed_work: succeeded * mix.work / self.interval.as_secs_f64(),
+            is_late: latency > mix.latency_objective || totals.failed * 2.0 > totals.attempts,
             slowdown: latency / mix.work,
             load: self.loads.get(&endpoint).copied(),
         }
@@ -139,7 +139,7 @@
         }
         let mut capacities = TypeCapacities::new();
         for (machine_type, endpoints) in by_type {
-            if let Some(cores) = self.estimator.alike(now, endpoints.into_iter()) {
+            if let Some(cores) = self.estimator.machine_type_capacity(now, endpoints.into_iter()) {
                 capacities.insert(machine_type, cores);
             }
         }
@@ -159,7 +159,9 @@
         }
         let learned =
             self.recovered.get(&state.record.endpoint).or_else(|| type_capacities.get(machine_type));
-        learned
-            .map_or_else(|| CapacityPrior::guessed(self.default_cores), |cores| CapacityPrior::alike(*cores))
+        learned.map_or_else(
+            || CapacityPrior::guessed(self.default_cores),
+            |cores| CapacityPrior::from_machine_type(*cores),
+        )
     }
 }
--- a/crates/fleet/src/file_distribution.rs
+++ b/crates/fleet/src/file_distribution.rs
@@ -187,7 +187,8 @@
         }
         // A reader without a table of this epoch has to find those of the epoch before.
         let earlier_epochs = self.readers.values().any(|reader| reader.assigned.is_empty());
-        let keep = RetentionPolicy { generations: self.retained_snapshots, earlier_epochs };
+        let keep =
+            RetentionPolicy { max_snapshots: self.retained_snapshots, keep_earlier_epochs: earlier_epochs };
         let publication = Arc::new(Publication { content, keep });
         self.in_flight = Some(PublicationInFlight {
             publication: publication.clone(),
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -8,8 +8,8 @@
 
 use lockcroft::{ClassAdmission, ClassId, EndpointId, RoutingTable, Settings, Snapshot, TableId, ZoneId};
 use lockcroft_solver::{
-    Answer, ChangePrice, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem, Shares,
-    TableScope, Tables,
+    Answer, ChangePrice, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem,
+    TableScope, TableStabilizer, WeightFractions,
 };
 
 use crate::capacity_model::{CapacityModel, Endpoints, RequestMix};
@@ -35,7 +35,7 @@
     /// Listed weights, in steps of the greatest.
     pub weights: Vec<(EndpointId, u32)>,
     /// Tables with the fraction that each endpoint has there of its listed weight.
-    pub tables: Vec<(TableId, Shares)>,
+    pub tables: Vec<(TableId, WeightFractions)>,
 }
 
 /// The last answer, for those who ask.
@@ -58,7 +58,7 @@
     stabilizer: PlanStabilizer,
     /// Whether each zone has tables of its own.
     by_zone: bool,
-    tables: Tables,
+    tables: TableStabilizer,
     due: Duration,
     /// The task that is being solved.
     in_flight: Option<Arc<SolverTask>>,
@@ -84,7 +84,7 @@
             capacity: CapacityModel::new(interval, solver.cores, solver.cores_by_machine_type.clone()),
             stabilizer: PlanStabilizer::default(),
             by_zone: solver.by_zone,
-            tables: Tables::default(),
+            tables: TableStabilizer::default(),
             due: interval,
             in_flight: None,
             last: None,
@@ -158,7 +158,7 @@
             let demand: f64 = demand.iter().sum();
             requests += demand;
             work += demand * planned.class.work;
-            latency_objective += demand * planned.class.contract_time;
+            latency_objective += demand * planned.class.latency_objective;
         }
         (requests > 0.0)
             .then(|| RequestMix { work: work / requests, latency_objective: latency_objective / requests })
@@ -175,16 +175,16 @@
             }
             task.endpoints.push(*endpoint);
             machine_types.push(state.record.machine_type);
-            task.problem.servers.push(ProblemEndpoint {
+            task.problem.endpoints.push(ProblemEndpoint {
                 zone: state.record.zone,
                 capacity: self.capacity.capacity(now, &type_capacities, state),
-                warmth: state.slow_start_factor(now, self.initial_weight_fraction),
-                withdrawn: false,
+                slow_start_factor: state.slow_start_factor(now, self.initial_weight_fraction),
+                unavailable: false,
             });
         }
         let rates = self.demand.rates();
         task.problem.zones = rates.first().map_or(0, Vec::len);
-        task.problem.crossing = self.crossing_cost;
+        task.problem.crossing_cost = self.crossing_cost;
         let classes = self.classes.iter().zip(rates);
         task.problem.classes =
             classes.map(|(planned, demand)| planned.with_demand(demand, &machine_types)).collect();
@@ -197,18 +197,18 @@
         let Some(mut answer) = answer else { return Plan::default() };
         // Where no endpoint is up that a class may use, to reject its requests would mend nothing: the decisions
         // keep what stands, and health checks may be wrong.
-        for dropped in answer.dropped.iter().filter(|dropped| dropped.room <= 0.0) {
-            answer.let_in[dropped.class] = 1.0;
+        for dropped in answer.shed.iter().filter(|dropped| dropped.capacity <= 0.0) {
+            answer.admission_rates[dropped.class] = 1.0;
         }
         let price = self.change_price(&task.problem, proxies);
         let SolverTask { problem, endpoints } = &*task;
-        let weights = self.stabilizer.take(problem, endpoints, &answer, price);
+        let weights = self.stabilizer.update(problem, endpoints, &answer, price);
         let scopes = match self.by_zone {
             true => table_scopes(problem.zones, snapshot.tables, snapshot.admissions),
             false => Vec::new(),
         };
         let listed = self.stabilizer.weights();
-        let tables = self.tables.take(problem, endpoints, &answer, &scopes, listed, !weights.is_empty());
+        let tables = self.tables.update(problem, endpoints, &answer, &scopes, listed, !weights.is_empty());
         self.last = Some(SolvedPlan { task, answer, changed_entries: weights.len() });
         Plan { weights, tables }
     }
@@ -216,19 +216,19 @@
     /// What it costs to change an entry: while it goes out to all proxies, everything else waits.
     fn change_price(&self, problem: &Problem, proxies: usize) -> ChangePrice {
         let proxies = proxies.max(1) as f64;
-        let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.earnings;
+        let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.value;
         let total_value: f64 = problem.classes.iter().map(value).sum();
         let max_entries = self.max_queued_entries * MAX_QUEUE_FRACTION / proxies;
         ChangePrice {
-            line: total_value * proxies / self.max_entries_per_second,
-            lines_most: max_entries.clamp(1.0, MAX_CHANGED_ENTRIES) as usize,
-            stands: self.interval.as_secs_f64(),
+            per_entry: total_value * proxies / self.max_entries_per_second,
+            max_entries: max_entries.clamp(1.0, MAX_CHANGED_ENTRIES) as usize,
+            horizon_secs: self.interval.as_secs_f64(),
         }
     }
 
     /// The fraction of each class that may be admitted; none before the first answer.
     pub fn planned_fractions(&self) -> &[f64] {
-        self.stabilizer.let_in()
+        self.stabilizer.admission_rates()
     }
 }
 
--- a/crates/fleet/src/proxy_counters.rs
+++ b/crates/fleet/src/proxy_counters.rs
@@ -37,7 +37,7 @@
 
 impl Totals {
     fn of(row: &StatRow) -> Self {
-        Totals { total: row.total, failed: row.failed(), sum_ms: row.sum_ms.unwrap_or(0) }
+        Totals { total: row.total, failed: row.failed(), sum_ms: row.total_latency_ms.unwrap_or(0) }
     }
 
     /// What was gained since an earlier reading. A counter that fell was started anew, with the proxy or with the
@@ -67,8 +67,8 @@
     pub fn update(&mut self, rows: &[StatRow]) -> Vec<CounterDelta> {
         let mut deltas = Vec::new();
         let mut next = BTreeMap::new();
-        for row in rows.iter().filter(|row| row.server != "BACKEND") {
-            let key = (row.name.clone(), row.server.clone());
+        for row in rows.iter().filter(|row| row.endpoint != "BACKEND") {
+            let key = (row.name.clone(), row.endpoint.clone());
             let earlier = self.rows.get(&key).copied().unwrap_or_default();
             let current = Totals::of(row);
             let gained = current.since(earlier);
@@ -85,17 +85,17 @@
 
 fn delta(row: &StatRow, gained: Totals) -> CounterDelta {
     let count = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
-    if row.server == "FRONTEND" {
+    if row.endpoint == "FRONTEND" {
         return CounterDelta::Class { name: row.name.clone(), requests: count(gained.total) };
     }
     let failed = gained.failed.min(gained.total);
     // Where the sum is not given, the guide's sliding mean is the nearest there is.
-    let mean_ms = match row.sum_ms {
+    let mean_ms = match row.total_latency_ms {
         Some(_) => gained.sum_ms as f64 / (gained.total - failed).max(1) as f64,
-        None => row.mean_ms as f64,
+        None => row.mean_latency_ms as f64,
     };
     CounterDelta::Endpoint {
-        name: row.server.clone(),
+        name: row.endpoint.clone(),
         attempts: count(gained.total),
         failed: count(failed),
         mean_latency: Duration::from_secs_f64(mean_ms / 1e3),
--- a/crates/fleet/src/snapshot_content.rs
+++ b/crates/fleet/src/snapshot_content.rs
@@ -31,10 +31,10 @@
             content.tables.entry(table as u32).or_insert_with(|| table_entries(table, context));
             bound.insert(context.classes[class].clone(), assignment(class, table, context));
         }
-        content.groups.insert(number, ProxyGroup { proxies, bound });
+        content.groups.insert(number, ProxyGroup { proxies, assignments: bound });
     }
     let ejected = context.published.ejected.iter();
-    content.withdrawn = ejected.map(|endpoint| context.endpoints.name(*endpoint).into()).collect();
+    content.ejected = ejected.map(|endpoint| context.endpoints.name(*endpoint).into()).collect();
     content
 }
 
@@ -48,7 +48,7 @@
         let weight = context.weight_scale.units(*weight);
         lines.insert(context.endpoints.name(*endpoint).to_string(), TableEntry { address, weight });
     }
-    Table { lines }
+    Table { entries: lines }
 }
 
 fn assignment(class: ClassId, table: TableId, context: &UpdateContext) -> ProxyAssignment {
@@ -56,7 +56,7 @@
     let admission = published.and_then(|table| table.admissions.get(&class)).copied().unwrap_or(OPEN);
     ProxyAssignment {
         table: table as u32,
-        level: (admission.fraction * 1000.0).round() as u32,
-        again: admission.retry,
+        admission_per_mille: (admission.fraction * 1000.0).round() as u32,
+        retries: admission.retry,
     }
 }
--- a/crates/fleet/src/state_recorder.rs
+++ b/crates/fleet/src/state_recorder.rs
@@ -8,7 +8,7 @@
 
 use lockcroft::{ClassAdmission, EndpointId, EndpointState, EndpointStatus};
 use lockcroft_host::NameIndex;
-use lockcroft_state_store::{EndpointNote, Entry, EntryValue, Key};
+use lockcroft_state_store::{Entry, EntryValue, Key, RecordedEndpoint};
 
 use crate::endpoint_list::EndpointList;
 
@@ -67,15 +67,15 @@
         let mut entries = Vec::new();
         if self.resume_after.is_none() {
             for admission in admissions {
-                let key = Key::Level(admission.name.clone(), admission.table as u32);
-                self.record(now, key, EntryValue::Level(round_to_step(admission.rate)), &mut entries);
+                let key = Key::AdmissionRate(admission.name.clone(), admission.table as u32);
+                self.record(now, key, EntryValue::AdmissionRate(round_to_step(admission.rate)), &mut entries);
             }
         }
         let start = self.resume_after.map_or(Unbounded, Excluded);
         let mut last = None;
         for (endpoint, state) in endpoints.range((start, Unbounded)).take(MAX_SLICE_ENDPOINTS) {
-            let key = Key::Server(list.name(*endpoint).into());
-            let value = EntryValue::Server(self.endpoint_note(now, state, names));
+            let key = Key::Endpoint(list.name(*endpoint).into());
+            let value = EntryValue::Endpoint(self.endpoint_note(now, state, names));
             self.record(now, key, value, &mut entries);
             last = Some(*endpoint);
         }
@@ -95,8 +95,8 @@
         let mut entries = Vec::new();
         for (endpoint, cores) in capacities {
             let cores = (cores * STEPS).round().max(1.0) / STEPS;
-            let key = Key::Size(list.name(endpoint).into());
-            self.record(now, key, EntryValue::Size(cores), &mut entries);
+            let key = Key::Capacity(list.name(endpoint).into());
+            self.record(now, key, EntryValue::Capacity(cores), &mut entries);
         }
         entries
     }
@@ -104,25 +104,25 @@
     fn record(&mut self, now: Duration, key: Key, value: EntryValue, entries: &mut Vec<Entry>) {
         if self.recorded.get(&key) != Some(&value) {
             self.recorded.insert(key.clone(), value.clone());
-            entries.push(Entry { at_ms: self.wall_clock_ms(now), key, what: value });
+            entries.push(Entry { at_ms: self.wall_clock_ms(now), key, value });
         }
     }
 
     /// Times that have passed are recorded as 0, so that they do not change any more.
-    fn endpoint_note(&self, now: Duration, state: &EndpointState, names: &NameIndex) -> EndpointNote {
+    fn endpoint_note(&self, now: Duration, state: &EndpointState, names: &NameIndex) -> RecordedEndpoint {
         let future_ms = |time: Duration| if time > now { self.wall_clock_ms(time) } else { 0 };
         let name = |names: &[String], position: usize| names.get(position).cloned().unwrap_or_default();
         let record = &state.record;
-        EndpointNote {
+        RecordedEndpoint {
             zone: name(&names.zones, record.zone),
-            kind: name(&names.machine_types, record.machine_type),
-            gone: record.status == EndpointStatus::Removed,
+            machine_type: name(&names.machine_types, record.machine_type),
+            removed: record.status == EndpointStatus::Removed,
             draining: record.status == EndpointStatus::Draining,
-            counter: state.health.value(),
-            doubted_until_ms: future_ms(state.outlier_until),
+            health_counter: state.health.value(),
+            outlier_until_ms: future_ms(state.outlier_until),
             started_ms: if state.is_warming_up(now) { self.wall_clock_ms(state.started_at) } else { 0 },
-            warm_ms: future_ms(state.warmed_up_at),
-            relief: round_to_step(state.weight_factor),
+            slow_start_until_ms: future_ms(state.warmed_up_at),
+            weight_factor: round_to_step(state.weight_factor),
         }
     }
 }
--- a/crates/fleet/src/state_recovery.rs
+++ b/crates/fleet/src/state_recovery.rs
@@ -25,17 +25,17 @@
 
     /// Behind the first list: endpoints that were removed meanwhile are named, and nothing is made less careful.
     pub(crate) fn apply_recovered_state(&mut self, now: Duration, recovered: RecoveredState) {
-        let (endpoints, admissions) = (recovered.servers.len(), recovered.levels.len());
-        for endpoint in recovered.servers {
+        let (endpoints, admissions) = (recovered.endpoints.len(), recovered.admission_rates.len());
+        for endpoint in recovered.endpoints {
             self.recover_endpoint(now, &endpoint);
         }
-        for (class, table, rate) in recovered.levels {
+        for (class, table, rate) in recovered.admission_rates {
             if let Ok(class) = self.names.class(&class) {
                 self.controller.recover_admission(class, table as TableId, rate);
             }
         }
         if let Some(planner) = &mut self.planner {
-            let capacities = recovered.sizes.into_iter();
+            let capacities = recovered.capacities.into_iter();
             planner.recover_capacities(capacities.map(|(name, cores)| (self.endpoints.intern(&name), cores)));
         }
         if endpoints + admissions > 0 {
@@ -47,21 +47,21 @@
     /// An endpoint of a zone or machine type that is configured no more is passed over.
     fn recover_endpoint(&mut self, now: Duration, recovered: &RecoveredEndpoint) {
         let Ok(zone) = self.names.zone(&recovered.zone) else { return };
-        let Ok(machine_type) = self.names.machine_type(&recovered.kind) else { return };
+        let Ok(machine_type) = self.names.machine_type(&recovered.machine_type) else { return };
         let record = EndpointRecord {
             endpoint: self.endpoints.intern(&recovered.name),
             zone,
             machine_type,
-            status: if recovered.out { EndpointStatus::Removed } else { EndpointStatus::Ready },
+            status: if recovered.not_ready { EndpointStatus::Removed } else { EndpointStatus::Ready },
             weight: 0.0,
             age: None,
         };
-        let slow_start = recovered.warming.map(|(age, remaining)| RecoveredSlowStart { age, remaining });
+        let slow_start = recovered.slow_start.map(|(age, remaining)| RecoveredSlowStart { age, remaining });
         let recovered = lockcroft::RecoveredEndpoint {
             record,
-            weight_factor: recovered.relief,
+            weight_factor: recovered.weight_factor,
             slow_start,
-            outlier_for: recovered.doubted,
+            outlier_for: recovered.outlier_remaining,
         };
         self.controller.recover_endpoint(now, recovered);
     }
--- a/crates/fleet/src/update_context.rs
+++ b/crates/fleet/src/update_context.rs
@@ -4,7 +4,7 @@
 
 use lockcroft::EndpointId;
 use lockcroft_host::PublishedTables;
-use lockcroft_runtime_api::tables::class_variable;
+use lockcroft_runtime_api::tables::class_variable_name;
 
 use crate::applied_entry::Backend;
 use crate::applied_state::AppliedState;
@@ -53,10 +53,14 @@
                 write!(text, "{verb} map classes {} t{table}", self.classes[class])
             }
             Change::SetAdmission { class, thousandths } => {
-                write!(text, "set var {} int({thousandths})", class_variable("level", &self.classes[class]))
+                write!(
+                    text,
+                    "set var {} int({thousandths})",
+                    class_variable_name("level", &self.classes[class])
+                )
             }
             Change::SetRetry { class, retry } => {
-                let name = class_variable("again", &self.classes[class]);
+                let name = class_variable_name("again", &self.classes[class]);
                 write!(text, "set var {name} int({})", u8::from(retry))
             }
         }
--- a/crates/fleet/src/views/endpoints.rs
+++ b/crates/fleet/src/views/endpoints.rs
@@ -39,13 +39,13 @@
         let succeeded = (counters.attempts - counters.failed).max(1);
         StatRow {
             name: format!("t{table}"),
-            server: self.endpoints.name(endpoint).into(),
+            endpoint: self.endpoints.name(endpoint).into(),
             status: status_word(state).into(),
             weight: u64::from(self.weight_scale.units(weight)),
             total: counters.attempts,
-            answer_failed: counters.failed,
-            mean_ms: (counters.latency_sum_ms / succeeded as f64) as u64,
-            sum_ms: Some(counters.latency_sum_ms as u64),
+            response_errors: counters.failed,
+            mean_latency_ms: (counters.latency_sum_ms / succeeded as f64) as u64,
+            total_latency_ms: Some(counters.latency_sum_ms as u64),
             ..StatRow::default()
         }
     }
@@ -94,11 +94,11 @@
         let maintenance = if is_closed { FORCED_MAINT } else { 0 };
         StateRow {
             backend: backend.into(),
-            server: self.endpoints.name(endpoint).into(),
+            endpoint: self.endpoints.name(endpoint).into(),
             address: address.map_or("-".into(), |address| address.ip().to_string()),
             port: address.map_or(0, |address| address.port()),
             running: state.is_up(),
-            admin: drain | maintenance,
+            admin_state: drain | maintenance,
             weight: self.weight_scale.units(state.record.weight),
             health: state.health.value().unwrap_or(0),
         }
@@ -131,7 +131,7 @@
 fn class_row(class: &str, requests: u64) -> StatRow {
     StatRow {
         name: class.into(),
-        server: "FRONTEND".into(),
+        endpoint: "FRONTEND".into(),
         status: "OPEN".into(),
         total: requests,
         ..StatRow::default()
--- a/crates/fleet/src/views/plan.rs
+++ b/crates/fleet/src/views/plan.rs
@@ -28,13 +28,14 @@
     pub fn show_plan(&self) -> String {
         let Some(planner) = &self.planner else { return "No solver is set.\n".into() };
         let Some(plan) = &planner.last else { return "No plan yet.\n".into() };
-        let Objective { earned, crossing, lateness } = plan.answer.objective;
+        let Objective { value: earned, crossing_cost: crossing, latency_cost: lateness } =
+            plan.answer.objective;
         let mut text = format!(
             "# earned {earned:.2} crossing {crossing:.2} lateness {lateness:.2} a second; lines changed {}\n",
             plan.changed_entries
         );
         self.write_classes(plan, &mut text);
-        for shed in &plan.answer.dropped {
+        for shed in &plan.answer.shed {
             self.write_shed(shed, &mut text);
         }
         self.write_endpoints(plan, &mut text);
@@ -42,34 +43,35 @@
     }
 
     fn write_classes(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
-        for (class, (name, fraction)) in self.names.classes.iter().zip(&answer.let_in).enumerate() {
+        for (class, (name, fraction)) in self.names.classes.iter().zip(&answer.admission_rates).enumerate() {
             let demand: f64 = task.problem.classes[class].demand.iter().sum();
             let _ = writeln!(text, "class {name} asked_per_s {demand:.1} let_in {fraction:.3}");
         }
     }
 
     fn write_shed(&self, shed: &ShedReason, text: &mut String) {
-        let before: Vec<&str> = shed.before.iter().map(|class| self.names.classes[*class].as_str()).collect();
+        let before: Vec<&str> =
+            shed.preferred_classes.iter().map(|class| self.names.classes[*class].as_str()).collect();
         let _ = writeln!(
             text,
             "dropped {} visits_per_s {:.1} restored_by_cores {:.2} of {:.2} before_it {}",
             self.names.classes[shed.class],
-            shed.visits,
-            shed.restored_by,
-            shed.room,
+            shed.requests,
+            shed.missing_capacity,
+            shed.capacity,
             before.join(",")
         );
     }
 
     fn write_endpoints(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
         for (position, endpoint) in task.endpoints.iter().enumerate() {
-            let planned = &task.problem.servers[position];
+            let planned = &task.problem.endpoints[position];
             let _ = writeln!(
                 text,
                 "server {} cores {:.2} warmth {:.2} load {:.2} weight {}",
                 self.endpoints.name(*endpoint),
                 planned.capacity,
-                planned.warmth,
+                planned.slow_start_factor,
                 answer.loads[position],
                 answer.weights[position]
             );
--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use lockcroft::{EndpointStatus, HealthCheckOutcome};
 use lockcroft_proxy::CommandQueue;
-use lockcroft_runtime_api::Level;
+use lockcroft_runtime_api::AccessLevel;
 
 use crate::simulation::{Simulation, ms};
 
@@ -125,7 +125,11 @@
     simulation.disconnect(0);
     let mut out = String::new();
     let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
-    CommandQueue::new(Level::Admin).line(&by_hand, &mut simulation.proxies[0].routing, &mut out);
+    CommandQueue::new(AccessLevel::Admin).execute_line(
+        &by_hand,
+        &mut simulation.proxies[0].routing,
+        &mut out,
+    );
     simulation.run_to(9000);
     expect![[r#"
         7.3 r0: set server t0/e1 weight 256
@@ -151,7 +155,7 @@
     simulation.run_to(6500);
     assert!(simulation.commands().ends_with("5.3 r0: commit map @2 tables\n"), "{}", simulation.commands());
     assert_eq!(simulation.weights(0).len(), 300);
-    assert_eq!(simulation.proxies[0].routing.committed, 2);
+    assert_eq!(simulation.proxies[0].routing.committed_version, 2);
     assert_eq!(simulation.fleet.queued_entries(), 0);
 }
 
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -10,9 +10,10 @@
 use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
 use lockcroft_fleet::{AppliedReport, AppliedVersion, Effect, FleetController, Publication, PublishError};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, CommandQueue, FileCommands, Limits, LoadBalancingPolicy, RoutingState, STANDING,
+    AttemptOutcome, Choice, CommandQueue, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
+    RoutingState, SnapshotCommands,
 };
-use lockcroft_runtime_api::{CommandReader, Level, ResponseReader};
+use lockcroft_runtime_api::{AccessLevel, CommandReader, ResponseReader};
 use lockcroft_state_store::Entry;
 use lockcroft_table_format::ProxyAssignment;
 use lockcroft_table_store::{AppliedSnapshot, WrittenSnapshot};
@@ -92,7 +93,7 @@
     /// Connections can't be made.
     pub is_unreachable: bool,
     responses: VecDeque<String>,
-    file_commands: FileCommands,
+    file_commands: SnapshotCommands,
     reads_files: bool,
     /// It reads files, and applies none of them for now.
     pub is_lagging: bool,
@@ -102,22 +103,22 @@
 
 impl FakeProxy {
     fn new(proxy: usize, standing: &[(String, std::net::SocketAddr)], reads_files: bool) -> Self {
-        let limits = Limits {
-            way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
-            outstanding_most: 0,
-            shuns_after: 0,
-            shuns_for: ms(0),
+        let limits = LoadBalancingLimits {
+            policy: LoadBalancingPolicy::SmoothWeightedRoundRobin,
+            max_in_flight: 0,
+            ejection_threshold: 0,
+            ejection_time: ms(0),
         };
         let classes = ["look-up".to_string()];
         FakeProxy {
             routing: RoutingState::new(&format!("r{proxy}"), &classes, standing, limits, proxy as u64),
             reader: CommandReader::default(),
-            queue: CommandQueue::new(Level::Admin),
+            queue: CommandQueue::new(AccessLevel::Admin),
             connection: None,
             is_silent: false,
             is_unreachable: false,
             responses: VecDeque::new(),
-            file_commands: FileCommands::default(),
+            file_commands: SnapshotCommands::default(),
             reads_files,
             is_lagging: false,
             applied_version: 0,
@@ -259,16 +260,16 @@
         *since = self.now;
         for (proxy, rate) in self.proxies.iter_mut().zip(requests_per_second) {
             for request in 0..*rate * span / 1000 {
-                if !proxy.routing.lets_in("look-up", 0.5) {
+                if !proxy.routing.admit("look-up", 0.5) {
                     continue;
                 }
                 let Choice::Endpoint(chosen) = proxy.routing.choose(self.now, "look-up", None) else {
                     continue;
                 };
-                let endpoint = chosen.server[1..].parse::<usize>().expect("a number");
+                let endpoint = chosen.endpoint[1..].parse::<usize>().expect("a number");
                 let succeeds = request % *one_in == 0;
-                let outcome = if succeeds { AttemptOutcome::Answered(200) } else { AttemptOutcome::Late };
-                proxy.routing.ended(self.now, &chosen, outcome, latencies[endpoint]);
+                let outcome = if succeeds { AttemptOutcome::Answered(200) } else { AttemptOutcome::TimedOut };
+                proxy.routing.record_outcome(self.now, &chosen, outcome, latencies[endpoint]);
             }
         }
     }
@@ -365,7 +366,7 @@
         }
         fake.connection = Some(connection);
         fake.reader = CommandReader::default();
-        fake.queue = CommandQueue::new(Level::Admin);
+        fake.queue = CommandQueue::new(AccessLevel::Admin);
         self.fleet.connected(self.now, proxy, connection);
     }
 
@@ -375,12 +376,13 @@
         fake.reader.push(text.as_bytes());
         while let Ok(Some(commands)) = fake.reader.next_line() {
             let mut response = String::new();
-            fake.queue.line(&commands, &mut fake.routing, &mut response);
+            fake.queue.execute_line(&commands, &mut fake.routing, &mut response);
             fake.responses.push_back(response);
             for command in commands.iter().filter(|command| !matches!(command.word(0), Some("show" | "get")))
             {
                 let at = self.now.as_secs_f64();
-                writeln!(self.trace, "{at:.1} r{proxy}: {}", command.text()).expect("a string takes all");
+                writeln!(self.trace, "{at:.1} r{proxy}: {}", command.joined_words())
+                    .expect("a string takes all");
             }
         }
     }
@@ -415,15 +417,16 @@
             }
             let name = format!("r{number}");
             let group = content.group_of(&name).map(|number| content.groups[&number].clone());
-            let bound = group.unwrap_or_default().bound;
+            let bound = group.unwrap_or_default().assignments;
             let table =
                 |assignment: &ProxyAssignment| (assignment.table, content.tables[&assignment.table].clone());
             let tables = bound.values().map(table).collect();
-            let withdrawn = content.withdrawn.clone();
-            let snapshot = AppliedSnapshot { epoch: 1, version, bound, tables, withdrawn };
-            for command in proxy.file_commands.orders(&proxy.routing, &snapshot) {
-                proxy.routing.carry_out(&command).expect("a command that can be carried out");
-                writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.text())
+            let withdrawn = content.ejected.clone();
+            let snapshot =
+                AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+            for command in proxy.file_commands.commands(&proxy.routing, &snapshot) {
+                proxy.routing.execute(&command).expect("a command that can be carried out");
+                writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.joined_words())
                     .expect("a string takes all");
             }
             proxy.applied_version = version;
@@ -444,7 +447,7 @@
             while let Some(response) = proxy.responses.pop_front() {
                 reader.push(response.as_bytes());
             }
-            while let Some(response) = reader.next_answer() {
+            while let Some(response) = reader.next_response() {
                 any_delivered = true;
                 self.fleet.response_received(self.now, number, connection, &response);
             }
@@ -466,9 +469,9 @@
     /// Weight by endpoint that a proxy may really pick, for its one class.
     pub fn weights(&self, proxy: usize) -> Vec<(String, u32)> {
         let routing = &self.proxies[proxy].routing;
-        let backend = routing.map.get("look-up").map_or(STANDING, String::as_str);
-        let entries = routing.backends.get(backend).map(|backend| backend.lines()).unwrap_or_default();
-        let open = entries.iter().filter(|entry| entry.open());
+        let backend = routing.class_map.get("look-up").map_or(DEFAULT_TABLE, String::as_str);
+        let entries = routing.backends.get(backend).map(|backend| backend.entries()).unwrap_or_default();
+        let open = entries.iter().filter(|entry| entry.is_open());
         let mut weights: Vec<_> = open.map(|entry| (entry.name.to_string(), entry.weight)).collect();
         weights.sort();
         weights
--- a/crates/fleet/tests/updates/state_recovery.rs
+++ b/crates/fleet/tests/updates/state_recovery.rs
@@ -10,12 +10,12 @@
     simulation
         .saved_state
         .iter()
-        .map(|entry| (entry.key.clone(), (entry.at_ms, entry.what.clone())))
+        .map(|entry| (entry.key.clone(), (entry.at_ms, entry.value.clone())))
         .collect()
 }
 
 fn recovered(state: &State, at_ms: u64) -> RecoveredState {
-    age(state, at_ms, &AgeingRules { report_period: ms(1000), warm_within: ms(10_000) })
+    age(state, at_ms, &AgeingRules { report_period: ms(1000), slow_start_window: ms(10_000) })
 }
 
 /// A controller that recovers its state, and then sees the list.
@@ -30,7 +30,7 @@
     let mut simulation = restarted(Simulation::without_list(3, 1), RecoveredState::default());
     simulation.run_to(8000);
     let given_out = simulation.saved_state.len();
-    assert!(simulation.saved_state.iter().any(|entry| entry.key == Key::Server("e1".into())));
+    assert!(simulation.saved_state.iter().any(|entry| entry.key == Key::Endpoint("e1".into())));
     simulation.run_to(20_000);
     assert_eq!(
         simulation.saved_state.len(),
@@ -41,7 +41,7 @@
     simulation.set_status(1, EndpointStatus::Draining);
     simulation.run_to(21_000);
     let last = simulation.saved_state.last().expect("given out");
-    assert!(matches!(&last.what, EntryValue::Server(note) if note.draining), "{last:?}");
+    assert!(matches!(&last.value, EntryValue::Endpoint(note) if note.draining), "{last:?}");
     assert_eq!(simulation.saved_state.len(), given_out + 1);
 }
 
@@ -119,9 +119,15 @@
     before.run_to(10_000);
     let state = saved(&before);
     let ahead = recovered(&state, 1);
-    assert!(ahead.ahead > 0 && ahead.levels.is_empty() && ahead.sizes.is_empty(), "{ahead:?}");
     assert!(
-        ahead.servers.iter().all(|server| server.out && server.relief == 1.0 && server.warming.is_none()),
+        ahead.future_entries > 0 && ahead.admission_rates.is_empty() && ahead.capacities.is_empty(),
+        "{ahead:?}"
+    );
+    assert!(
+        ahead
+            .endpoints
+            .iter()
+            .all(|server| server.not_ready && server.weight_factor == 1.0 && server.slow_start.is_none()),
         "{ahead:?}"
     );
 }
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -49,7 +49,7 @@
         &simulation.trace.lines().filter(|line| line.contains("lays")).collect::<Vec<_>>().join("\n"),
     );
     let (_, publication) = simulation.current_snapshot.clone().expect("written");
-    assert!(publication.content.groups.is_empty() && publication.keep.earlier_epochs);
+    assert!(publication.content.groups.is_empty() && publication.keep.keep_earlier_epochs);
 }
 
 /// Its connection is broken, and files reach it all the same.
--- a/crates/platform/src/io/connection.rs
+++ b/crates/platform/src/io/connection.rs
@@ -154,7 +154,7 @@
     }
 
     fn release_large_buffer(&mut self) {
-        if self.inbox.waiting().is_empty() && self.inbox.buffer().capacity() > MAX_KEPT_BUFFER_BYTES {
+        if self.inbox.pending().is_empty() && self.inbox.buffer().capacity() > MAX_KEPT_BUFFER_BYTES {
             self.inbox = LineBuffer::default();
         }
     }
@@ -175,7 +175,7 @@
             control_plane.line_received(self.shared.now(), connection, line);
         };
         while self.inbox.next_line(&mut handle_line).is_some() {}
-        if self.inbox.waiting().len() > control_plane.max_line_bytes(connection) {
+        if self.inbox.pending().len() > control_plane.max_line_bytes(connection) {
             control_plane.reject(connection, "a message without end");
         }
         drop(control_plane);
@@ -198,7 +198,7 @@
     /// The other end sends no more. Its last line may lack its end; it still gets what is pending, as it may have
     /// closed its sending side only.
     async fn end_of_input(mut self) -> io::Result<()> {
-        let rest = self.inbox.waiting();
+        let rest = self.inbox.pending();
         if !rest.is_empty() {
             let now = self.shared.now();
             self.shared.control_plane.borrow_mut().line_received(now, self.connection, rest);
--- a/crates/platform/tests/controller/framing.rs
+++ b/crates/platform/tests/controller/framing.rs
@@ -39,7 +39,7 @@
                     lines.push(line);
                 }
             }
-            (lines, inbox.waiting().to_vec())
+            (lines, inbox.pending().to_vec())
         };
         let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -144,9 +144,9 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
         let mut config = ProxyConfig::new("p", any, vec![Address::Unix(socket)], classes);
-        config.standing = vec![("e1".into(), endpoint)];
+        config.default_table = vec![("e1".into(), endpoint)];
         let proxy = Proxy::start(config).await.expect("started");
-        started.send(proxy.visits).expect("awaited");
+        started.send(proxy.request_address).expect("awaited");
         std::future::pending::<()>().await;
     })
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -12,7 +12,7 @@
     /// The connection broke after the first byte of the request, or the response was incomplete.
     ConnectionBroken,
     /// No response came within the time limit. The endpoint may still be executing the request.
-    Late,
+    TimedOut,
 }
 
 impl AttemptOutcome {
--- a/crates/proxy/src/command_queue.rs
+++ b/crates/proxy/src/command_queue.rs
@@ -3,10 +3,10 @@
 //! that HAProxy's Management Guide has for maps. A controller that names its epoch is fenced off by a later one.
 
 use lockcroft_runtime_api::{
-    Command, CommandEntry, CommandHandler, CommandResult, Level, Session, SessionState,
+    AccessLevel, Command, CommandEntry, CommandHandler, CommandResult, Session, SessionState,
 };
 
-use crate::commands::{CommandError, changes, parse_int_expression};
+use crate::commands::{CommandError, changes_state, parse_int_expression};
 use crate::routing::RoutingState;
 use crate::table_transaction::{Replay, TableTransaction};
 
@@ -32,12 +32,17 @@
 impl CommandQueue {
     /// A connection on which commands of this level are allowed.
     #[must_use]
-    pub fn new(level: Level) -> Self {
+    pub fn new(level: AccessLevel) -> Self {
         CommandQueue { session: Session::new(level), epoch: None, prepared: None }
     }
 
     /// Carries out a line of commands at once. If one of them is refused, none takes effect, and each says so.
-    pub fn line(&mut self, commands: &[Command], state: &mut RoutingState, out: &mut String) -> SessionState {
+    pub fn execute_line(
+        &mut self,
+        commands: &[Command],
+        state: &mut RoutingState,
+        out: &mut String,
+    ) -> SessionState {
         let mut transaction = self.begin(commands.to_vec(), state);
         while !self.step(&mut transaction) {}
         self.finish(transaction, state, out)
@@ -104,7 +109,7 @@
         let mut text = String::new();
         transaction.session_state = self.session.execute(command, &mut handler, &mut text);
         transaction.answers.push(text);
-        if changes(command)
+        if changes_state(command)
             && let Some(prepared) = &mut self.prepared
         {
             prepared.commands.push(command.clone());
@@ -117,7 +122,7 @@
         command: &Command,
         transaction: &mut TableTransaction,
     ) -> Option<Result<String, CommandError>> {
-        if !self.session.allows(Level::Admin) {
+        if !self.session.allows(AccessLevel::Admin) {
             return None;
         }
         let state = &mut transaction.staged;
@@ -130,7 +135,7 @@
         if let ["set", "var", "proc.epoch", expression] = words[..] {
             return Some(self.set_epoch(expression, state));
         }
-        if changes(command) && superseded {
+        if changes_state(command) && superseded {
             return Some(Err(CommandError::Superseded { epoch: state.epoch }));
         }
         match words[..] {
@@ -164,7 +169,7 @@
         let prepared = self.prepared.take().filter(|prepared| prepared.version == version);
         let prepared = prepared.ok_or(CommandError::VersionOutOfRange)?;
         let staged = &transaction.staged;
-        if version <= staged.committed {
+        if version <= staged.committed_version {
             return Err(CommandError::VersionOutOfRange);
         }
         transaction.replay =
@@ -185,7 +190,7 @@
     }
 
     fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
-        let result = self.state.carry_out(command);
+        let result = self.state.execute(command);
         CommandResult::Text(TableTransaction::answer_text(self.rejection, command, result))
     }
 }
--- a/crates/proxy/src/commands/maps.rs
+++ b/crates/proxy/src/commands/maps.rs
@@ -24,7 +24,7 @@
         }
         let map = match version {
             Some(version) => self.prepared_maps.get_mut(&version).ok_or(CommandError::VersionOutOfRange)?,
-            None => &mut self.map,
+            None => &mut self.class_map,
         };
         if words[0] == "show" && arguments.is_empty() {
             return Ok(show_map(map));
@@ -41,7 +41,7 @@
 
     fn commit_map(&mut self, version: Option<u64>) -> CommandOutput {
         let version = version.ok_or(CommandError::MissingVersion)?;
-        self.map = self.prepared_maps.remove(&version).ok_or(CommandError::VersionOutOfRange)?;
+        self.class_map = self.prepared_maps.remove(&version).ok_or(CommandError::VersionOutOfRange)?;
         // A version that was prepared before this one is older than what is in force now.
         self.prepared_maps.retain(|number, _| *number > version);
         Ok(String::new())
--- a/crates/proxy/src/commands/mod.rs
+++ b/crates/proxy/src/commands/mod.rs
@@ -7,7 +7,7 @@
 mod show;
 mod variables;
 
-use lockcroft_runtime_api::{Command, CommandEntry, CommandHandler, CommandResult, Level};
+use lockcroft_runtime_api::{AccessLevel, Command, CommandEntry, CommandHandler, CommandResult};
 
 pub use error::CommandError;
 pub use servers::MAX_BACKENDS;
@@ -16,36 +16,40 @@
 use crate::routing::RoutingState;
 
 const COMMANDS: [CommandEntry; 21] = [
-    command(Level::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
-    command(Level::Admin, "del server <b>/<s>", "delete a server that is in maintenance"),
-    command(Level::Admin, "set server <b>/<s> weight|state|addr <v>", "change a server"),
-    command(Level::Admin, "enable server <b>/<s>", "end maintenance"),
-    command(Level::Admin, "disable server <b>/<s>", "begin maintenance"),
-    command(Level::Admin, "set weight <b>/<s> <n>", "change a server's weight"),
-    command(Level::User, "get weight <b>/<s>", "a server's weight, now and at first"),
-    command(Level::User, "show servers state [<backend>]", "all servers with state and weight"),
-    command(Level::User, "show stat", "counters as CSV"),
-    command(Level::User, "show info", "what this proxy is"),
-    command(Level::User, "show backend", "the backends in use"),
-    command(Level::User, "show version", "the version of the program"),
-    command(Level::Operator, "show map [<map>]", "the entries of a map"),
-    command(Level::Admin, "set map <map> <key> <value>", "change an entry that is there"),
-    command(Level::Admin, "add map [@<ver>] <map> [<key> <value>]", "add an entry, or those of a payload"),
-    command(Level::Admin, "del map <map> <key>", "delete an entry"),
-    command(Level::Admin, "clear map <map>", "delete all entries"),
-    command(Level::Admin, "prepare map <map>", "begin a new version of a map"),
-    command(Level::Admin, "commit map @<ver> <map>", "put a prepared version in force"),
-    command(Level::Admin, "set var <name> int(<n>)", "set a variable of the process"),
-    command(Level::Operator, "get var <name>", "a variable of the process"),
+    command(AccessLevel::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
+    command(AccessLevel::Admin, "del server <b>/<s>", "delete a server that is in maintenance"),
+    command(AccessLevel::Admin, "set server <b>/<s> weight|state|addr <v>", "change a server"),
+    command(AccessLevel::Admin, "enable server <b>/<s>", "end maintenance"),
+    command(AccessLevel::Admin, "disable server <b>/<s>", "begin maintenance"),
+    command(AccessLevel::Admin, "set weight <b>/<s> <n>", "change a server's weight"),
+    command(AccessLevel::User, "get weight <b>/<s>", "a server's weight, now and at first"),
+    command(AccessLevel::User, "show servers state [<backend>]", "all servers with state and weight"),
+    command(AccessLevel::User, "show stat", "counters as CSV"),
+    command(AccessLevel::User, "show info", "what this proxy is"),
+    command(AccessLevel::User, "show backend", "the backends in use"),
+    command(AccessLevel::User, "show version", "the version of the program"),
+    command(AccessLevel::Operator, "show map [<map>]", "the entries of a map"),
+    command(AccessLevel::Admin, "set map <map> <key> <value>", "change an entry that is there"),
+    command(
+        AccessLevel::Admin,
+        "add map [@<ver>] <map> [<key> <value>]",
+        "add an entry, or those of a payload",
+    ),
+    command(AccessLevel::Admin, "del map <map> <key>", "delete an entry"),
+    command(AccessLevel::Admin, "clear map <map>", "delete all entries"),
+    command(AccessLevel::Admin, "prepare map <map>", "begin a new version of a map"),
+    command(AccessLevel::Admin, "commit map @<ver> <map>", "put a prepared version in force"),
+    command(AccessLevel::Admin, "set var <name> int(<n>)", "set a variable of the process"),
+    command(AccessLevel::Operator, "get var <name>", "a variable of the process"),
 ];
 
-const fn command(level: Level, words: &'static str, help: &'static str) -> CommandEntry {
+const fn command(level: AccessLevel, words: &'static str, help: &'static str) -> CommandEntry {
     CommandEntry { words, level, help }
 }
 
 /// Whether a command may change the routing state.
 #[must_use]
-pub fn changes(command: &Command) -> bool {
+pub fn changes_state(command: &Command) -> bool {
     let first = command.word(0);
     matches!(first, Some("add" | "del" | "set" | "prepare" | "commit" | "clear" | "enable" | "disable"))
 }
@@ -56,7 +60,7 @@
     }
 
     fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
-        CommandResult::Text(self.carry_out(command).unwrap_or_else(|error| format!("{error}\n")))
+        CommandResult::Text(self.execute(command).unwrap_or_else(|error| format!("{error}\n")))
     }
 }
 
@@ -65,7 +69,7 @@
     ///
     /// # Errors
     /// The command was refused and changed nothing, but for the lines of a payload before the one at fault.
-    pub fn carry_out(&mut self, command: &Command) -> Result<String, CommandError> {
+    pub fn execute(&mut self, command: &Command) -> Result<String, CommandError> {
         let words: Vec<&str> = command.words.iter().map(String::as_str).collect();
         match words[..] {
             ["add", "server", path, address, ref options @ ..] => self.add_server(path, address, options),
--- a/crates/proxy/src/commands/servers.rs
+++ b/crates/proxy/src/commands/servers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::error::{CommandError, CommandOutput};
-use crate::routing::{Backend, MAX_WEIGHT, RoutingState, STANDING, TableEntry};
+use crate::routing::{Backend, DEFAULT_TABLE, MAX_WEIGHT, RoutingState, TableEntry};
 
 /// Servers can be added to the backends `t0` up to, but not including, this number. HAProxy can't add
 /// backends at run time, so every proxy's settings name all of them.
@@ -26,7 +26,7 @@
     /// Whether a server may be added to this backend.
     fn has_known_backend(self) -> bool {
         let number = self.backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
-        self.backend == STANDING || number.is_some_and(|number| number < MAX_BACKENDS)
+        self.backend == DEFAULT_TABLE || number.is_some_and(|number| number < MAX_BACKENDS)
     }
 }
 
@@ -53,7 +53,7 @@
         if !path.has_known_backend() {
             return Err(CommandError::NoSuchBackend);
         }
-        let policy = self.limits.way;
+        let policy = self.limits.policy;
         let backend = self
             .backends
             .entry(path.backend.into())
--- a/crates/proxy/src/commands/show.rs
+++ b/crates/proxy/src/commands/show.rs
@@ -14,7 +14,7 @@
         }
         let selected = self.backends.iter().filter(|(name, _)| backend.is_none_or(|wanted| wanted == *name));
         let rows: Vec<StateRow> = selected
-            .flat_map(|(name, backend)| backend.lines().iter().map(|entry| state_row(name, entry)))
+            .flat_map(|(name, backend)| backend.entries().iter().map(|entry| state_row(name, entry)))
             .collect();
         Ok(write_states(&rows))
     }
@@ -24,7 +24,7 @@
         let entries = self
             .backends
             .iter()
-            .flat_map(|(name, backend)| backend.lines().iter().map(|entry| entry_row(name, entry)));
+            .flat_map(|(name, backend)| backend.entries().iter().map(|entry| entry_row(name, entry)));
         write_stat(&frontends.chain(entries).collect::<Vec<_>>())
     }
 
@@ -40,7 +40,7 @@
     pub(super) fn show_backends(&self) -> String {
         let mut text = "# name version lines\n".to_string();
         for (name, backend) in &self.backends {
-            text += &format!("{name} {} {}\n", backend.version, backend.lines().len());
+            text += &format!("{name} {} {}\n", backend.version, backend.entries().len());
         }
         text
     }
@@ -51,11 +51,11 @@
     let drain = if entry.draining { FORCED_DRAIN } else { 0 };
     StateRow {
         backend: backend.to_string(),
-        server: entry.name.to_string(),
+        endpoint: entry.name.to_string(),
         address: entry.address.ip().to_string(),
         port: entry.address.port(),
         running: !entry.in_maintenance,
-        admin: maintenance | drain,
+        admin_state: maintenance | drain,
         weight: entry.weight,
         health: 0,
     }
@@ -64,10 +64,10 @@
 fn frontend_row(class: &str, frontend: &Frontend) -> StatRow {
     StatRow {
         name: class.to_string(),
-        server: "FRONTEND".into(),
+        endpoint: "FRONTEND".into(),
         status: "OPEN".into(),
         total: frontend.requests,
-        denied: frontend.shed,
+        shed: frontend.shed,
         ..StatRow::default()
     }
 }
@@ -80,15 +80,15 @@
     };
     StatRow {
         name: backend.to_string(),
-        server: entry.name.to_string(),
+        endpoint: entry.name.to_string(),
         status: status.into(),
         weight: u64::from(entry.weight),
         total: entry.attempts,
-        connect_failed: entry.connect_errors,
-        answer_failed: entry.response_errors,
-        answered_5xx: entry.responses_5xx,
-        mean_ms: entry.mean_latency_ms as u64,
-        sum_ms: Some(entry.total_latency_ms as u64),
+        connect_errors: entry.connect_errors,
+        response_errors: entry.response_errors,
+        responses_5xx: entry.responses_5xx,
+        mean_latency_ms: entry.mean_latency_ms as u64,
+        total_latency_ms: Some(entry.total_latency_ms as u64),
         ..StatRow::default()
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::choose::LoadBalancingPolicy;
-use crate::routing::Limits;
+use crate::routing::LoadBalancingLimits;
 
 /// The schema of the configuration file.
 pub const SCHEMA: &str = include_str!("../proxy.xsd");
@@ -25,13 +25,13 @@
     /// The proxy's name, as controllers and table files know it.
     pub name: String,
     /// Where requests come in.
-    pub visits: SocketAddr,
+    pub request_address: SocketAddr,
     /// Where control connections come in.
     pub control_addresses: Vec<Address>,
     /// Form and levels of the log.
     pub log: LogConfig,
     /// Load balancing and local outlier ejection.
-    pub limits: Limits,
+    pub limits: LoadBalancingLimits,
     /// Seed of random choices.
     pub seed: u64,
     /// Client connections at a time; more are closed at once.
@@ -43,13 +43,13 @@
     /// Time limit for a connection to an endpoint.
     pub connect_timeout: Duration,
     /// A connection to an endpoint that was not used for this long is closed.
-    pub idle_most: Duration,
+    pub idle_timeout: Duration,
     /// Time limit for an attempt.
-    pub try_most: Duration,
+    pub attempt_timeout: Duration,
     /// Retries allowed per first attempt.
-    pub second_share: f64,
+    pub retry_ratio: f64,
     /// Requests that may wait for capacity at an endpoint.
-    pub waiting_most: usize,
+    pub max_queued_requests: usize,
     /// How long a request may wait for capacity.
     pub queue_timeout: Duration,
     /// The `Retry-After` of rejected requests.
@@ -59,9 +59,9 @@
     /// Classes of requests, with the timeout of clients that don't send theirs.
     pub classes: Vec<(String, Duration)>,
     /// The default table: endpoints by name.
-    pub standing: Vec<(String, SocketAddr)>,
+    pub default_table: Vec<(String, SocketAddr)>,
     /// The snapshot folder from which tables are read, where that is wanted beside the control connections.
-    pub files: Option<TableFilesConfig>,
+    pub table_files: Option<TableFilesConfig>,
 }
 
 /// How a proxy follows a snapshot folder.
@@ -70,9 +70,9 @@
     /// The folder that controllers write snapshots to.
     pub folder: PathBuf,
     /// The file of the keys that vouch for snapshots.
-    pub keys: PathBuf,
+    pub key_file: PathBuf,
     /// The folder is read this often, whatever file events are seen.
-    pub look_every: Duration,
+    pub poll_interval: Duration,
 }
 
 impl ProxyConfig {
@@ -86,30 +86,30 @@
     ) -> Self {
         ProxyConfig {
             name: name.into(),
-            visits: request_address,
+            request_address,
             control_addresses,
             log: LogConfig::default(),
-            limits: Limits {
-                way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
-                outstanding_most: 0,
-                shuns_after: 0,
-                shuns_for: Duration::from_secs(5),
+            limits: LoadBalancingLimits {
+                policy: LoadBalancingPolicy::SmoothWeightedRoundRobin,
+                max_in_flight: 0,
+                ejection_threshold: 0,
+                ejection_time: Duration::from_secs(5),
             },
             seed: 0,
             max_clients: 4096,
             header_timeout: Duration::from_secs(10),
             max_buffered_body_bytes: 65_536,
             connect_timeout: Duration::from_millis(500),
-            idle_most: Duration::from_secs(15),
-            try_most: Duration::from_secs(60),
-            second_share: 0.1,
-            waiting_most: 100,
+            idle_timeout: Duration::from_secs(15),
+            attempt_timeout: Duration::from_secs(60),
+            retry_ratio: 0.1,
+            max_queued_requests: 100,
             queue_timeout: Duration::from_millis(100),
             retry_after: Duration::from_secs(1),
             stall_per_command: Duration::ZERO,
             classes,
-            standing: Vec::new(),
-            files: None,
+            default_table: Vec::new(),
+            table_files: None,
         }
     }
 
@@ -133,9 +133,9 @@
         };
         let name = root.attribute("name").unwrap_or_default();
         let mut config = ProxyConfig::new(name, request_address, lists.control_addresses, lists.classes);
-        config.standing = lists.default_table;
+        config.default_table = lists.default_table;
         let base = file.parent().unwrap_or(Path::new("."));
-        config.files = child(root, "files").map(|node| TableFilesConfig::read(node, base));
+        config.table_files = child(root, "files").map(|node| TableFilesConfig::read(node, base));
         config.read_options(root);
         Ok(config)
     }
@@ -148,25 +148,25 @@
         requests.value("keep-most-bytes", &mut self.max_buffered_body_bytes);
 
         let load_balancing = OptionalAttributes(child(root, "choosing"));
-        load_balancing.value("way", &mut self.limits.way);
+        load_balancing.value("way", &mut self.limits.policy);
         load_balancing.value("seed", &mut self.seed);
-        load_balancing.value("shuns-after", &mut self.limits.shuns_after);
-        load_balancing.duration("shuns-for", &mut self.limits.shuns_for);
+        load_balancing.value("shuns-after", &mut self.limits.ejection_threshold);
+        load_balancing.duration("shuns-for", &mut self.limits.ejection_time);
 
         let attempts = OptionalAttributes(child(root, "tries"));
         attempts.duration("connect-within", &mut self.connect_timeout);
-        attempts.duration("idle-most", &mut self.idle_most);
-        attempts.duration("try-most", &mut self.try_most);
-        attempts.value("second-share", &mut self.second_share);
+        attempts.duration("idle-most", &mut self.idle_timeout);
+        attempts.duration("try-most", &mut self.attempt_timeout);
+        attempts.value("second-share", &mut self.retry_ratio);
 
         let limits = OptionalAttributes(child(root, "limits"));
-        limits.value("outstanding-most", &mut self.limits.outstanding_most);
-        limits.value("waiting-most", &mut self.waiting_most);
+        limits.value("outstanding-most", &mut self.limits.max_in_flight);
+        limits.value("waiting-most", &mut self.max_queued_requests);
         limits.duration("waiting-for", &mut self.queue_timeout);
         limits.duration("retry-after", &mut self.retry_after);
         limits.duration("stall-a-line", &mut self.stall_per_command);
 
-        self.log = LogConfig::read(child(root, "log"));
+        self.log = LogConfig::from_element(child(root, "log"));
     }
 }
 
@@ -176,8 +176,8 @@
         OptionalAttributes(Some(node)).duration("look-every", &mut poll_interval);
         TableFilesConfig {
             folder: base.join(node.attribute("folder").unwrap_or_default()),
-            keys: base.join(node.attribute("keys").unwrap_or_default()),
-            look_every: poll_interval,
+            key_file: base.join(node.attribute("keys").unwrap_or_default()),
+            poll_interval,
         }
     }
 }
--- a/crates/proxy/src/io/attempt.rs
+++ b/crates/proxy/src/io/attempt.rs
@@ -64,7 +64,7 @@
 ) -> AttemptResult {
     timeout(time_limit, exchange(request, endpoint, body, worker))
         .await
-        .unwrap_or_else(|_| AttemptResult::failed(AttemptOutcome::Late, StatusCode::GATEWAY_TIMEOUT))
+        .unwrap_or_else(|_| AttemptResult::failed(AttemptOutcome::TimedOut, StatusCode::GATEWAY_TIMEOUT))
 }
 
 /// Sends a request over an idle connection or, where there is none or it was closed before a byte was
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_runtime_api::{Command, CommandReader, Level, Listener, SessionState, Stream};
+use lockcroft_runtime_api::{AccessLevel, Command, CommandReader, Listener, SessionState, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
@@ -29,7 +29,7 @@
 
 async fn converse(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
     let mut reader = CommandReader::default();
-    let mut queue = CommandQueue::new(Level::Admin);
+    let mut queue = CommandQueue::new(AccessLevel::Admin);
     loop {
         while let Some(commands) = next_line(&mut reader)? {
             worker.stall(&commands);
@@ -58,7 +58,7 @@
     out: &mut String,
 ) -> SessionState {
     if let [command] = &commands[..]
-        && command.text() == SHOW_LATENCIES
+        && command.joined_words() == SHOW_LATENCIES
     {
         out.push_str(&worker.latencies.borrow().show());
         return SessionState::Stay;
--- a/crates/proxy/src/io/folder_watch.rs
+++ b/crates/proxy/src/io/folder_watch.rs
@@ -132,6 +132,6 @@
 /// The folders in which something new may appear: that of all epochs, and that of the latest epoch.
 fn folders_to_watch(folder: &Path) -> Vec<PathBuf> {
     let layout = StoreLayout::new(folder);
-    let latest = layout.epochs().unwrap_or_default().first().map(|epoch| layout.epoch(*epoch));
+    let latest = layout.epochs().unwrap_or_default().first().map(|epoch| layout.epoch_directory(*epoch));
     std::iter::once(folder.to_path_buf()).chain(latest).collect()
 }
--- a/crates/proxy/src/io/forward.rs
+++ b/crates/proxy/src/io/forward.rs
@@ -69,7 +69,7 @@
 }
 
 async fn respond(request: &RequestHead, body: Incoming, worker: &Worker) -> FinalResponse {
-    if !worker.state().lets_in(&request.class, client_draw(request)) {
+    if !worker.state().admit(&request.class, client_draw(request)) {
         return FinalResponse::without_attempt(rejection(worker));
     }
     let time_left = request.deadline.saturating_sub(worker.now());
@@ -85,7 +85,7 @@
     let mut attempts = 0;
     let mut previous: Option<ChosenEndpoint> = None;
     loop {
-        let excluded = previous.as_ref().map(|endpoint| endpoint.server.as_str());
+        let excluded = previous.as_ref().map(|endpoint| endpoint.endpoint.as_str());
         let Some(endpoint) = wait_for_endpoint(request, excluded, worker).await else {
             return FinalResponse { response: rejection(worker), attempts };
         };
@@ -110,13 +110,13 @@
     worker: &Worker,
 ) -> AttemptResult {
     let started_at = worker.now();
-    let time_limit = request.deadline.saturating_sub(started_at).min(worker.config.try_most);
+    let time_limit = request.deadline.saturating_sub(started_at).min(worker.config.attempt_timeout);
     let result = attempt(request, endpoint, body, time_limit, worker).await;
     let latency = worker.now() - started_at;
-    worker.state().ended(worker.now(), endpoint, result.outcome, latency);
+    worker.state().record_outcome(worker.now(), endpoint, result.outcome, latency);
     worker.capacity.notify_waiters();
     if !result.outcome.is_failure() {
-        worker.latencies.borrow_mut().record(&endpoint.server, &request.class, latency);
+        worker.latencies.borrow_mut().record(&endpoint.endpoint, &request.class, latency);
     }
     result
 }
@@ -132,7 +132,7 @@
         Choice::NoEndpoint => return None,
         Choice::Saturated => {}
     }
-    if worker.queued_requests.get() >= worker.config.waiting_most {
+    if worker.queued_requests.get() >= worker.config.max_queued_requests {
         return None;
     }
     worker.queued_requests.set(worker.queued_requests.get() + 1);
--- a/crates/proxy/src/io/server.rs
+++ b/crates/proxy/src/io/server.rs
@@ -19,7 +19,7 @@
 /// A running proxy. It ends when this is dropped, with all its connections.
 pub struct Proxy {
     /// Where it takes requests.
-    pub visits: SocketAddr,
+    pub request_address: SocketAddr,
     worker: Rc<Worker>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -30,17 +30,17 @@
     /// # Errors
     /// A socket can't be bound, or the keys of table files can't be read.
     pub async fn start(config: ProxyConfig) -> io::Result<Self> {
-        let listener = TcpListener::bind(config.visits).await?;
+        let listener = TcpListener::bind(config.request_address).await?;
         let request_address = listener.local_addr()?;
         let worker = Rc::new(Worker::new(config));
         // Tasks that run already end with the proxy if a later step fails.
-        let mut proxy = Proxy { visits: request_address, worker: worker.clone(), tasks: Vec::new() };
+        let mut proxy = Proxy { request_address, worker: worker.clone(), tasks: Vec::new() };
         for address in &worker.config.control_addresses {
             let listener = Listener::bind(address).await?;
             proxy.tasks.push(spawn_local(control::accept_connections(listener, worker.clone())));
         }
         proxy.tasks.push(spawn_local(clients::accept_connections(listener, worker.clone())));
-        if let Some(config) = worker.config.files.clone() {
+        if let Some(config) = worker.config.table_files.clone() {
             let reader = table_files::open_reader(&worker.config.name, &config)?;
             proxy.tasks.push(spawn_local(table_files::follow(worker.clone(), config, reader)));
         }
@@ -67,7 +67,7 @@
 
 async fn close_idle_connections(worker: Rc<Worker>) {
     // Twice within the time that a connection may be idle.
-    let interval = (worker.config.idle_most / 2).max(MIN_CLEANUP_INTERVAL);
+    let interval = (worker.config.idle_timeout / 2).max(MIN_CLEANUP_INTERVAL);
     loop {
         tokio::time::sleep(interval).await;
         worker.connections.borrow_mut().close_idle();
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-use lockcroft_runtime_api::Level;
+use lockcroft_runtime_api::AccessLevel;
 use lockcroft_table_format::proto;
 use lockcroft_table_store::{
     AppliedSnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, read_keys, write_status,
@@ -18,7 +18,7 @@
 use super::worker::Worker;
 use crate::command_queue::CommandQueue;
 use crate::config::TableFilesConfig;
-use crate::snapshot_commands::FileCommands;
+use crate::snapshot_commands::SnapshotCommands;
 
 /// Applied snapshots that the status file lists.
 const MAX_STATUS_ENTRIES: usize = 32;
@@ -28,8 +28,9 @@
 /// # Errors
 /// The keys can't be read.
 pub fn open_reader(proxy: &str, config: &TableFilesConfig) -> io::Result<SnapshotReader> {
-    let keys = read_keys(&config.keys).map_err(io::Error::other)?;
-    let applied = StatusReader::of(&config.folder, proxy).and_then(|status| status.laid.last().cloned());
+    let keys = read_keys(&config.key_file).map_err(io::Error::other)?;
+    let applied =
+        StatusReader::read_one(&config.folder, proxy).and_then(|status| status.laid.last().cloned());
     let position = applied.map(|applied| (applied.epoch, applied.version));
     Ok(SnapshotReader::new(&config.folder, proxy, keys, position))
 }
@@ -37,9 +38,9 @@
 /// Follows the folder until dropped.
 pub async fn follow(worker: Rc<Worker>, config: TableFilesConfig, reader: SnapshotReader) {
     let mut watch = FolderWatch::new(&config.folder);
-    let poll_interval = config.look_every;
+    let poll_interval = config.poll_interval;
     let mut follower = Follower::new(worker, &config);
-    let mut scanner = FolderScanner { reader, keys: config.keys };
+    let mut scanner = FolderScanner { reader, keys: config.key_file };
     loop {
         let (returned, result) = run_blocking(Priority::Read, move || {
             let result = scanner.scan();
@@ -64,12 +65,12 @@
 
 impl FolderScanner {
     fn scan(&mut self) -> io::Result<ScanResult> {
-        let scan = self.reader.look()?;
+        let scan = self.reader.scan()?;
         // The keys may have been rotated: what they don't vouch for is read once more with the current ones.
-        let has_unknown_seal = scan.refused.iter().any(|refused| refused.why.contains("no seal"));
+        let has_unknown_seal = scan.rejected.iter().any(|refused| refused.reason.contains("no seal"));
         if has_unknown_seal && let Ok(keys) = read_keys(&self.keys) {
-            self.reader.turn_over(keys);
-            return self.reader.look();
+            self.reader.replace_keys(keys);
+            return self.reader.scan();
         }
         Ok(scan)
     }
@@ -79,7 +80,7 @@
 struct Follower {
     worker: Rc<Worker>,
     folder: PathBuf,
-    commands: FileCommands,
+    commands: SnapshotCommands,
     queue: CommandQueue,
     status: proto::Status,
     /// The error that was logged last, so that it is not logged at each scan.
@@ -89,11 +90,11 @@
 impl Follower {
     fn new(worker: Rc<Worker>, config: &TableFilesConfig) -> Self {
         Follower {
-            status: proto::Status::of(&worker.config.name),
+            status: proto::Status::for_proxy(&worker.config.name),
             worker,
             folder: config.folder.clone(),
-            commands: FileCommands::default(),
-            queue: CommandQueue::new(Level::Admin),
+            commands: SnapshotCommands::default(),
+            queue: CommandQueue::new(AccessLevel::Admin),
             logged_error: String::new(),
         }
     }
@@ -109,10 +110,10 @@
     async fn apply_scan(&mut self, scan: ScanResult) {
         self.logged_error.clear();
         let mut status_changed = false;
-        for rejected in scan.refused {
+        for rejected in scan.rejected {
             status_changed |= self.record_rejection(rejected);
         }
-        for snapshot in &scan.lay {
+        for snapshot in &scan.to_apply {
             let batch_version = self.apply(snapshot).await;
             self.record_applied(snapshot, batch_version);
             status_changed = true;
@@ -124,7 +125,7 @@
 
     /// Notes a snapshot that is not valid; whether that is news.
     fn record_rejection(&mut self, rejected: RejectedSnapshot) -> bool {
-        let RejectedSnapshot { epoch, version, why } = rejected;
+        let RejectedSnapshot { epoch, version, reason: why } = rejected;
         let is_known = self
             .status
             .refused
@@ -139,7 +140,7 @@
     }
 
     fn record_applied(&mut self, snapshot: &AppliedSnapshot, batch_version: u64) {
-        let (epoch, version, assigned) = (snapshot.epoch, snapshot.version, !snapshot.bound.is_empty());
+        let (epoch, version, assigned) = (snapshot.epoch, snapshot.version, !snapshot.assignments.is_empty());
         info!(target: "lockcroft::table_files", epoch, version, batch = batch_version, assigned, "applied");
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         self.status.laid.push(proto::Laid {
@@ -160,7 +161,7 @@
 
     /// Applies a snapshot; the version of the batch that came of it, 0 if nothing changed.
     async fn apply(&mut self, snapshot: &AppliedSnapshot) -> u64 {
-        let commands = self.commands.orders(&self.worker.state(), snapshot);
+        let commands = self.commands.commands(&self.worker.state(), snapshot);
         if commands.is_empty() {
             return 0;
         }
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -9,7 +9,7 @@
 use super::connection_pool::ConnectionPool;
 use super::latencies::Latencies;
 use crate::command_queue::CommandQueue;
-use crate::commands::changes;
+use crate::commands::changes_state;
 use crate::config::ProxyConfig;
 use crate::retry_budget::RetryBudget;
 use crate::routing::RoutingState;
@@ -35,13 +35,14 @@
 impl Worker {
     pub fn new(config: ProxyConfig) -> Self {
         let classes: Vec<String> = config.classes.iter().map(|(name, _)| name.clone()).collect();
-        let state = RoutingState::new(&config.name, &classes, &config.standing, config.limits, config.seed);
+        let state =
+            RoutingState::new(&config.name, &classes, &config.default_table, config.limits, config.seed);
         Worker {
             started_at: Instant::now(),
             state: RefCell::new(state),
             staging: Mutex::new(()),
-            connections: RefCell::new(ConnectionPool::new(config.idle_most)),
-            retry_budget: RefCell::new(RetryBudget::new(config.second_share)),
+            connections: RefCell::new(ConnectionPool::new(config.idle_timeout)),
+            retry_budget: RefCell::new(RetryBudget::new(config.retry_ratio)),
             latencies: RefCell::default(),
             capacity: Notify::new(),
             queued_requests: Cell::new(0),
@@ -81,7 +82,7 @@
         out: &mut String,
     ) -> SessionState {
         let count = commands.len();
-        let has_changes = commands.iter().any(changes);
+        let has_changes = commands.iter().any(changes_state);
         let _exclusive = if has_changes { Some(self.staging.lock().await) } else { None };
         let mut transaction = queue.begin(commands, &self.state());
         while !queue.step(&mut transaction) {
@@ -94,7 +95,7 @@
 
     /// Blocks the whole proxy, where the configuration asks for this fault.
     pub fn stall(&self, commands: &[Command]) {
-        let count = commands.iter().filter(|command| changes(command)).count();
+        let count = commands.iter().filter(|command| changes_state(command)).count();
         let stall = self.config.stall_per_command * count as u32;
         if !stall.is_zero() {
             std::thread::sleep(stall);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,14 +20,14 @@
 pub use attempts::{AttemptOutcome, may_retry};
 pub use choose::{Chooser, LoadBalancingPolicy, SmoothWeightedRoundRobin, UnknownPolicy, WeightedRandom};
 pub use command_queue::CommandQueue;
-pub use commands::{CommandError, MAX_BACKENDS, changes};
+pub use commands::{CommandError, MAX_BACKENDS, changes_state};
 pub use config::{ProxyConfig, SCHEMA, TableFilesConfig};
 pub use framing_validator::{FramingError, FramingValidator};
 pub use io::{Proxy, serve};
 pub use retry_budget::RetryBudget;
 pub use routing::{
-    Backend, Choice, ChosenEndpoint, Frontend, Limits, MAX_WEIGHT, RoutingState, STANDING, TableEntry,
-    TableSet,
+    Backend, Choice, ChosenEndpoint, DEFAULT_TABLE, Frontend, LoadBalancingLimits, MAX_WEIGHT, RoutingState,
+    TableEntry, TableSet,
 };
-pub use snapshot_commands::FileCommands;
+pub use snapshot_commands::SnapshotCommands;
 pub use table_transaction::TableTransaction;
--- a/crates/proxy/src/routing/backend.rs
+++ b/crates/proxy/src/routing/backend.rs
@@ -42,7 +42,7 @@
 
     /// All entries, in the order in which they were added.
     #[must_use]
-    pub fn lines(&self) -> &[TableEntry] {
+    pub fn entries(&self) -> &[TableEntry] {
         &self.entries
     }
 
@@ -165,7 +165,7 @@
 impl EntryFilter<'_> {
     /// Whether the entry is open, not ejected here and not excluded; capacity is not considered.
     fn allows(&self, entry: &TableEntry) -> bool {
-        entry.open() && !entry.is_ejected(self.now) && Some(&*entry.name) != self.excluded
+        entry.is_open() && !entry.is_ejected(self.now) && Some(&*entry.name) != self.excluded
     }
 }
 
--- a/crates/proxy/src/routing/digest.rs
+++ b/crates/proxy/src/routing/digest.rs
@@ -11,14 +11,14 @@
         let mut digest = Digest::default();
         for (name, backend) in &self.backends {
             for entry in backend.entries_by_name() {
-                digest.line(name, &entry.name, entry.address, entry.weight, entry.is_not_ready());
+                digest.add_entry(name, &entry.name, entry.address, entry.weight, entry.is_not_ready());
             }
         }
-        for (class, backend) in &self.map {
-            digest.bound(class, backend);
+        for (class, backend) in &self.class_map {
+            digest.add_class(class, backend);
         }
         for (name, value) in &self.variables {
-            digest.variable(name, *value);
+            digest.add_variable(name, *value);
         }
         digest.value()
     }
--- a/crates/proxy/src/routing/entry.rs
+++ b/crates/proxy/src/routing/entry.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::limits::Limits;
+use super::limits::LoadBalancingLimits;
 use crate::attempts::AttemptOutcome;
 
 /// The mean latency is an exponential mean over about this many attempts, as in HAProxy's `rtime`.
@@ -70,7 +70,7 @@
 
     /// Whether the controller lets it take requests; local ejection is not considered.
     #[must_use]
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.effective_weight() > 0
     }
 
@@ -105,21 +105,21 @@
         now: Duration,
         outcome: AttemptOutcome,
         latency: Duration,
-        limits: &Limits,
+        limits: &LoadBalancingLimits,
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.attempts += 1;
         match outcome {
             AttemptOutcome::ConnectFailed => self.connect_errors += 1,
-            AttemptOutcome::ConnectionBroken | AttemptOutcome::Late => self.response_errors += 1,
+            AttemptOutcome::ConnectionBroken | AttemptOutcome::TimedOut => self.response_errors += 1,
             AttemptOutcome::Rejected => self.responses_5xx += 1,
             AttemptOutcome::Answered(status) if status >= 500 => self.responses_5xx += 1,
             AttemptOutcome::Answered(_) => self.record_latency(latency),
         }
         self.consecutive_failures = if outcome.is_failure() { self.consecutive_failures + 1 } else { 0 };
-        if limits.shuns_after > 0 && self.consecutive_failures >= limits.shuns_after {
+        if limits.ejection_threshold > 0 && self.consecutive_failures >= limits.ejection_threshold {
             self.consecutive_failures = 0;
-            self.ejected_until = now + limits.shuns_for;
+            self.ejected_until = now + limits.ejection_time;
         }
     }
 
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -10,7 +10,7 @@
 
 pub use backend::Backend;
 pub use entry::TableEntry;
-pub use limits::{Limits, MAX_WEIGHT, STANDING};
+pub use limits::{DEFAULT_TABLE, LoadBalancingLimits, MAX_WEIGHT};
 pub(crate) use requests::{ADMISSION_VARIABLE, RETRY_VARIABLE};
 pub use requests::{Choice, ChosenEndpoint, Frontend};
 pub use state::{RoutingState, TableSet};
--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_runtime_api::tables::class_variable;
+use lockcroft_runtime_api::tables::class_variable_name;
 
 use super::backend::{EntryChoice, EntryFilter};
 use super::entry::TableEntry;
@@ -36,7 +36,7 @@
     /// The backend by which it was chosen.
     pub backend: String,
     /// The endpoint's name.
-    pub server: String,
+    pub endpoint: String,
     /// Where the endpoint takes requests.
     pub address: SocketAddr,
 }
@@ -56,7 +56,7 @@
     /// Counts a request and says whether the admission rate of its class admits it.
     ///
     /// The draw, from 0 up to 1, is a property of the client, so that one who comes again is treated alike.
-    pub fn lets_in(&mut self, class: &str, draw: f64) -> bool {
+    pub fn admit(&mut self, class: &str, draw: f64) -> bool {
         let rate = self.class_variable(ADMISSION_VARIABLE, class).unwrap_or(ADMIT_ALL);
         let admitted = draw * 1000.0 < rate as f64;
         if let Some(frontend) = self.frontends.get_mut(class) {
@@ -73,16 +73,16 @@
     }
 
     fn class_variable(&self, prefix: &str, class: &str) -> Option<i64> {
-        self.variables.get(&class_variable(prefix, class)).copied()
+        self.variables.get(&class_variable_name(prefix, class)).copied()
     }
 
     /// Chooses the endpoint for the next attempt: one that is open, not ejected here, below its limit of
     /// attempts in flight, and not `excluded`. The attempt counts as in flight until it
     /// [ends](RoutingState::ended).
     pub fn choose(&mut self, now: Duration, class: &str, excluded: Option<&str>) -> Choice {
-        let Some(name) = self.map.get(class) else { return Choice::NoEndpoint };
+        let Some(name) = self.class_map.get(class) else { return Choice::NoEndpoint };
         let Some(backend) = self.backends.get_mut(name) else { return Choice::NoEndpoint };
-        let max_in_flight = match self.limits.outstanding_most {
+        let max_in_flight = match self.limits.max_in_flight {
             0 => usize::MAX,
             limit => limit,
         };
@@ -90,7 +90,7 @@
         match Rc::make_mut(backend).choose(&mut self.rng, &filter) {
             EntryChoice::Entry(entry) => Choice::Endpoint(ChosenEndpoint {
                 backend: name.clone(),
-                server: entry.name.to_string(),
+                endpoint: entry.name.to_string(),
                 address: entry.address,
             }),
             EntryChoice::Saturated => Choice::Saturated,
@@ -99,7 +99,7 @@
     }
 
     /// Records how an attempt ended; enough failures in a row eject the endpoint here.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Duration,
         chosen: &ChosenEndpoint,
@@ -108,14 +108,14 @@
     ) {
         // An entry that was removed while the attempt was in flight has no counters any more.
         let Some(backend) = self.backends.get_mut(&chosen.backend) else { return };
-        let Some(entry) = Rc::make_mut(backend).entry_mut(&chosen.server) else { return };
+        let Some(entry) = Rc::make_mut(backend).entry_mut(&chosen.endpoint) else { return };
         entry.record(now, outcome, latency, &self.limits);
     }
 
     /// Whether the table of a class leaves it any open endpoint, ejected here or not.
     #[must_use]
     pub fn has_open_endpoint(&self, class: &str) -> bool {
-        let backend = self.map.get(class).and_then(|name| self.backends.get(name));
-        backend.is_some_and(|backend| backend.lines().iter().any(TableEntry::open))
+        let backend = self.class_map.get(class).and_then(|name| self.backends.get(name));
+        backend.is_some_and(|backend| backend.entries().iter().any(TableEntry::is_open))
     }
 }
--- a/crates/proxy/src/routing/state.rs
+++ b/crates/proxy/src/routing/state.rs
@@ -9,7 +9,7 @@
 
 use super::backend::Backend;
 use super::entry::TableEntry;
-use super::limits::{Limits, MAX_WEIGHT, STANDING};
+use super::limits::{DEFAULT_TABLE, LoadBalancingLimits, MAX_WEIGHT};
 use super::requests::Frontend;
 
 /// All by which a proxy routes. A copy is cheap, as it shares all backends until one of them changes.
@@ -18,11 +18,11 @@
     /// The proxy's name.
     pub name: String,
     /// The proxy's own limits.
-    pub limits: Limits,
+    pub limits: LoadBalancingLimits,
     /// Tables by name.
     pub backends: BTreeMap<String, Rc<Backend>>,
     /// Class to backend: the map `classes` of the runtime API.
-    pub map: BTreeMap<String, String>,
+    pub class_map: BTreeMap<String, String>,
     /// Versions of the map that are being prepared, by number.
     pub prepared_maps: BTreeMap<u64, BTreeMap<String, String>>,
     /// The number given last to a prepared version, of the map or of tables.
@@ -35,7 +35,7 @@
     /// Counts the batches of commands that took effect.
     pub version: u64,
     /// Number of the prepared batch that was committed last.
-    pub committed: u64,
+    pub committed_version: u64,
     /// The greatest epoch that a controller named: the fencing token.
     pub epoch: i64,
 }
@@ -55,24 +55,24 @@
         name: &str,
         classes: &[String],
         default_table: &[(String, SocketAddr)],
-        limits: Limits,
+        limits: LoadBalancingLimits,
         seed: u64,
     ) -> Self {
         let entries =
             default_table.iter().map(|(name, address)| TableEntry::new(name, *address, MAX_WEIGHT, false));
-        let backend = Backend::new(limits.way, entries.collect());
+        let backend = Backend::new(limits.policy, entries.collect());
         RoutingState {
             name: name.into(),
             limits,
-            backends: BTreeMap::from([(STANDING.to_string(), Rc::new(backend))]),
-            map: classes.iter().map(|class| (class.clone(), STANDING.to_string())).collect(),
+            backends: BTreeMap::from([(DEFAULT_TABLE.to_string(), Rc::new(backend))]),
+            class_map: classes.iter().map(|class| (class.clone(), DEFAULT_TABLE.to_string())).collect(),
             prepared_maps: BTreeMap::new(),
             last_prepared_version: 0,
             variables: BTreeMap::new(),
             frontends: classes.iter().map(|class| (class.clone(), Frontend::default())).collect(),
             rng: WyRand::new_seed(seed),
             version: 0,
-            committed: 0,
+            committed_version: 0,
             epoch: i64::MIN,
         }
     }
@@ -82,7 +82,7 @@
     pub fn tables(&self) -> TableSet {
         TableSet {
             backends: self.backends.clone(),
-            class_map: self.map.clone(),
+            class_map: self.class_map.clone(),
             variables: self.variables.clone(),
         }
     }
@@ -90,7 +90,7 @@
     /// Undoes all changes since `tables` was taken. Only for a staged copy, as counters go back too.
     pub fn restore(&mut self, tables: TableSet) {
         self.backends = tables.backends;
-        self.map = tables.class_map;
+        self.class_map = tables.class_map;
         self.variables = tables.variables;
     }
 
@@ -127,12 +127,12 @@
             };
             self.backends.insert(name, adopted);
         }
-        self.map = staged.map;
+        self.class_map = staged.class_map;
         self.variables = staged.variables;
         self.prepared_maps = staged.prepared_maps;
         self.version = staged.version;
         self.last_prepared_version = staged.last_prepared_version;
-        self.committed = staged.committed;
+        self.committed_version = staged.committed_version;
         self.epoch = staged.epoch;
     }
 
--- a/crates/proxy/src/snapshot_commands.rs
+++ b/crates/proxy/src/snapshot_commands.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lockcroft_runtime_api::Command;
-use lockcroft_runtime_api::tables::class_variable;
+use lockcroft_runtime_api::tables::class_variable_name;
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry as SnapshotEntry};
 use lockcroft_table_store::AppliedSnapshot;
 
@@ -12,28 +12,28 @@
 
 /// Turns one snapshot after the other into commands.
 #[derive(Clone, Debug, Default)]
-pub struct FileCommands {
+pub struct SnapshotCommands {
     /// Endpoints ejected by the snapshot from which the current tables come. While a later controller has
     /// assigned no table to the proxy, they stay ejected beside those of its own snapshot.
     ejected_with_tables: BTreeSet<String>,
 }
 
-impl FileCommands {
+impl SnapshotCommands {
     /// The commands from the current state to a snapshot; none where nothing differs.
-    pub fn orders(&mut self, state: &RoutingState, snapshot: &AppliedSnapshot) -> Vec<Command> {
+    pub fn commands(&mut self, state: &RoutingState, snapshot: &AppliedSnapshot) -> Vec<Command> {
         let ejected = self.ejected(snapshot);
         let mut commands = CommandWriter { commands: Vec::new(), ejected: &ejected };
         for (number, table) in &snapshot.tables {
             let name = table_name(*number);
             commands.write_table(&name, state.backends.get(&name).map(|backend| &**backend), table);
         }
-        for (class, assignment) in &snapshot.bound {
+        for (class, assignment) in &snapshot.assignments {
             commands.write_class(state, class, assignment);
         }
         let named: BTreeSet<String> = snapshot.tables.keys().copied().map(table_name).collect();
         for (name, backend) in state.backends.iter().filter(|(name, _)| !named.contains(*name)) {
             // Tables to which no class is assigned any more would stay for ever.
-            if !snapshot.bound.is_empty() && name.starts_with('t') {
+            if !snapshot.assignments.is_empty() && name.starts_with('t') {
                 commands.delete_entries(name, backend);
             } else {
                 commands.write_ejections(name, backend);
@@ -44,11 +44,11 @@
 
     /// The endpoints that are ejected by this snapshot, and by the one that the tables come from.
     fn ejected(&mut self, snapshot: &AppliedSnapshot) -> BTreeSet<String> {
-        if snapshot.bound.is_empty() {
-            return self.ejected_with_tables.union(&snapshot.withdrawn).cloned().collect();
+        if snapshot.assignments.is_empty() {
+            return self.ejected_with_tables.union(&snapshot.ejected).cloned().collect();
         }
-        self.ejected_with_tables.clone_from(&snapshot.withdrawn);
-        snapshot.withdrawn.clone()
+        self.ejected_with_tables.clone_from(&snapshot.ejected);
+        snapshot.ejected.clone()
     }
 }
 
@@ -79,10 +79,10 @@
     fn write_table(&mut self, name: &str, backend: Option<&Backend>, table: &Table) {
         let current: BTreeMap<&str, &TableEntry> = backend
             .into_iter()
-            .flat_map(|backend| backend.lines())
+            .flat_map(|backend| backend.entries())
             .map(|entry| (&*entry.name, entry))
             .collect();
-        for (endpoint, wanted) in &table.lines {
+        for (endpoint, wanted) in &table.entries {
             let path = format!("{name}/{endpoint}");
             let ejected = self.ejected.contains(endpoint);
             match current.get(endpoint.as_str()) {
@@ -91,7 +91,7 @@
             }
         }
         for (endpoint, entry) in current {
-            if !table.lines.contains_key(endpoint) {
+            if !table.entries.contains_key(endpoint) {
                 self.phase_out(&format!("{name}/{endpoint}"), entry);
             }
         }
@@ -130,31 +130,36 @@
     }
 
     fn write_class(&mut self, state: &RoutingState, class: &str, assignment: &ProxyAssignment) {
-        self.write_class_variable(state, ADMISSION_VARIABLE, class, i64::from(assignment.level));
-        self.write_class_variable(state, RETRY_VARIABLE, class, i64::from(assignment.again));
+        self.write_class_variable(
+            state,
+            ADMISSION_VARIABLE,
+            class,
+            i64::from(assignment.admission_per_mille),
+        );
+        self.write_class_variable(state, RETRY_VARIABLE, class, i64::from(assignment.retries));
         let table = table_name(assignment.table);
-        if state.map.get(class) != Some(&table) {
-            let action = if state.map.contains_key(class) { "set" } else { "add" };
+        if state.class_map.get(class) != Some(&table) {
+            let action = if state.class_map.contains_key(class) { "set" } else { "add" };
             self.push(&[action, "map", "classes", class, &table]);
         }
     }
 
     fn write_class_variable(&mut self, state: &RoutingState, prefix: &str, class: &str, value: i64) {
-        let name = class_variable(prefix, class);
+        let name = class_variable_name(prefix, class);
         if state.variables.get(&name) != Some(&value) {
             self.push(&["set", "var", &name, &format!("int({value})")]);
         }
     }
 
     fn delete_entries(&mut self, name: &str, backend: &Backend) {
-        for entry in backend.lines() {
+        for entry in backend.entries() {
             self.delete(&format!("{name}/{}", entry.name));
         }
     }
 
     /// Ejects and restores entries of a table that the snapshot doesn't contain.
     fn write_ejections(&mut self, name: &str, backend: &Backend) {
-        for entry in backend.lines() {
+        for entry in backend.entries() {
             let ejected = self.ejected.contains(&*entry.name);
             if entry.is_not_ready() != ejected {
                 self.set_ejected(&format!("{name}/{}", entry.name), ejected);
--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -5,7 +5,7 @@
 
 use lockcroft_runtime_api::{Command, SessionState};
 
-use crate::commands::{CommandError, changes};
+use crate::commands::{CommandError, changes_state};
 use crate::routing::{RoutingState, TableSet};
 
 /// One line of commands, staged on a copy of the routing state.
@@ -34,7 +34,7 @@
 
 impl TableTransaction {
     pub(crate) fn new(commands: Vec<Command>, state: &RoutingState) -> Self {
-        let positions = commands.iter().enumerate().filter(|(_, command)| changes(command));
+        let positions = commands.iter().enumerate().filter(|(_, command)| changes_state(command));
         TableTransaction {
             change_positions: positions.map(|(position, _)| position).collect(),
             remaining: commands.into(),
@@ -56,10 +56,10 @@
     pub(crate) fn replay_next(&mut self) {
         let Some(mut replay) = self.replay.take() else { return };
         let Some(command) = replay.commands.pop_front() else {
-            self.staged.committed = replay.version;
+            self.staged.committed_version = replay.version;
             return;
         };
-        match self.staged.carry_out(&command) {
+        match self.staged.execute(&command) {
             Ok(_) => self.replay = Some(replay),
             Err(error) => {
                 self.staged.restore(replay.base);
@@ -80,7 +80,7 @@
     ) -> String {
         result.unwrap_or_else(|error| {
             let text = error.to_string();
-            if changes(command) {
+            if changes_state(command) {
                 rejection.get_or_insert(error);
             }
             text
--- a/crates/proxy/tests/commands.rs
+++ b/crates/proxy/tests/commands.rs
@@ -3,24 +3,24 @@
 use std::time::Duration;
 
 use expect_test::expect;
-use lockcroft_proxy::{AttemptOutcome, Choice, Limits, LoadBalancingPolicy, RoutingState};
-use lockcroft_runtime_api::{Level, Session, split};
+use lockcroft_proxy::{AttemptOutcome, Choice, LoadBalancingLimits, LoadBalancingPolicy, RoutingState};
+use lockcroft_runtime_api::{AccessLevel, Session, split};
 
 fn new_state() -> RoutingState {
     let default_table =
         ["e1", "e2"].map(|name| (name.to_string(), "127.0.0.1:81".parse().expect("an address")));
     let ejection_time = Duration::from_secs(4);
-    let limits = Limits {
-        way: LoadBalancingPolicy::SmoothWeightedRoundRobin,
-        outstanding_most: 2,
-        shuns_after: 3,
-        shuns_for: ejection_time,
+    let limits = LoadBalancingLimits {
+        policy: LoadBalancingPolicy::SmoothWeightedRoundRobin,
+        max_in_flight: 2,
+        ejection_threshold: 3,
+        ejection_time,
     };
     RoutingState::new("r1", &["look-up".to_string()], &default_table, limits, 1)
 }
 
 fn execute(state: &mut RoutingState, line: &str) -> String {
-    let (mut session, mut out) = (Session::new(Level::Admin), String::new());
+    let (mut session, mut out) = (Session::new(AccessLevel::Admin), String::new());
     session.execute_line(&split(line), state, &mut out);
     out
 }
@@ -120,12 +120,12 @@
     assert_eq!(execute(&mut state, "prepare map classes"), "New version created: 1\n\n");
     assert_eq!(execute(&mut state, "prepare map classes"), "New version created: 2\n\n");
     execute(&mut state, "add map @2 classes look-up t1");
-    assert_eq!(state.map["look-up"], "standing");
+    assert_eq!(state.class_map["look-up"], "standing");
     assert_eq!(execute(&mut state, "commit map @2 classes"), "\n");
-    assert_eq!(state.map["look-up"], "t1");
+    assert_eq!(state.class_map["look-up"], "t1");
     // The older one comes late and changes nothing.
     assert_eq!(execute(&mut state, "commit map @1 classes"), "Version number out of range.\n\n");
-    assert_eq!(state.map["look-up"], "t1");
+    assert_eq!(state.class_map["look-up"], "t1");
 }
 
 #[test]
@@ -133,10 +133,10 @@
     let (mut state, now) = (new_state(), Duration::from_secs(1));
     execute(&mut state, "set server standing/e1 state drain");
     let Choice::Endpoint(chosen) = state.choose(now, "look-up", None) else { panic!("e2 is left") };
-    assert_eq!(chosen.server, "e2");
+    assert_eq!(chosen.endpoint, "e2");
     assert_eq!(state.choose(now, "look-up", Some("e2")), Choice::NoEndpoint);
     for _ in 0..3 {
-        state.ended(now, &chosen, AttemptOutcome::Late, now);
+        state.record_outcome(now, &chosen, AttemptOutcome::TimedOut, now);
     }
     assert_eq!(state.choose(now, "look-up", None), Choice::NoEndpoint, "ejected after three");
     assert!(state.has_open_endpoint("look-up"), "its table leaves it one");
@@ -145,7 +145,7 @@
         assert!(matches!(state.choose(later, "look-up", None), Choice::Endpoint(_)), "and for a time only");
     }
     assert_eq!(state.choose(later, "look-up", None), Choice::Saturated, "two are in flight");
-    state.ended(later, &chosen, AttemptOutcome::Answered(200), now);
+    state.record_outcome(later, &chosen, AttemptOutcome::Answered(200), now);
     assert!(matches!(state.choose(later, "look-up", None), Choice::Endpoint(_)));
 }
 
@@ -154,8 +154,8 @@
     let mut state = new_state();
     execute(&mut state, "set var proc.level_look_up int(300)");
     let draws = (0..1000).map(|i| f64::from(i) / 1000.0);
-    let first: Vec<bool> = draws.clone().map(|draw| state.lets_in("look-up", draw)).collect();
-    let again: Vec<bool> = draws.map(|draw| state.lets_in("look-up", draw)).collect();
+    let first: Vec<bool> = draws.clone().map(|draw| state.admit("look-up", draw)).collect();
+    let again: Vec<bool> = draws.map(|draw| state.admit("look-up", draw)).collect();
     assert_eq!(first, again);
     assert_eq!(first.iter().filter(|admitted| **admitted).count(), 300);
     assert!(
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -38,25 +38,25 @@
     assert_eq!(config.header_timeout, Duration::from_secs(12));
     assert_eq!(config.max_buffered_body_bytes, 13);
     assert_eq!(config.control_addresses, ["unix:/run/r1.sock".parse().expect("an address")]);
-    let files = config.files.expect("stated");
+    let files = config.table_files.expect("stated");
     assert!(files.folder.ends_with("tables") && files.folder != Path::new("tables"), "{files:?}");
-    assert!(files.keys.ends_with("keys") && files.keys != Path::new("keys"), "{files:?}");
-    assert_eq!(files.look_every, Duration::from_secs(14));
-    assert_eq!(config.limits.way, LoadBalancingPolicy::PowerOfTwoChoices);
+    assert!(files.key_file.ends_with("keys") && files.key_file != Path::new("keys"), "{files:?}");
+    assert_eq!(files.poll_interval, Duration::from_secs(14));
+    assert_eq!(config.limits.policy, LoadBalancingPolicy::PowerOfTwoChoices);
     assert_eq!(config.seed, 15);
-    assert_eq!(config.limits.shuns_after, 16);
-    assert_eq!(config.limits.shuns_for, Duration::from_secs(17));
+    assert_eq!(config.limits.ejection_threshold, 16);
+    assert_eq!(config.limits.ejection_time, Duration::from_secs(17));
     assert_eq!(config.connect_timeout, Duration::from_millis(18));
-    assert_eq!(config.idle_most, Duration::from_secs(19));
-    assert_eq!(config.try_most, Duration::from_secs(20));
-    assert!((config.second_share - 0.21).abs() < 1e-9);
-    assert_eq!(config.limits.outstanding_most, 22);
-    assert_eq!(config.waiting_most, 23);
+    assert_eq!(config.idle_timeout, Duration::from_secs(19));
+    assert_eq!(config.attempt_timeout, Duration::from_secs(20));
+    assert!((config.retry_ratio - 0.21).abs() < 1e-9);
+    assert_eq!(config.limits.max_in_flight, 22);
+    assert_eq!(config.max_queued_requests, 23);
     assert_eq!(config.queue_timeout, Duration::from_millis(24));
     assert_eq!(config.retry_after, Duration::from_secs(25));
     assert_eq!(config.stall_per_command, Duration::from_micros(26));
     assert_eq!(config.classes, [("look-up".to_string(), Duration::from_secs(2))]);
-    assert_eq!(config.standing, [("e1".to_string(), "127.0.0.1:8101".parse().expect("an address"))]);
+    assert_eq!(config.default_table, [("e1".to_string(), "127.0.0.1:8101".parse().expect("an address"))]);
 }
 
 #[test]
@@ -65,18 +65,18 @@
     assert_eq!(config.max_clients, 4096);
     assert_eq!(config.header_timeout, Duration::from_secs(10));
     assert_eq!(config.max_buffered_body_bytes, 65_536);
-    assert_eq!(config.limits.way, LoadBalancingPolicy::SmoothWeightedRoundRobin);
-    assert_eq!((config.seed, config.limits.outstanding_most, config.limits.shuns_after), (0, 0, 0));
-    assert_eq!(config.limits.shuns_for, Duration::from_secs(5));
+    assert_eq!(config.limits.policy, LoadBalancingPolicy::SmoothWeightedRoundRobin);
+    assert_eq!((config.seed, config.limits.max_in_flight, config.limits.ejection_threshold), (0, 0, 0));
+    assert_eq!(config.limits.ejection_time, Duration::from_secs(5));
     assert_eq!(config.connect_timeout, Duration::from_millis(500));
-    assert_eq!(config.idle_most, Duration::from_secs(15));
-    assert_eq!(config.try_most, Duration::from_secs(60));
-    assert!((config.second_share - 0.1).abs() < 1e-9);
-    assert_eq!(config.waiting_most, 100);
+    assert_eq!(config.idle_timeout, Duration::from_secs(15));
+    assert_eq!(config.attempt_timeout, Duration::from_secs(60));
+    assert!((config.retry_ratio - 0.1).abs() < 1e-9);
+    assert_eq!(config.max_queued_requests, 100);
     assert_eq!(config.queue_timeout, Duration::from_millis(100));
     assert_eq!(config.retry_after, Duration::from_secs(1));
     assert_eq!(config.stall_per_command, Duration::ZERO);
-    assert!(config.standing.is_empty() && config.files.is_none());
+    assert!(config.default_table.is_empty() && config.table_files.is_none());
 }
 
 #[test]
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -9,7 +9,7 @@
         Just(AttemptOutcome::ConnectFailed),
         Just(AttemptOutcome::Rejected),
         Just(AttemptOutcome::ConnectionBroken),
-        Just(AttemptOutcome::Late),
+        Just(AttemptOutcome::TimedOut),
     ]
 }
 
@@ -35,8 +35,8 @@
 
 #[test]
 fn only_proof_of_non_execution_allows_a_retry_and_only_one() {
-    use AttemptOutcome::{Answered, ConnectFailed, ConnectionBroken, Late, Rejected};
-    for outcome in [Answered(200), Answered(500), Answered(503), ConnectionBroken, Late] {
+    use AttemptOutcome::{Answered, ConnectFailed, ConnectionBroken, Rejected, TimedOut};
+    for outcome in [Answered(200), Answered(500), Answered(503), ConnectionBroken, TimedOut] {
         assert!(!may_retry(1, outcome, true), "{outcome:?}");
     }
     for outcome in [ConnectFailed, Rejected] {
--- a/crates/proxy/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -80,7 +80,8 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let classes = vec![("look".to_string(), Duration::from_millis(700))];
     let mut config = ProxyConfig::new("p", any, vec![control.clone()], classes);
-    config.standing = endpoints.iter().enumerate().map(|(i, address)| (format!("e{i}"), *address)).collect();
+    config.default_table =
+        endpoints.iter().enumerate().map(|(i, address)| (format!("e{i}"), *address)).collect();
     change(&mut config);
     let proxy = Proxy::start(config).await.expect("started");
     let fixture = Fixture { proxy, control, _folder: folder };
@@ -100,7 +101,7 @@
 
     /// What comes back until the connection ends.
     async fn send(&self, text: &str) -> String {
-        let mut stream = TcpStream::connect(self.proxy.visits).await.expect("connected");
+        let mut stream = TcpStream::connect(self.proxy.request_address).await.expect("connected");
         stream.write_all(text.as_bytes()).await.expect("sent");
         let mut response = Vec::new();
         let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut response)).await.expect("it ends");
@@ -182,7 +183,7 @@
         let (faulty, healthy) =
             (endpoint(Behavior::Answers(REJECTED_UNREAD)).await, endpoint(Behavior::Answers(OK)).await);
         let fixture = start(&[faulty.0, healthy.0], |config| {
-            (config.second_share, config.max_buffered_body_bytes) = (0.01, 1000)
+            (config.retry_ratio, config.max_buffered_body_bytes) = (0.01, 1000)
         })
         .await;
         fixture.command("set weight standing/e1 1").await;
@@ -267,7 +268,7 @@
     run(async {
         let (slow, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(100))).await;
         let change = |config: &mut ProxyConfig| {
-            (config.limits.outstanding_most, config.waiting_most) = (1, 2);
+            (config.limits.max_in_flight, config.max_queued_requests) = (1, 2);
             config.queue_timeout = Duration::from_millis(600);
         };
         let fixture = Rc::new(start(&[slow], change).await);
@@ -293,9 +294,9 @@
         let fixture = start(&[healthy], |config| config.header_timeout = Duration::from_secs(2)).await;
         let mut silent = Vec::new();
         for _ in 0..2000 {
-            silent.push(TcpStream::connect(fixture.proxy.visits).await.expect("connected"));
+            silent.push(TcpStream::connect(fixture.proxy.request_address).await.expect("connected"));
         }
-        let mut slow = TcpStream::connect(fixture.proxy.visits).await.expect("connected");
+        let mut slow = TcpStream::connect(fixture.proxy.request_address).await.expect("connected");
         slow.write_all(b"GET /look HTTP/1.1\r\n\r\nGET /look HTTP/1.1\r\n\r\n").await.expect("sent");
         let mut byte = [0];
         let slowly = spawn_local(async move {
--- a/crates/proxy/tests/table_files.rs
+++ b/crates/proxy/tests/table_files.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-const RETENTION: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: true };
+const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 4, keep_earlier_epochs: true };
 
 /// An endpoint that answers with its own name.
 async fn endpoint(name: &'static str) -> SocketAddr {
@@ -57,7 +57,7 @@
 
     fn writer(&self) -> SnapshotWriter {
         let keys = read_keys(&self.folder.path().join("keys")).expect("valid");
-        SnapshotWriter::take(&self.tables(), "p", keys).expect("taken")
+        SnapshotWriter::acquire_epoch(&self.tables(), "p", keys).expect("taken")
     }
 
     /// Starts a proxy with the first endpoint in its default table.
@@ -68,9 +68,9 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
         let mut config = ProxyConfig::new("r1", any, vec![], classes);
-        config.standing = vec![("e0".into(), self.endpoints[0].1)];
+        config.default_table = vec![("e0".into(), self.endpoints[0].1)];
         let keys = self.folder.path().join("keys");
-        config.files = Some(TableFilesConfig { folder: self.tables(), keys, look_every: poll_interval });
+        config.table_files = Some(TableFilesConfig { folder: self.tables(), key_file: keys, poll_interval });
         self.proxy = Some(Proxy::start(config).await.expect("started"));
     }
 
@@ -80,22 +80,22 @@
             let (name, address) = self.endpoints[*i];
             (name.to_string(), TableEntry { address, weight: 256 })
         };
-        let assignment = ProxyAssignment { table: 0, level: 1000, again: false };
+        let assignment = ProxyAssignment { table: 0, admission_per_mille: 1000, retries: false };
         SnapshotContent {
-            tables: BTreeMap::from([(0, Table { lines: endpoints.iter().map(entry).collect() })]),
+            tables: BTreeMap::from([(0, Table { entries: endpoints.iter().map(entry).collect() })]),
             groups: BTreeMap::from([(
                 0,
                 ProxyGroup {
                     proxies: BTreeSet::from(["r1".into()]),
-                    bound: BTreeMap::from([("look".into(), assignment)]),
+                    assignments: BTreeMap::from([("look".into(), assignment)]),
                 },
             )]),
-            withdrawn: ejected.iter().map(|name| (*name).to_string()).collect(),
+            ejected: ejected.iter().map(|name| (*name).to_string()).collect(),
         }
     }
 
     async fn request(&self) -> String {
-        let address = self.proxy.as_ref().expect("started").visits;
+        let address = self.proxy.as_ref().expect("started").request_address;
         let mut stream = TcpStream::connect(address).await.expect("connected");
         stream
             .write_all(b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
@@ -121,11 +121,11 @@
         wanted: impl Fn(&lockcroft_table_format::proto::Status) -> bool,
     ) -> Duration {
         let started_at = Instant::now();
-        while !StatusReader::of(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
+        while !StatusReader::read_one(&self.tables(), "r1").is_some_and(|status| wanted(&status)) {
             assert!(
                 started_at.elapsed() < Duration::from_secs(10),
                 "{:?}",
-                StatusReader::of(&self.tables(), "r1")
+                StatusReader::read_one(&self.tables(), "r1")
             );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -171,7 +171,7 @@
         // Another controller has assigned no table to it yet: it keeps them, and what was ejected stays so.
         let mut next = fixture.writer();
         let without_tables =
-            SnapshotContent { withdrawn: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
+            SnapshotContent { ejected: BTreeSet::from(["e0".into()]), ..SnapshotContent::default() };
         next.write(&without_tables, RETENTION).expect("written");
         fixture.wait_until_applied(2, 1).await;
         assert_eq!(fixture.reached().await, names(&["e1"]));
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -6,10 +6,10 @@
 
 use expect_test::{Expect, expect};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, ChosenEndpoint, CommandQueue, FileCommands, Limits, LoadBalancingPolicy,
-    RoutingState,
+    AttemptOutcome, Choice, ChosenEndpoint, CommandQueue, LoadBalancingLimits, LoadBalancingPolicy,
+    RoutingState, SnapshotCommands,
 };
-use lockcroft_runtime_api::{Level, split};
+use lockcroft_runtime_api::{AccessLevel, split};
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry};
 use lockcroft_table_store::AppliedSnapshot;
 use nanorand::{Rng, WyRand};
@@ -19,8 +19,12 @@
 fn new_state(policy: LoadBalancingPolicy) -> RoutingState {
     let address = |i: u16| SocketAddr::from(([127, 0, 0, 1], 8000 + i));
     let default_table: Vec<_> = (0..4).map(|i| (format!("e{i}"), address(i))).collect();
-    let limits =
-        Limits { way: policy, outstanding_most: 3, shuns_after: 3, shuns_for: Duration::from_secs(2) };
+    let limits = LoadBalancingLimits {
+        policy,
+        max_in_flight: 3,
+        ejection_threshold: 3,
+        ejection_time: Duration::from_secs(2),
+    };
     RoutingState::new("r1", &CLASSES.map(String::from), &default_table, limits, 7)
 }
 
@@ -134,7 +138,7 @@
             lines.insert(format!("e{i}"), TableEntry { address, weight: rng.generate_range(1..257_u32) });
         }
     }
-    Table { lines }
+    Table { entries: lines }
 }
 
 struct Run {
@@ -150,13 +154,12 @@
         for _ in 0..self.rng.generate_range(0..6_u8) {
             self.now += Duration::from_millis(self.rng.generate_range(0..300_u64));
             let class = pick(&mut self.rng, &CLASSES);
-            let admitted =
-                self.state.lets_in(class, f64::from(self.rng.generate_range(0..1000_u16)) / 1000.0);
-            let excluded = self.in_flight.last().map(|chosen| chosen.server.clone());
+            let admitted = self.state.admit(class, f64::from(self.rng.generate_range(0..1000_u16)) / 1000.0);
+            let excluded = self.in_flight.last().map(|chosen| chosen.endpoint.clone());
             let choice = self.state.choose(self.now, class, excluded.as_deref());
             let found = match &choice {
                 Choice::Endpoint(chosen) => {
-                    format!("{}/{} {}", chosen.backend, chosen.server, chosen.address)
+                    format!("{}/{} {}", chosen.backend, chosen.endpoint, chosen.address)
                 }
                 _ => "none".to_string(),
             };
@@ -167,10 +170,10 @@
             if !self.in_flight.is_empty() && self.rng.generate_range(0..3_u8) > 0 {
                 let chosen = self.in_flight.remove(0);
                 let outcomes =
-                    [AttemptOutcome::Answered(200), AttemptOutcome::Answered(503), AttemptOutcome::Late];
+                    [AttemptOutcome::Answered(200), AttemptOutcome::Answered(503), AttemptOutcome::TimedOut];
                 let outcome = outcomes[self.rng.generate_range(0..outcomes.len())];
                 let latency = Duration::from_millis(self.rng.generate_range(1..500_u64));
-                self.state.ended(self.now, &chosen, outcome, latency);
+                self.state.record_outcome(self.now, &chosen, outcome, latency);
             }
         }
     }
@@ -190,18 +193,19 @@
         self.transcript += &format!("{line}\n{out}{after:?}\n");
     }
 
-    fn snapshot(&mut self, commands: &mut FileCommands, version: u64) {
+    fn snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
         let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
-        let assignment = |table: u32| ProxyAssignment { table, level: 900 + table, again: table == 0 };
+        let assignment =
+            |table: u32| ProxyAssignment { table, admission_per_mille: 900 + table, retries: table == 0 };
         let all =
             BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
         let bound = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
         let withdrawn = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
         let tables = if bound.is_empty() { BTreeMap::new() } else { tables };
-        let snapshot = AppliedSnapshot { epoch: 1, version, bound, tables, withdrawn };
-        for command in commands.orders(&self.state, &snapshot) {
-            let answer = self.state.carry_out(&command).map_err(|error| error.to_string());
-            self.transcript += &format!("{}: {answer:?}\n", command.text());
+        let snapshot = AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+        for command in commands.commands(&self.state, &snapshot) {
+            let answer = self.state.execute(&command).map_err(|error| error.to_string());
+            self.transcript += &format!("{}: {answer:?}\n", command.joined_words());
         }
     }
 }
@@ -214,9 +218,12 @@
         in_flight: Vec::new(),
         transcript: String::new(),
     };
-    let mut queues =
-        [CommandQueue::new(Level::Admin), CommandQueue::new(Level::Admin), CommandQueue::new(Level::User)];
-    let mut snapshots = FileCommands::default();
+    let mut queues = [
+        CommandQueue::new(AccessLevel::Admin),
+        CommandQueue::new(AccessLevel::Admin),
+        CommandQueue::new(AccessLevel::User),
+    ];
+    let mut snapshots = SnapshotCommands::default();
     for step in 0..400 {
         let queue = run.rng.generate_range(0..queues.len());
         run.commands(&mut queues[queue]);
--- a/crates/runtime-api/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -36,7 +36,7 @@
     let (mut answers, mut count) = (ResponseReader::default(), 0);
     for piece in text.as_bytes().chunks(PIECE) {
         answers.push(piece);
-        while answers.next_answer().is_some() {
+        while answers.next_response().is_some() {
             count += 1;
         }
     }
@@ -71,11 +71,11 @@
     time("empty answers", "answers", LINES, || answers(&empty));
     let row = |i: usize| StatRow {
         name: "t0".into(),
-        server: format!("server-{i}"),
+        endpoint: format!("server-{i}"),
         status: "UP".into(),
         weight: 256,
         total: i as u64 * 7,
-        sum_ms: Some(i as u64),
+        total_latency_ms: Some(i as u64),
         ..StatRow::default()
     };
     let rows: Vec<StatRow> = (0..640).map(row).collect();
--- a/crates/runtime-api/src/command_handler.rs
+++ b/crates/runtime-api/src/command_handler.rs
@@ -1,6 +1,6 @@
 //! What carries commands out behind a session.
 
-use crate::level::Level;
+use crate::level::AccessLevel;
 use crate::tokenizer::Command;
 
 /// A command that a handler knows.
@@ -9,7 +9,7 @@
     /// The command as `help` shows it: plain words first, then arguments that begin with `<`, `[` or `@`.
     pub words: &'static str,
     /// The level that the command needs.
-    pub level: Level,
+    pub level: AccessLevel,
     /// One line of help.
     pub help: &'static str,
 }
@@ -58,7 +58,7 @@
     fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult;
 
     /// What there is to follow from a position on; the position moves with it.
-    fn more(&mut self, position: &mut u64) -> String {
+    fn read_from(&mut self, position: &mut u64) -> String {
         let _ = position;
         String::new()
     }
--- a/crates/runtime-api/src/command_reader.rs
+++ b/crates/runtime-api/src/command_reader.rs
@@ -86,7 +86,7 @@
     }
 
     fn next_raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
-        let len = self.lines.next_len().unwrap_or(self.lines.waiting().len());
+        let len = self.lines.next_len().unwrap_or(self.lines.pending().len());
         if len > MAX_LINE_BYTES {
             return Err(LineTooLong);
         }
--- a/crates/runtime-api/src/level.rs
+++ b/crates/runtime-api/src/level.rs
@@ -7,7 +7,7 @@
 
 /// HAProxy's levels, each of which includes those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum AccessLevel {
     /// May read what is not confidential.
     User,
     /// May read everything.
@@ -21,25 +21,25 @@
 #[error("{0:?} is none of user, operator, admin")]
 pub struct UnknownLevel(pub String);
 
-impl FromStr for Level {
+impl FromStr for AccessLevel {
     type Err = UnknownLevel;
 
     fn from_str(text: &str) -> Result<Self, UnknownLevel> {
         match text {
-            "user" => Ok(Level::User),
-            "operator" => Ok(Level::Operator),
-            "admin" => Ok(Level::Admin),
+            "user" => Ok(AccessLevel::User),
+            "operator" => Ok(AccessLevel::Operator),
+            "admin" => Ok(AccessLevel::Admin),
             _ => Err(UnknownLevel(text.to_string())),
         }
     }
 }
 
-impl fmt::Display for Level {
+impl fmt::Display for AccessLevel {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            Level::User => "user",
-            Level::Operator => "operator",
-            Level::Admin => "admin",
+            AccessLevel::User => "user",
+            AccessLevel::Operator => "operator",
+            AccessLevel::Admin => "admin",
         })
     }
 }
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -20,7 +20,7 @@
 pub use client::{RequestError, request};
 pub use command_handler::{CommandEntry, CommandHandler, CommandResult};
 pub use command_reader::{CommandReader, LineTooLong, MAX_LINE_BYTES};
-pub use level::{Level, UnknownLevel};
+pub use level::{AccessLevel, UnknownLevel};
 pub use line_buffer::LineBuffer;
 pub use response_reader::ResponseReader;
 pub use server::{MAX_RESPONSE_BYTES, MAX_SESSIONS, serve};
--- a/crates/runtime-api/src/line_buffer.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -22,7 +22,7 @@
 
     /// Bytes that were not given out yet.
     #[must_use]
-    pub fn waiting(&self) -> &[u8] {
+    pub fn pending(&self) -> &[u8] {
         &self.buffer
     }
 
--- a/crates/runtime-api/src/response_reader.rs
+++ b/crates/runtime-api/src/response_reader.rs
@@ -28,12 +28,12 @@
 
     /// Bytes that wait for the rest of their answer.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.buffer.len()
     }
 
     /// The next whole answer without its empty line; `None` until there is one.
-    pub fn next_answer(&mut self) -> Option<String> {
+    pub fn next_response(&mut self) -> Option<String> {
         if self.buffer.starts_with(PROMPT) {
             self.buffer.advance(PROMPT.len());
             self.searched = self.searched.saturating_sub(PROMPT.len());
--- a/crates/runtime-api/src/server.rs
+++ b/crates/runtime-api/src/server.rs
@@ -12,7 +12,7 @@
 use crate::address::{Listener, Stream};
 use crate::command_handler::CommandHandler;
 use crate::command_reader::CommandReader;
-use crate::level::Level;
+use crate::level::AccessLevel;
 use crate::session::{Session, SessionState};
 
 /// Connections at a time; more are closed at once.
@@ -35,7 +35,7 @@
 
 /// What all sessions of a listener share.
 struct Shared {
-    level: Level,
+    level: AccessLevel,
     handler: Rc<RefCell<dyn CommandHandler>>,
     /// Called after each line of commands.
     on_line: Box<dyn Fn()>,
@@ -48,7 +48,7 @@
 /// Must be polled within a [`tokio::task::LocalSet`].
 pub async fn serve(
     listener: Listener,
-    level: Level,
+    level: AccessLevel,
     handler: Rc<RefCell<dyn CommandHandler>>,
     on_line: impl Fn() + 'static,
 ) {
@@ -101,7 +101,7 @@
 async fn follow(mut stream: Box<dyn Stream>, shared: &Shared, mut position: u64) -> io::Result<()> {
     let mut ignored = [0; 256];
     loop {
-        let more = shared.handler.borrow_mut().more(&mut position);
+        let more = shared.handler.borrow_mut().read_from(&mut position);
         write(&mut stream, &more).await?;
         if let Ok(read) = timeout(FOLLOW_INTERVAL, stream.read(&mut ignored)).await {
             return read.map(|_| ());
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -2,7 +2,7 @@
 //! [`CommandHandler`].
 
 use crate::command_handler::{CommandEntry, CommandHandler, CommandResult};
-use crate::level::Level;
+use crate::level::AccessLevel;
 use crate::tokenizer::Command;
 
 /// What becomes of the connection after a command or line.
@@ -37,7 +37,7 @@
 /// The state of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Session {
-    level: Level,
+    level: AccessLevel,
     /// Whether the connection stays open after a line.
     interactive: bool,
     /// Whether a prompt is written after each answer.
@@ -47,7 +47,7 @@
 impl Session {
     /// A connection of this level, which closes after one line.
     #[must_use]
-    pub fn new(level: Level) -> Self {
+    pub fn new(level: AccessLevel) -> Self {
         Session { level, interactive: false, prompt: false }
     }
 
@@ -83,8 +83,8 @@
         match words[..] {
             ["quit"] => return SessionState::Close,
             ["prompt", ref mode @ ..] => self.set_mode(mode, out),
-            ["operator"] => self.level = self.level.min(Level::Operator),
-            ["user"] => self.level = Level::User,
+            ["operator"] => self.level = self.level.min(AccessLevel::Operator),
+            ["user"] => self.level = AccessLevel::User,
             ["show", "cli", "level"] => append_lines(out, &self.level.to_string()),
             ["help", ..] => self.write_help(handler, out),
             _ => return self.delegate(command, &words, handler, out),
@@ -100,7 +100,7 @@
 
     /// Whether commands of a level are allowed.
     #[must_use]
-    pub fn allows(&self, level: Level) -> bool {
+    pub fn allows(&self, level: AccessLevel) -> bool {
         self.level >= level
     }
 
--- a/crates/runtime-api/src/tables/digest.rs
+++ b/crates/runtime-api/src/tables/digest.rs
@@ -12,18 +12,25 @@
 
 impl Digest {
     /// Adds an entry of a table. `not_ready`: it takes no requests, whatever its weight.
-    pub fn line(&mut self, backend: &str, endpoint: &str, address: SocketAddr, weight: u32, not_ready: bool) {
+    pub fn add_entry(
+        &mut self,
+        backend: &str,
+        endpoint: &str,
+        address: SocketAddr,
+        weight: u32,
+        not_ready: bool,
+    ) {
         // Writing to a String cannot fail, here and below.
         let _ = writeln!(self.0, "{backend} {endpoint} {address} {weight} {not_ready}");
     }
 
     /// Adds an entry of the class map.
-    pub fn bound(&mut self, class: &str, backend: &str) {
+    pub fn add_class(&mut self, class: &str, backend: &str) {
         let _ = writeln!(self.0, "{class} {backend}");
     }
 
     /// Adds a variable.
-    pub fn variable(&mut self, name: &str, value: i64) {
+    pub fn add_variable(&mut self, name: &str, value: i64) {
         let _ = writeln!(self.0, "{name} {value}");
     }
 
--- a/crates/runtime-api/src/tables/mod.rs
+++ b/crates/runtime-api/src/tables/mod.rs
@@ -14,6 +14,6 @@
 /// The name of a proxy's variable about a class, as `proc.level_look_up` for `level` and `look-up`. Names of
 /// variables have no dashes in HAProxy.
 #[must_use]
-pub fn class_variable(prefix: &str, class: &str) -> String {
+pub fn class_variable_name(prefix: &str, class: &str) -> String {
     format!("proc.{prefix}_{}", class.replace('-', "_"))
 }
--- a/crates/runtime-api/src/tables/server_state.rs
+++ b/crates/runtime-api/src/tables/server_state.rs
@@ -25,7 +25,7 @@
     /// The backend: a table.
     pub backend: String,
     /// The endpoint's name.
-    pub server: String,
+    pub endpoint: String,
     /// The endpoint's IP address.
     pub address: String,
     /// The endpoint's port.
@@ -33,7 +33,7 @@
     /// Whether the operational state is anything but stopped.
     pub running: bool,
     /// The administrative state: [`FORCED_MAINT`], [`FORCED_DRAIN`] and others.
-    pub admin: u32,
+    pub admin_state: u32,
     /// The weight in force.
     pub weight: u32,
     /// HAProxy's check health; here the rise/fall counter of the controller.
@@ -50,7 +50,8 @@
         let backend_id = *backend_ids.entry(&row.backend).or_insert(next_id);
         let server_id = index + 1;
         let state = if row.running { RUNNING } else { STOPPED };
-        let StateRow { backend, server, address, port, admin, weight, health, .. } = row;
+        let StateRow { backend, endpoint: server, address, port, admin_state: admin, weight, health, .. } =
+            row;
         // Writing to a String cannot fail.
         let _ = writeln!(
             text,
@@ -121,11 +122,11 @@
         let row = Row { number, values: line.split(' ').collect() };
         Ok(StateRow {
             backend: row.text(self.backend)?.into(),
-            server: row.text(self.server)?.into(),
+            endpoint: row.text(self.server)?.into(),
             address: row.text(self.address)?.into(),
             port: u16::try_from(row.number(self.port)?)?,
             running: row.number(self.state)? != STOPPED,
-            admin: row.number(self.admin)?,
+            admin_state: row.number(self.admin)?,
             weight: row.number(self.weight)?,
             health: row.number(self.health)?,
         })
--- a/crates/runtime-api/src/tables/stat.rs
+++ b/crates/runtime-api/src/tables/stat.rs
@@ -24,7 +24,7 @@
     /// The class, for a frontend, or the table.
     pub name: String,
     /// `FRONTEND`, `BACKEND` or the endpoint's name.
-    pub server: String,
+    pub endpoint: String,
     /// The state in HAProxy's words.
     pub status: String,
     /// The weight in force.
@@ -32,28 +32,28 @@
     /// Requests at a frontend, attempts that ended at an endpoint.
     pub total: u64,
     /// Requests shed by the admission rate.
-    pub denied: u64,
+    pub shed: u64,
     /// Attempts that ended without a connection.
-    pub connect_failed: u64,
+    pub connect_errors: u64,
     /// Attempts that broke or ran into the time limit.
-    pub answer_failed: u64,
+    pub response_errors: u64,
     /// Attempts answered with a status from 500 on.
-    pub answered_5xx: u64,
+    pub responses_5xx: u64,
     /// Mean latency of recent successful attempts, in milliseconds.
-    pub mean_ms: u64,
+    pub mean_latency_ms: u64,
     /// Sum of the latencies of successful attempts in milliseconds, where it is given.
-    pub sum_ms: Option<u64>,
+    pub total_latency_ms: Option<u64>,
 }
 
 impl StatRow {
     /// Attempts that failed; each is counted in one of the three.
     #[must_use]
     pub fn failed(&self) -> u64 {
-        self.connect_failed + self.answer_failed + self.answered_5xx
+        self.connect_errors + self.response_errors + self.responses_5xx
     }
 
     fn row_type(&self) -> u64 {
-        match self.server.as_str() {
+        match self.endpoint.as_str() {
             "FRONTEND" => TYPE_FRONTEND,
             "BACKEND" => TYPE_BACKEND,
             _ => TYPE_SERVER,
@@ -66,12 +66,12 @@
             "type" => Some(self.row_type()),
             "weight" => Some(self.weight),
             "stot" | "req_tot" => Some(self.total),
-            "dreq" => Some(self.denied),
-            "econ" => Some(self.connect_failed),
-            "eresp" => Some(self.answer_failed),
-            "hrsp_5xx" => Some(self.answered_5xx),
-            "rtime" => Some(self.mean_ms),
-            "ttot_ok" => self.sum_ms,
+            "dreq" => Some(self.shed),
+            "econ" => Some(self.connect_errors),
+            "eresp" => Some(self.response_errors),
+            "hrsp_5xx" => Some(self.responses_5xx),
+            "rtime" => Some(self.mean_latency_ms),
+            "ttot_ok" => self.total_latency_ms,
             _ => None,
         }
     }
@@ -79,7 +79,7 @@
     fn write_column(&self, column: &str, text: &mut String) {
         match column {
             "pxname" => text.push_str(&self.name),
-            "svname" => text.push_str(&self.server),
+            "svname" => text.push_str(&self.endpoint),
             "status" => text.push_str(&self.status),
             _ => {
                 if let Some(number) = self.number(column) {
@@ -131,7 +131,7 @@
         set.map_err(|NotANumber| TableError::NotANumber { row: number, value: value.to_string() })?;
     }
     // The line ends with a comma, behind which there is no column.
-    if found < setters.len().saturating_sub(1) || row.name.is_empty() || row.server.is_empty() {
+    if found < setters.len().saturating_sub(1) || row.name.is_empty() || row.endpoint.is_empty() {
         return Err(TableError::IncompleteRow { row: number, found, expected: setters.len() });
     }
     Ok(row)
@@ -150,7 +150,7 @@
             Ok(())
         },
         "svname" => |row, value| {
-            row.server = value.into();
+            row.endpoint = value.into();
             Ok(())
         },
         "status" => |row, value| {
@@ -159,12 +159,12 @@
         },
         "weight" => |row, value| parse(value).map(|number| row.weight = number),
         "stot" => |row, value| parse(value).map(|number| row.total = number),
-        "dreq" => |row, value| parse(value).map(|number| row.denied = number),
-        "econ" => |row, value| parse(value).map(|number| row.connect_failed = number),
-        "eresp" => |row, value| parse(value).map(|number| row.answer_failed = number),
-        "hrsp_5xx" => |row, value| parse(value).map(|number| row.answered_5xx = number),
-        "rtime" => |row, value| parse(value).map(|number| row.mean_ms = number),
-        "ttot_ok" => |row, value| parse(value).map(|number| row.sum_ms = Some(number)),
+        "dreq" => |row, value| parse(value).map(|number| row.shed = number),
+        "econ" => |row, value| parse(value).map(|number| row.connect_errors = number),
+        "eresp" => |row, value| parse(value).map(|number| row.response_errors = number),
+        "hrsp_5xx" => |row, value| parse(value).map(|number| row.responses_5xx = number),
+        "rtime" => |row, value| parse(value).map(|number| row.mean_latency_ms = number),
+        "ttot_ok" => |row, value| parse(value).map(|number| row.total_latency_ms = Some(number)),
         _ => return None,
     })
 }
--- a/crates/runtime-api/src/tokenizer.rs
+++ b/crates/runtime-api/src/tokenizer.rs
@@ -23,7 +23,7 @@
 
     /// The words in one line, for messages and logs.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn joined_words(&self) -> String {
         self.words.join(" ")
     }
 }
--- a/crates/runtime-api/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -2,8 +2,8 @@
 
 use lockcroft_runtime_api::tables::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
 use lockcroft_runtime_api::{
-    Command, CommandEntry, CommandHandler, CommandReader, CommandResult, Level, LineTooLong, MAX_LINE_BYTES,
-    ResponseReader, Session, SessionState, escaped, split,
+    AccessLevel, Command, CommandEntry, CommandHandler, CommandReader, CommandResult, LineTooLong,
+    MAX_LINE_BYTES, ResponseReader, Session, SessionState, escaped, split,
 };
 use proptest::prelude::*;
 
@@ -11,8 +11,8 @@
 struct Echo;
 
 const ENTRIES: [CommandEntry; 2] = [
-    CommandEntry { words: "show echo [<word>]", level: Level::User, help: "say it" },
-    CommandEntry { words: "set echo <word>", level: Level::Admin, help: "say it loud" },
+    CommandEntry { words: "show echo [<word>]", level: AccessLevel::User, help: "say it" },
+    CommandEntry { words: "set echo <word>", level: AccessLevel::Admin, help: "say it loud" },
 ];
 
 impl CommandHandler for Echo {
@@ -29,7 +29,7 @@
     }
 }
 
-fn talk(level: Level, text: &str) -> (String, SessionState) {
+fn talk(level: AccessLevel, text: &str) -> (String, SessionState) {
     let (mut reader, mut session, mut out) = (CommandReader::default(), Session::new(level), String::new());
     reader.push(text.as_bytes());
     let mut state = SessionState::Stay;
@@ -45,38 +45,38 @@
 #[test]
 fn a_connection_closes_after_one_line() {
     assert_eq!(
-        talk(Level::User, "show echo a; show echo b\\ c\n"),
+        talk(AccessLevel::User, "show echo a; show echo b\\ c\n"),
         ("a\n\nb c\n\n".into(), SessionState::Close)
     );
-    assert_eq!(talk(Level::User, "\n"), ("\n".into(), SessionState::Close));
+    assert_eq!(talk(AccessLevel::User, "\n"), ("\n".into(), SessionState::Close));
 }
 
 #[test]
 fn prompt_keeps_the_connection_open() {
-    assert_eq!(talk(Level::User, "prompt\nshow echo a\n"), ("\n> a\n\n> ".into(), SessionState::Stay));
-    assert_eq!(talk(Level::User, "prompt i\nshow echo a\n"), ("\na\n\n".into(), SessionState::Stay));
-    assert_eq!(talk(Level::User, "prompt i\nprompt n\nshow echo a\n").1, SessionState::Close);
-    assert_eq!(talk(Level::User, "prompt\nquit\n").1, SessionState::Close);
+    assert_eq!(talk(AccessLevel::User, "prompt\nshow echo a\n"), ("\n> a\n\n> ".into(), SessionState::Stay));
+    assert_eq!(talk(AccessLevel::User, "prompt i\nshow echo a\n"), ("\na\n\n".into(), SessionState::Stay));
+    assert_eq!(talk(AccessLevel::User, "prompt i\nprompt n\nshow echo a\n").1, SessionState::Close);
+    assert_eq!(talk(AccessLevel::User, "prompt\nquit\n").1, SessionState::Close);
 }
 
 #[test]
 fn levels_are_enforced_and_only_lowered() {
-    assert_eq!(talk(Level::Operator, "set echo x\n").0, "Permission denied\n\n");
-    assert_eq!(talk(Level::Admin, "set echo x\n").0, "x\n\n");
-    assert_eq!(talk(Level::Admin, "user; operator; show cli level\n").0, "\n\nuser\n\n");
+    assert_eq!(talk(AccessLevel::Operator, "set echo x\n").0, "Permission denied\n\n");
+    assert_eq!(talk(AccessLevel::Admin, "set echo x\n").0, "x\n\n");
+    assert_eq!(talk(AccessLevel::Admin, "user; operator; show cli level\n").0, "\n\nuser\n\n");
 }
 
 #[test]
 fn unknown_commands_get_the_list_for_their_level() {
-    let (answer, _) = talk(Level::User, "shw echo\n");
+    let (answer, _) = talk(AccessLevel::User, "shw echo\n");
     assert!(answer.starts_with("Unknown command") && answer.contains("show echo [<word>]"), "{answer}");
     assert!(!answer.contains("set echo"), "{answer}");
 }
 
 #[test]
 fn payloads_end_with_their_terminator() {
-    assert_eq!(talk(Level::User, "show echo <<\na 1\nb 2\n\n").0, "a 1\nb 2\n\n");
-    assert_eq!(talk(Level::User, "show echo <<end\na\n\nb\nend\n").0, "a\n\nb\n\n");
+    assert_eq!(talk(AccessLevel::User, "show echo <<\na 1\nb 2\n\n").0, "a 1\nb 2\n\n");
+    assert_eq!(talk(AccessLevel::User, "show echo <<end\na\n\nb\nend\n").0, "a\n\nb\n\n");
 }
 
 #[test]
@@ -97,32 +97,32 @@
 fn states_and_counters_are_read_as_they_were_written() {
     let state = StateRow {
         backend: "t0".into(),
-        server: "e1".into(),
+        endpoint: "e1".into(),
         address: "127.0.0.1".into(),
         port: 81,
         running: true,
-        admin: 9,
+        admin_state: 9,
         weight: 256,
         health: 4,
     };
     assert_eq!(read_states(&write_states(std::slice::from_ref(&state))), Ok(vec![state]));
     let row = StatRow {
         name: "t0".into(),
-        server: "e1".into(),
+        endpoint: "e1".into(),
         status: "UP".into(),
         weight: 13,
         total: 99,
-        denied: 1,
-        connect_failed: 2,
-        answer_failed: 3,
-        answered_5xx: 4,
-        mean_ms: 17,
-        sum_ms: Some(1234),
+        shed: 1,
+        connect_errors: 2,
+        response_errors: 3,
+        responses_5xx: 4,
+        mean_latency_ms: 17,
+        total_latency_ms: Some(1234),
     };
     assert_eq!(read_stat(&write_stat(std::slice::from_ref(&row))), Ok(vec![row]));
     // Of another maker, with columns that come in another order and without this project's own.
     let other = "# svname,pxname,stot,rtime,\ne1,t0,7,12,\n";
-    assert_eq!(read_stat(other).map(|rows| (rows[0].total, rows[0].sum_ms)), Ok((7, None)));
+    assert_eq!(read_stat(other).map(|rows| (rows[0].total, rows[0].total_latency_ms)), Ok((7, None)));
 }
 
 #[test]
@@ -169,7 +169,7 @@
     fn arbitrary_bytes_are_answered(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
         let mut reader = CommandReader::default();
         reader.push(&bytes);
-        let mut session = Session::new(Level::Admin);
+        let mut session = Session::new(AccessLevel::Admin);
         while let Ok(Some(commands)) = reader.next_line() {
             let mut out = String::new();
             session.execute_line(&commands, &mut Echo, &mut out);
@@ -184,7 +184,7 @@
         let (mut answers, mut got) = (ResponseReader::default(), Vec::new());
         for piece in all.as_bytes().chunks(cut) {
             answers.push(piece);
-            while let Some(answer) = answers.next_answer() { got.push(answer) }
+            while let Some(answer) = answers.next_response() { got.push(answer) }
         }
         prop_assert_eq!(got, texts);
     }
--- a/crates/runtime-api/tests/error_texts.rs
+++ b/crates/runtime-api/tests/error_texts.rs
@@ -1,7 +1,7 @@
 //! The texts of errors, which users and controllers see.
 
 use lockcroft_runtime_api::tables::{read_stat, read_states};
-use lockcroft_runtime_api::{Address, Level};
+use lockcroft_runtime_api::{AccessLevel, Address};
 
 const STATES_HEADER: &str =
     "be_name srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_check_health srv_port";
@@ -42,6 +42,6 @@
 fn words_that_are_not_known_are_quoted() {
     let address = "nowhere".parse::<Address>().expect_err("no address").to_string();
     assert_eq!(address, "\"nowhere\" is neither unix:PATH nor IP:PORT");
-    let level = "root".parse::<Level>().expect_err("no level").to_string();
+    let level = "root".parse::<AccessLevel>().expect_err("no level").to_string();
     assert_eq!(level, "\"root\" is none of user, operator, admin");
 }
--- a/crates/scenario/src/proxy_fleet.rs
+++ b/crates/scenario/src/proxy_fleet.rs
@@ -50,11 +50,11 @@
 impl ProxyFleet {
     /// Puts what is stated here into a proxy's configuration.
     pub fn apply(&self, config: &mut ProxyConfig) {
-        config.limits.way = self.policy.unwrap_or(config.limits.way);
-        config.limits.shuns_for = self.ejection_time.unwrap_or(config.limits.shuns_for);
-        config.limits.outstanding_most = self.max_in_flight.unwrap_or(config.limits.outstanding_most);
-        config.try_most = self.attempt_timeout.unwrap_or(config.try_most);
-        config.second_share = self.retry_ratio.unwrap_or(config.second_share);
-        config.waiting_most = self.max_queued_requests.unwrap_or(config.waiting_most);
+        config.limits.policy = self.policy.unwrap_or(config.limits.policy);
+        config.limits.ejection_time = self.ejection_time.unwrap_or(config.limits.ejection_time);
+        config.limits.max_in_flight = self.max_in_flight.unwrap_or(config.limits.max_in_flight);
+        config.attempt_timeout = self.attempt_timeout.unwrap_or(config.attempt_timeout);
+        config.retry_ratio = self.retry_ratio.unwrap_or(config.retry_ratio);
+        config.max_queued_requests = self.max_queued_requests.unwrap_or(config.max_queued_requests);
     }
 }
--- a/crates/scenario/src/proxy_runtimes.rs
+++ b/crates/scenario/src/proxy_runtimes.rs
@@ -62,7 +62,7 @@
         match request {
             Request::Start { number, config, started } => {
                 let result = Proxy::start(*config).await.map(|proxy| {
-                    let address = proxy.visits;
+                    let address = proxy.request_address;
                     running.insert(number, proxy);
                     address
                 });
--- a/crates/scenario/src/stage/proxies.rs
+++ b/crates/scenario/src/stage/proxies.rs
@@ -39,7 +39,7 @@
 impl ProxyInstance {
     /// The element of the controller's configuration.
     pub(super) fn to_xml(&self, requests_per_s: f64) -> String {
-        let table_source = if self.config.files.is_some() { "files" } else { "commands" };
+        let table_source = if self.config.table_files.is_some() { "files" } else { "commands" };
         format!(
             "<proxy name=\"{}\" zone=\"{}\" address=\"{}\" visits-per-s=\"{requests_per_s:.2}\" front=\"{table_source}\"/>\n",
             self.name, self.zone, self.link.address
@@ -53,7 +53,7 @@
 }
 
 fn record_start(config: &ProxyConfig, recorder: &TrafficRecorder) {
-    let endpoints = config.standing.iter().map(|(name, _)| name.clone()).collect();
+    let endpoints = config.default_table.iter().map(|(name, _)| name.clone()).collect();
     recorder.record(TrafficEvent::ProxyStarted { proxy: config.name.clone(), endpoints });
 }
 
@@ -99,23 +99,23 @@
     ) -> Result<ProxyInstance, ScenarioError> {
         let control = Address::Unix(self.folder.join(format!("{name}.sock")));
         let mut config = self.proxy_config(&name, number, control.clone());
-        config.standing = default_table;
-        config.visits = self.runtimes.start(number, config.clone()).await?;
+        config.default_table = default_table;
+        config.request_address = self.runtimes.start(number, config.clone()).await?;
         record_start(&config, self.recorder);
         let link = ThrottledLink::open(&name, control, self.recorder.clone()).await?;
-        Ok(ProxyInstance { name, zone: zone.into(), address: config.visits, link, number, config })
+        Ok(ProxyInstance { name, zone: zone.into(), address: config.request_address, link, number, config })
     }
 
     fn proxy_config(&self, name: &str, number: usize, control: Address) -> ProxyConfig {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut config = ProxyConfig::new(name, any_port, vec![control], self.class_timeouts());
-        config.idle_most = IDLE_TIMEOUT;
+        config.idle_timeout = IDLE_TIMEOUT;
         self.scenario.proxies.apply(&mut config);
         let ejection_threshold = self.config.settings.fleet.proxy_ejection_threshold;
-        config.limits.shuns_after = ejection_threshold.unwrap_or(0.0) as u32;
+        config.limits.ejection_threshold = ejection_threshold.unwrap_or(0.0) as u32;
         config.seed = number as u64;
         let reads_files = self.scenario.proxies.table_source.reads_files(number);
-        config.files = reads_files.then(|| self.table_folder.proxy_config());
+        config.table_files = reads_files.then(|| self.table_folder.proxy_config());
         config
     }
 
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -11,7 +11,7 @@
 
 use lockcroft_proxy::TableFilesConfig;
 use lockcroft_table_format::{SnapshotContent, proto};
-use lockcroft_table_store::{StatusReader, StoreLayout, find, read_keys};
+use lockcroft_table_store::{StatusReader, StoreLayout, load_snapshot, read_keys};
 use lockcroft_testbed::{AppliedTable, ClassTable, EndpointWeight, TrafficEvent, TrafficRecorder};
 use tokio::sync::Mutex;
 
@@ -71,8 +71,8 @@
     pub fn proxy_config(&self) -> TableFilesConfig {
         TableFilesConfig {
             folder: self.folder.clone(),
-            keys: self.keys.clone(),
-            look_every: PROXY_POLL_INTERVAL,
+            key_file: self.keys.clone(),
+            poll_interval: PROXY_POLL_INTERVAL,
         }
     }
 
@@ -86,12 +86,12 @@
             tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             // An asynchronous lock, which a restart holds over its own waits.
             let _no_restart = self.restart_lock.lock().await;
-            for status in statuses.look(&self.folder).unwrap_or_default() {
+            for status in statuses.read_changed(&self.folder).unwrap_or_default() {
                 for applied in
                     status.laid.iter().filter(|applied| seen.insert(SeenStatus::new(&status, applied)))
                 {
                     // A snapshot that is gone already can't be judged: choices by it count as outside of the table.
-                    if let Ok(snapshot) = find(&layout, applied.epoch, applied.version, &keys) {
+                    if let Ok(snapshot) = load_snapshot(&layout, applied.epoch, applied.version, &keys) {
                         recorder.record(applied_event(&status.proxy, applied, &snapshot.content));
                     }
                 }
@@ -115,10 +115,10 @@
 /// What a snapshot holds for this proxy.
 fn applied_event(proxy: &str, applied: &proto::Laid, content: &SnapshotContent) -> TrafficEvent {
     let group = content.group_of(proxy).map(|number| &content.groups[&number]);
-    let assignments: Vec<_> = group.into_iter().flat_map(|group| &group.bound).collect();
+    let assignments: Vec<_> = group.into_iter().flat_map(|group| &group.assignments).collect();
     let tables: BTreeSet<u32> = assignments.iter().map(|(_, assignment)| assignment.table).collect();
     let entries = |number: &u32| {
-        let entries = content.tables.get(number).into_iter().flat_map(|table| &table.lines);
+        let entries = content.tables.get(number).into_iter().flat_map(|table| &table.entries);
         let weight = |(endpoint, entry): (&String, &lockcroft_table_format::TableEntry)| EndpointWeight {
             endpoint: endpoint.clone(),
             weight: entry.weight,
@@ -136,7 +136,7 @@
         version: applied.set,
         tables: tables.collect(),
         class_tables: class_tables.collect(),
-        ejected: content.withdrawn.iter().cloned().collect(),
+        ejected: content.ejected.iter().cloned().collect(),
     }
 }
 
--- a/crates/scenario/src/throttled_link/connection.rs
+++ b/crates/scenario/src/throttled_link/connection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lockcroft_proxy::changes;
+use lockcroft_proxy::changes_state;
 use lockcroft_runtime_api::{ResponseReader, Stream, split};
 use lockcroft_testbed::{AnsweredCommand, TrafficEvent};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -105,24 +105,24 @@
     /// Notes the commands of a message; gives the number of those that change something.
     fn expect_answers(&mut self, message: &[u8]) -> usize {
         let commands = split(String::from_utf8_lossy(message).trim_end());
-        let changing = commands.iter().filter(|command| changes(command)).count();
+        let changing = commands.iter().filter(|command| changes_state(command)).count();
         if changing > 0 {
             let proxy = self.link.proxy.clone();
             self.link.recorder.record(TrafficEvent::UpdateReceived { proxy, commands: changing });
         }
         let mut remaining = changing;
         for command in &commands {
-            let is_change = changes(command);
+            let is_change = changes_state(command);
             remaining -= usize::from(is_change);
             let remaining_changes = is_change.then_some(remaining);
-            self.pending.push_back(PendingCommand { text: command.text(), remaining_changes });
+            self.pending.push_back(PendingCommand { text: command.joined_words(), remaining_changes });
         }
         changing
     }
 
     fn read_answers(&mut self, bytes: &[u8]) {
         self.answers.push(bytes);
-        while let Some(answer) = self.answers.next_answer() {
+        while let Some(answer) = self.answers.next_response() {
             let Some(command) = self.pending.pop_front() else { return };
             if let Some(remaining_changes) = command.remaining_changes {
                 let answered = AnsweredCommand { command: command.text, answer: answer.trim().into() };
--- a/crates/solver-format/src/json.rs
+++ b/crates/solver-format/src/json.rs
@@ -9,42 +9,43 @@
 #[must_use]
 pub fn json(named: &NamedProblem, answer: &Answer) -> Value {
     let objective = answer.objective;
-    let rates = named.classes.iter().zip(&answer.let_in);
+    let rates = named.classes.iter().zip(&answer.admission_rates);
     let tables = (0..named.classes.len())
         .flat_map(|class| (0..named.zones.len()).map(move |zone| table_json(named, answer, class, zone)));
     json!({
-        "objective": {"total": objective.total(), "earned": objective.earned, "crossing": objective.crossing,
-            "lateness": objective.lateness},
+        "objective": {"total": objective.total(), "earned": objective.value, "crossing": objective.crossing_cost,
+            "lateness": objective.latency_cost},
         "classes": rates.map(|(name, rate)| json!({"name": name, "let_in": rate})).collect::<Vec<_>>(),
-        "dropped": answer.dropped.iter().map(|shed| shed_json(named, shed)).collect::<Vec<_>>(),
-        "servers": (0..named.servers.len()).map(|endpoint| endpoint_json(named, answer, endpoint)).collect::<Vec<_>>(),
+        "dropped": answer.shed.iter().map(|shed| shed_json(named, shed)).collect::<Vec<_>>(),
+        "servers": (0..named.endpoints.len()).map(|endpoint| endpoint_json(named, answer, endpoint)).collect::<Vec<_>>(),
         "tables": tables.collect::<Vec<_>>(),
     })
 }
 
 fn endpoint_json(named: &NamedProblem, answer: &Answer, endpoint: usize) -> Value {
     json!({
-        "name": named.servers[endpoint],
-        "cores": named.problem.servers[endpoint].room(),
+        "name": named.endpoints[endpoint],
+        "cores": named.problem.endpoints[endpoint].available_capacity(),
         "weight": answer.weights[endpoint],
         "load": answer.loads[endpoint],
     })
 }
 
 fn shed_json(named: &NamedProblem, shed: &ShedReason) -> Value {
-    let competitors: Vec<&String> = shed.before.iter().map(|class| &named.classes[*class]).collect();
+    let competitors: Vec<&String> =
+        shed.preferred_classes.iter().map(|class| &named.classes[*class]).collect();
     json!({
         "class": named.classes[shed.class],
-        "visits_per_s": shed.visits,
-        "restored_by_cores": shed.restored_by,
-        "cores": shed.room,
+        "visits_per_s": shed.requests,
+        "restored_by_cores": shed.missing_capacity,
+        "cores": shed.capacity,
         "before_it": competitors,
     })
 }
 
 fn table_json(named: &NamedProblem, answer: &Answer, class: usize, zone: usize) -> Value {
     let entry =
-        |(endpoint, weight): (usize, u32)| json!({"server": named.servers[endpoint], "weight": weight});
+        |(endpoint, weight): (usize, u32)| json!({"server": named.endpoints[endpoint], "weight": weight});
     let entries: Vec<Value> = answer.table(class, zone).into_iter().map(entry).collect();
     json!({"class": named.classes[class], "zone": named.zones[zone], "lines": entries})
 }
--- a/crates/solver-format/src/picture.rs
+++ b/crates/solver-format/src/picture.rs
@@ -26,9 +26,9 @@
 /// # Errors
 /// The drawing library failed.
 pub fn picture(named: &NamedProblem, answer: &Answer) -> Result<String, PictureError> {
-    let mut order: Vec<usize> = (0..named.servers.len()).collect();
-    order.sort_by_key(|endpoint| (named.problem.servers[*endpoint].zone, *endpoint));
-    let equal_weights = vec![1; named.servers.len()];
+    let mut order: Vec<usize> = (0..named.endpoints.len()).collect();
+    order.sort_by_key(|endpoint| (named.problem.endpoints[*endpoint].zone, *endpoint));
+    let equal_weights = vec![1; named.endpoints.len()];
     let equal_loads = LoadDistribution::new(&named.problem).loads(&equal_weights, &[]);
     let width = (order.len() as u32 * BAR_WIDTH).clamp(MIN_WIDTH, MAX_WIDTH);
     let mut svg = String::new();
@@ -50,7 +50,7 @@
     order: &[usize],
     loads: &[f64],
 ) -> Result<(), PictureError> {
-    let capacity = |endpoint: usize| named.problem.servers[endpoint].room();
+    let capacity = |endpoint: usize| named.problem.endpoints[endpoint].available_capacity();
     let tops = order.iter().map(|endpoint| capacity(*endpoint).max(loads[*endpoint]));
     let max_cores = tops.fold(0.0, f64::max).max(1e-9);
     let mut chart = ChartBuilder::on(area)
@@ -60,7 +60,7 @@
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..order.len().max(1) as f64, 0.0..max_cores * 1.05)?;
     let zone_label = |x: &f64| match order.get(*x as usize) {
-        Some(endpoint) => named.zones[named.problem.servers[*endpoint].zone].clone(),
+        Some(endpoint) => named.zones[named.problem.endpoints[*endpoint].zone].clone(),
         None => String::new(),
     };
     chart.configure_mesh().disable_x_mesh().y_desc("cores").x_label_formatter(&zone_label).draw()?;
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -21,7 +21,7 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the endpoints.
-    pub servers: Vec<String>,
+    pub endpoints: Vec<String>,
     /// Names of the classes.
     pub classes: Vec<String>,
 }
@@ -44,7 +44,7 @@
         let root = tree.root_element();
         let elements = |list: &str| child_elements(root.children().find(|node| node.has_tag_name(list)));
         let mut reader = ProblemReader { document, named: NamedProblem::default(), errors: Vec::new() };
-        reader.named.problem.crossing = attribute_number(root, "crossing").unwrap_or(0.0);
+        reader.named.problem.crossing_cost = attribute_number(root, "crossing").unwrap_or(0.0);
         reader.read_zones(elements("zones"));
         reader.read_endpoints(elements("servers"));
         reader.read_classes(elements("classes"));
@@ -74,19 +74,19 @@
         for node in nodes {
             let name = self.read_new_name(node, &mut known);
             let zone = self.index_of(node, attribute_text(node, "zone"), "zone", &zones);
-            self.named.servers.push(name);
-            self.named.problem.servers.push(Endpoint {
+            self.named.endpoints.push(name);
+            self.named.problem.endpoints.push(Endpoint {
                 zone,
                 capacity: attribute_number(node, "cores").unwrap_or(0.0),
-                warmth: attribute_number(node, "warmth").unwrap_or(1.0),
-                withdrawn: matches!(node.attribute("withdrawn"), Some("true" | "1")),
+                slow_start_factor: attribute_number(node, "warmth").unwrap_or(1.0),
+                unavailable: matches!(node.attribute("withdrawn"), Some("true" | "1")),
             });
         }
     }
 
     fn read_classes(&mut self, nodes: Vec<Node>) {
         let zones = self.named.zones.clone();
-        let endpoints = self.named.servers.clone();
+        let endpoints = self.named.endpoints.clone();
         let mut known = BTreeSet::new();
         for node in nodes {
             let name = self.read_new_name(node, &mut known);
@@ -96,10 +96,10 @@
             let demand = self.read_demand(node, &zones);
             self.named.problem.classes.push(Class {
                 work: attribute_seconds(node, "work"),
-                contract_time: attribute_seconds(node, "contract-time"),
-                earnings: attribute_number(node, "earnings").unwrap_or(0.0),
+                latency_objective: attribute_seconds(node, "contract-time"),
+                value: attribute_number(node, "earnings").unwrap_or(0.0),
                 zones: only_zones,
-                servers: node.has_attribute("only-servers").then_some(only_endpoints),
+                endpoints: node.has_attribute("only-servers").then_some(only_endpoints),
                 demand,
             });
         }
--- a/crates/solver-format/src/text.rs
+++ b/crates/solver-format/src/text.rs
@@ -19,10 +19,10 @@
 impl Display for AnswerText<'_> {
     fn fmt(&self, out: &mut Formatter) -> fmt::Result {
         self.write_objective(out)?;
-        for (class, rate) in self.answer.let_in.iter().enumerate() {
+        for (class, rate) in self.answer.admission_rates.iter().enumerate() {
             writeln!(out, "class {}: {:.1}% let in", self.named.classes[class], rate * 100.0)?;
         }
-        for shed in &self.answer.dropped {
+        for shed in &self.answer.shed {
             self.write_shed(shed, out)?;
         }
         self.write_endpoints(out)
@@ -36,14 +36,15 @@
             out,
             "{:.2} earnings a second: {:.2} by visits let in, less {:.2} crossing, less {:.2} lateness",
             objective.total(),
-            objective.earned,
-            objective.crossing,
-            objective.lateness
+            objective.value,
+            objective.crossing_cost,
+            objective.latency_cost
         )
     }
 
     fn write_shed(&self, shed: &ShedReason, out: &mut Formatter) -> fmt::Result {
-        let ShedReason { class, visits: requests, restored_by: missing, room: capacity, before } = shed;
+        let ShedReason { class, requests, missing_capacity: missing, capacity, preferred_classes: before } =
+            shed;
         let classes = &self.named.classes;
         write!(
             out,
@@ -60,15 +61,15 @@
     /// Each endpoint's weight, load and utilization, beside its utilization with equal weights.
     fn write_endpoints(&self, out: &mut Formatter) -> fmt::Result {
         let AnswerText { named, answer } = self;
-        let equal_weights = vec![1; named.servers.len()];
+        let equal_weights = vec![1; named.endpoints.len()];
         let equal_loads = LoadDistribution::new(&named.problem).loads(&equal_weights, &[]);
         writeln!(
             out,
             "{:24} {:>10} {:>6} {:>6} {:>10} {:>12}",
             "server", "cores now", "weight", "load", "used", "used alike"
         )?;
-        for (endpoint, name) in named.servers.iter().enumerate() {
-            let capacity = named.problem.servers[endpoint].room();
+        for (endpoint, name) in named.endpoints.iter().enumerate() {
+            let capacity = named.problem.endpoints[endpoint].available_capacity();
             writeln!(
                 out,
                 "{name:24} {capacity:>10.2} {:>6} {:>6.2} {:>10} {:>12}",
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -18,7 +18,7 @@
 }
 
 fn write_problem(out: &mut String, named: &NamedProblem) -> fmt::Result {
-    write!(out, "<problem crossing=\"{}\">\n  <zones>", named.problem.crossing)?;
+    write!(out, "<problem crossing=\"{}\">\n  <zones>", named.problem.crossing_cost)?;
     for zone in &named.zones {
         write!(out, "<zone name=\"{zone}\"/>")?;
     }
@@ -32,13 +32,13 @@
 }
 
 fn write_endpoints(out: &mut String, named: &NamedProblem) -> fmt::Result {
-    for (name, endpoint) in named.servers.iter().zip(&named.problem.servers) {
+    for (name, endpoint) in named.endpoints.iter().zip(&named.problem.endpoints) {
         let zone = &named.zones[endpoint.zone];
         write!(out, "    <server name=\"{name}\" zone=\"{zone}\" cores=\"{}\"", endpoint.capacity)?;
-        if endpoint.warmth < 1.0 {
-            write!(out, " warmth=\"{}\"", endpoint.warmth)?;
+        if endpoint.slow_start_factor < 1.0 {
+            write!(out, " warmth=\"{}\"", endpoint.slow_start_factor)?;
         }
-        if endpoint.withdrawn {
+        if endpoint.unavailable {
             out.write_str(" withdrawn=\"true\"")?;
         }
         out.write_str("/>\n")?;
@@ -50,13 +50,13 @@
     write!(
         out,
         "    <class name=\"{name}\" work=\"{}s\" contract-time=\"{}s\" earnings=\"{}\"",
-        class.work, class.contract_time, class.earnings
+        class.work, class.latency_objective, class.value
     )?;
     if !class.zones.is_empty() {
         write_names(out, "only-zones", &class.zones, &named.zones)?;
     }
-    if let Some(endpoints) = &class.servers {
-        write_names(out, "only-servers", endpoints, &named.servers)?;
+    if let Some(endpoints) = &class.endpoints {
+        write_names(out, "only-servers", endpoints, &named.endpoints)?;
     }
     out.write_str(">\n")?;
     for (zone, requests) in named.zones.iter().zip(&class.demand).filter(|(_, requests)| **requests > 0.0) {
--- a/crates/solver/benches/solve.rs
+++ b/crates/solver/benches/solve.rs
@@ -13,17 +13,17 @@
     let endpoint = |i: usize| Endpoint {
         zone: i % zones,
         capacity: [1.0, 2.0, 4.0, 8.0][i / zones % 4],
-        warmth: if i.is_multiple_of(17) { 0.25 } else { 1.0 },
-        withdrawn: i.is_multiple_of(23),
+        slow_start_factor: if i.is_multiple_of(17) { 0.25 } else { 1.0 },
+        unavailable: i.is_multiple_of(23),
     };
     let total_cores = servers as f64 * 3.75;
     let class = |k: usize| Class {
         work: 0.02 * (k + 1) as f64,
-        contract_time: 0.5 + 0.1 * k as f64,
-        earnings: 1.0 + (k * 7 % classes) as f64,
+        latency_objective: 0.5 + 0.1 * k as f64,
+        value: 1.0 + (k * 7 % classes) as f64,
         // Every third class has zones of its own.
         zones: if k % 3 == 2 { vec![k % zones, (k + 1) % zones] } else { vec![] },
-        servers: None,
+        endpoints: None,
         demand: (0..zones)
             .map(|zone| {
                 let skew = (zone + 1) as f64 / (zones + 1) as f64;
@@ -33,9 +33,9 @@
     };
     Problem {
         zones,
-        servers: (0..servers).map(endpoint).collect(),
+        endpoints: (0..servers).map(endpoint).collect(),
         classes: (0..classes).map(class).collect(),
-        crossing: 0.2,
+        crossing_cost: 0.2,
     }
 }
 
@@ -43,11 +43,11 @@
 /// latency.
 fn greedy(problem: &Problem) -> f64 {
     let mut capacity: Vec<f64> = vec![0.0; problem.zones];
-    for endpoint in problem.servers.iter().filter(|endpoint| !endpoint.withdrawn) {
-        capacity[endpoint.zone] += endpoint.capacity * endpoint.warmth;
+    for endpoint in problem.endpoints.iter().filter(|endpoint| !endpoint.unavailable) {
+        capacity[endpoint.zone] += endpoint.capacity * endpoint.slow_start_factor;
     }
     let mut order: Vec<&Class> = problem.classes.iter().collect();
-    order.sort_by(|a, b| (b.earnings / b.work).total_cmp(&(a.earnings / a.work)));
+    order.sort_by(|a, b| (b.value / b.work).total_cmp(&(a.value / a.work)));
     let mut sum = 0.0;
     for class in order {
         for (zone, requests) in class.demand.iter().enumerate() {
@@ -57,8 +57,8 @@
                 let units = remaining.min(capacity[to]);
                 remaining -= units;
                 capacity[to] -= units;
-                let crossing = if to == zone { 0.0 } else { problem.crossing };
-                sum += units * (class.earnings - crossing) / class.work;
+                let crossing = if to == zone { 0.0 } else { problem.crossing_cost };
+                sum += units * (class.value - crossing) / class.work;
             }
         }
     }
@@ -90,18 +90,18 @@
         let problem = problem(servers, zones, classes);
         let (took, answer) = timed(|| solve(&problem).expect("sound"));
         let mut changed = problem.clone();
-        changed.servers[1].withdrawn = true;
-        let price = ChangePrice { line: 0.01, lines_most: 1000, stands: 10.0 };
+        changed.endpoints[1].unavailable = true;
+        let price = ChangePrice { per_entry: 0.01, max_entries: 1000, horizon_secs: 10.0 };
         let numbers: Vec<usize> = (0..servers).collect();
         let mut stabilizer = PlanStabilizer::default();
-        stabilizer.take(&problem, &numbers, &answer, price);
+        stabilizer.update(&problem, &numbers, &answer, price);
         let (again, lines) = timed(|| {
             let answer = solve(&changed).expect("sound");
-            stabilizer.clone().take(&changed, &numbers, &answer, price).len()
+            stabilizer.clone().update(&changed, &numbers, &answer, price).len()
         });
         let spread = LoadDistribution::new(&problem);
-        let equal = spread.value(&vec![1; servers], &answer.let_in);
-        let laid = spread.value(&answer.weights, &answer.let_in);
+        let equal = spread.value(&vec![1; servers], &answer.admission_rates);
+        let laid = spread.value(&answer.weights, &answer.admission_rates);
         println!(
             "{servers:6} servers {zones} zones {classes:2} classes: {took:10.1?} total {:10.1}, after one change \
              {again:10.1?} with {lines} lines; on-time earnings by weights {laid:.1}, by equal weights {equal:.1}; \
--- a/crates/solver/src/answer.rs
+++ b/crates/solver/src/answer.rs
@@ -13,9 +13,9 @@
     /// Planned work of each endpoint.
     pub loads: Vec<f64>,
     /// Admission rate of each class, from 0 to 1.
-    pub let_in: Vec<f64>,
+    pub admission_rates: Vec<f64>,
     /// The classes that are not admitted in full, with the reason.
-    pub dropped: Vec<ShedReason>,
+    pub shed: Vec<ShedReason>,
     /// The value of the plan.
     pub objective: Objective,
 }
@@ -46,31 +46,31 @@
     /// Index of the class.
     pub class: usize,
     /// Shed requests a second.
-    pub visits: f64,
+    pub requests: f64,
     /// Cores that would take them, among the endpoints of the class and as utilized as the present ones.
-    pub restored_by: f64,
+    pub missing_capacity: f64,
     /// Cores of the endpoints that the class may use.
-    pub room: f64,
+    pub capacity: f64,
     /// Other classes that use these endpoints.
-    pub before: Vec<usize>,
+    pub preferred_classes: Vec<usize>,
 }
 
 /// The objective by its parts, in value a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Objective {
     /// Value of the admitted requests.
-    pub earned: f64,
+    pub value: f64,
     /// Cost of requests that cross zones.
-    pub crossing: f64,
+    pub crossing_cost: f64,
     /// Cost of latency.
-    pub lateness: f64,
+    pub latency_cost: f64,
 }
 
 impl Objective {
     /// Value less costs; the plan maximizes this.
     #[must_use]
     pub fn total(&self) -> f64 {
-        self.earned - self.crossing - self.lateness
+        self.value - self.crossing_cost - self.latency_cost
     }
 }
 
--- a/crates/solver/src/capacity_estimator.rs
+++ b/crates/solver/src/capacity_estimator.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadSample {
     /// Work of its successful requests, in cores.
-    pub done: f64,
+    pub completed_work: f64,
     /// Its attempts missed their latency objective or failed.
-    pub late: bool,
+    pub is_late: bool,
     /// Duration of a request over its work; 0 if none was successful.
     pub slowdown: f64,
     /// Its utilization, from 0 to 1, if it reports one.
@@ -66,7 +66,7 @@
 
     /// What other endpoints of its machine type turned out to have.
     #[must_use]
-    pub fn alike(cores: f64) -> Self {
+    pub fn from_machine_type(cores: f64) -> Self {
         CapacityPrior { cores, factor: MACHINE_TYPE_FACTOR }
     }
 
@@ -111,18 +111,18 @@
     }
 
     /// Adds a sample of an endpoint.
-    pub fn look(&mut self, now: Duration, endpoint: usize, prior: CapacityPrior, sample: LoadSample) {
+    pub fn observe(&mut self, now: Duration, endpoint: usize, prior: CapacityPrior, sample: LoadSample) {
         let mut evidence = self.decayed(now, endpoint, prior);
-        if sample.late {
+        if sample.is_late {
             // It could do no more than this. What it did lately still counts, and failures for other reasons, with ever
             // fewer requests admitted, must not make it small without end.
-            let max = sample.done.max(evidence.min).max(prior.min());
+            let max = sample.completed_work.max(evidence.min).max(prior.min());
             evidence.max = evidence.max.min(max);
         } else {
-            evidence.min = evidence.min.max(sample.done.min(prior.max()));
+            evidence.min = evidence.min.max(sample.completed_work.min(prior.max()));
             evidence.max = evidence.max.max(evidence.min);
             if let Some(utilization) = utilization(sample) {
-                let capacity = (sample.done / utilization).clamp(prior.min(), prior.max());
+                let capacity = (sample.completed_work / utilization).clamp(prior.min(), prior.max());
                 // A measurement that is repeated counts from the average before its decay.
                 let last = self.evidence.get(&endpoint).and_then(|evidence| evidence.measured);
                 let average = last.unwrap_or(capacity);
@@ -147,7 +147,11 @@
 
     /// The median of what endpoints of one machine type showed within the half-life; `None` if they are too few. The
     /// median keeps one that is overloaded from misleading the estimates of the others.
-    pub fn alike(&self, now: Duration, endpoints: impl Iterator<Item = usize>) -> Option<f64> {
+    pub fn machine_type_capacity(
+        &self,
+        now: Duration,
+        endpoints: impl Iterator<Item = usize>,
+    ) -> Option<f64> {
         let is_recent = |evidence: &&Evidence| now.saturating_sub(evidence.last_sample_at) < self.half_life;
         let recent = endpoints.filter_map(|endpoint| self.evidence.get(&endpoint).filter(is_recent));
         let mut measured: Vec<f64> = recent.filter_map(|evidence| evidence.measured).collect();
@@ -156,7 +160,7 @@
     }
 
     /// Forgets the endpoints that are no longer listed.
-    pub fn keep(&mut self, is_listed: impl Fn(usize) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(usize) -> bool) {
         self.evidence.retain(|endpoint, _| is_listed(*endpoint));
     }
 
@@ -184,5 +188,5 @@
 /// The utilization that an endpoint reports, or else the one that its slowdown implies.
 fn utilization(sample: LoadSample) -> Option<f64> {
     let reported = sample.load.filter(|load| (MIN_UTILIZATION..=1.0).contains(load));
-    reported.or_else(|| utilization_from_slowdown(sample.done, sample.slowdown, MIN_UTILIZATION))
+    reported.or_else(|| utilization_from_slowdown(sample.completed_work, sample.slowdown, MIN_UTILIZATION))
 }
