--- a/crates/solver/src/endpoint_group.rs
+++ b/crates/solver/src/endpoint_group.rs
@@ -42,14 +42,14 @@
     let usability: Vec<Vec<bool>> =
         (0..problem.classes.len()).map(|class| usable_endpoints(problem, class)).collect();
     let mut groups: BTreeMap<GroupKey, GroupMembers> = BTreeMap::new();
-    for (index, endpoint) in problem.servers.iter().enumerate() {
+    for (index, endpoint) in problem.endpoints.iter().enumerate() {
         let capacity = problem.capacity_units(index);
         if capacity == 0 {
             continue;
         }
         let classes = (0..problem.classes.len()).filter(|class| usability[*class][index]).collect();
         // Where crossing costs nothing, zones make no difference either.
-        let zone = if problem.crossing > 0.0 { endpoint.zone } else { 0 };
+        let zone = if problem.crossing_cost > 0.0 { endpoint.zone } else { 0 };
         let members = groups.entry(GroupKey { zone, classes }).or_default();
         members.endpoints.push(index);
         members.capacity += capacity;
@@ -66,11 +66,11 @@
 /// By endpoint, whether a class may use it.
 fn usable_endpoints(problem: &Problem, class: usize) -> Vec<bool> {
     let class = &problem.classes[class];
-    let mut is_listed = vec![class.servers.is_none(); problem.servers.len()];
-    for endpoint in class.servers.iter().flatten() {
+    let mut is_listed = vec![class.endpoints.is_none(); problem.endpoints.len()];
+    for endpoint in class.endpoints.iter().flatten() {
         is_listed[*endpoint] = true;
     }
     let zone_allowed = |zone: usize| class.zones.is_empty() || class.zones.contains(&zone);
-    let endpoints = problem.servers.iter().zip(is_listed);
+    let endpoints = problem.endpoints.iter().zip(is_listed);
     endpoints.map(|(endpoint, is_listed)| is_listed && zone_allowed(endpoint.zone)).collect()
 }
--- a/crates/solver/src/latency.rs
+++ b/crates/solver/src/latency.rs
@@ -57,14 +57,14 @@
 /// How quickly lateness falls with spare capacity: latency objective over work of the classes that may use the group,
 /// weighted by the work that they ask for, times the mean cores of its endpoints.
 pub(crate) fn steepness(problem: &Problem, group: &EndpointGroup) -> f64 {
-    let total_cores: f64 = group.endpoints.iter().map(|endpoint| problem.servers[*endpoint].capacity).sum();
+    let total_cores: f64 = group.endpoints.iter().map(|endpoint| problem.endpoints[*endpoint].capacity).sum();
     let mean_cores = total_cores / group.endpoints.len().max(1) as f64;
     let mut total_work = 0.0;
     let mut weighted_ratios = 0.0;
     for class in &group.classes {
         let work = asked_by_class(problem, *class);
         let class = &problem.classes[*class];
-        weighted_ratios += work * class.contract_time / class.work;
+        weighted_ratios += work * class.latency_objective / class.work;
         total_work += work;
     }
     if total_work > 0.0 { mean_cores.max(1.0) * weighted_ratios / total_work } else { 0.0 }
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -27,4 +27,4 @@
 pub use plan_stabilizer::{ChangePrice, PlanStabilizer};
 pub use problem::{Class, Endpoint, Problem, ProblemError};
 pub use solve::solve;
-pub use table_stabilizer::{Shares, TableScope, Tables};
+pub use table_stabilizer::{TableScope, TableStabilizer, WeightFractions};
--- a/crates/solver/src/load_distribution.rs
+++ b/crates/solver/src/load_distribution.rs
@@ -35,7 +35,7 @@
     #[must_use]
     pub fn loads(&self, weights: &[u32], admission_rates: &[f64]) -> Vec<f64> {
         let problem = self.problem;
-        let mut loads = vec![0.0; problem.servers.len()];
+        let mut loads = vec![0.0; problem.endpoints.len()];
         for class in 0..problem.classes.len() {
             let asked: i64 = (0..problem.zones).map(|zone| problem.asked_units(class, zone)).sum();
             let groups = self.groups.iter().map(|entry| &entry.group);
--- a/crates/solver/src/plan_stabilizer.rs
+++ b/crates/solver/src/plan_stabilizer.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangePrice {
     /// Value that a changed table entry costs, over all proxies that hold it.
-    pub line: f64,
+    pub per_entry: f64,
     /// The most entries that may change at once.
-    pub lines_most: usize,
+    pub max_entries: usize,
     /// Seconds for which a plan is expected to stay in force: what it gains, it gains for this long.
-    pub stands: f64,
+    pub horizon_secs: f64,
 }
 
 /// A relative change below this is within the precision of demand and changes nothing.
@@ -48,20 +48,20 @@
 
     /// Admission rate by class.
     #[must_use]
-    pub fn let_in(&self) -> &[f64] {
+    pub fn admission_rates(&self) -> &[f64] {
         &self.admission_rates
     }
 
     /// Applies an answer as far as it pays, and returns the numbers and weights of the endpoints that change. `numbers`
     /// are the numbers of the problem's endpoints.
-    pub fn take(
+    pub fn update(
         &mut self,
         problem: &Problem,
         numbers: &[usize],
         answer: &Answer,
         price: ChangePrice,
     ) -> Vec<(usize, u32)> {
-        self.update_admission_rates(&answer.let_in);
+        self.update_admission_rates(&answer.admission_rates);
         let before: Vec<Option<u32>> =
             numbers.iter().map(|number| self.weights.get(number).copied()).collect();
         let candidate = self.candidate(problem, &before, self.rescale(numbers, &answer.weights));
@@ -99,7 +99,7 @@
     /// How many of the changes, from the first, gain most beyond their cost; 0 if none do. Tries one, two, four and so
     /// on, and all that may change at once.
     fn most_valuable_changes(&self, candidate: &Candidate, price: ChangePrice) -> usize {
-        let max_changes = candidate.changes.len().min(price.lines_most);
+        let max_changes = candidate.changes.len().min(price.max_entries);
         let value_now = candidate.distribution.value(&candidate.current, &self.admission_rates);
         let powers = (0..).map(|power| 1_usize << power).take_while(|count| *count < max_changes);
         let mut best_gain = 0.0;
@@ -110,7 +110,7 @@
                 weights[*endpoint] = candidate.planned[*endpoint];
             }
             let value = candidate.distribution.value(&weights, &self.admission_rates);
-            let gain = (value - value_now) * price.stands - price.line * count as f64;
+            let gain = (value - value_now) * price.horizon_secs - price.per_entry * count as f64;
             if gain > best_gain {
                 best_gain = gain;
                 best_count = count;
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -8,16 +8,16 @@
     /// Cores: the work that it does in a second after slow start, in seconds of one core.
     pub capacity: f64,
     /// The fraction of its capacity that it has now; below 1 during slow start.
-    pub warmth: f64,
+    pub slow_start_factor: f64,
     /// It takes no requests: ejected, draining or down.
-    pub withdrawn: bool,
+    pub unavailable: bool,
 }
 
 impl Endpoint {
     /// The cores that it has now.
     #[must_use]
-    pub fn room(&self) -> f64 {
-        if self.withdrawn { 0.0 } else { self.capacity * self.warmth }
+    pub fn available_capacity(&self) -> f64 {
+        if self.unavailable { 0.0 } else { self.capacity * self.slow_start_factor }
     }
 }
 
@@ -27,13 +27,13 @@
     /// Work of a request, in seconds of one core.
     pub work: f64,
     /// Latency objective in seconds.
-    pub contract_time: f64,
+    pub latency_objective: f64,
     /// Value of a request that is answered within the latency objective.
-    pub earnings: f64,
+    pub value: f64,
     /// Zones whose endpoints it may use; empty for all.
     pub zones: Vec<usize>,
     /// Endpoints that it may use; `None` for all of its zones. An empty list stands for none.
-    pub servers: Option<Vec<usize>>,
+    pub endpoints: Option<Vec<usize>>,
     /// Requests a second, by zone of the proxies that receive them.
     pub demand: Vec<f64>,
 }
@@ -44,11 +44,11 @@
     /// Number of zones.
     pub zones: usize,
     /// The endpoints.
-    pub servers: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// The classes.
     pub classes: Vec<Class>,
     /// Cost of a request that crosses zones, in the unit of [`Class::earnings`].
-    pub crossing: f64,
+    pub crossing_cost: f64,
 }
 
 /// What is wrong with a problem.
@@ -65,7 +65,7 @@
     Place(usize, &'static str, usize),
     /// The cost of crossing zones is out of its range.
     #[error("crossing {0}")]
-    Crossing(f64),
+    CrossingCost(f64),
 }
 
 /// The greatest value that is accepted. Sums of all work in whole units stay far below what is exact.
@@ -91,38 +91,42 @@
     /// # Errors
     /// The first value that is out of its range.
     pub fn check(&self) -> Result<(), ProblemError> {
-        for index in 0..self.servers.len() {
+        for index in 0..self.endpoints.len() {
             self.check_endpoint(index)?;
         }
         for index in 0..self.classes.len() {
             self.check_class(index)?;
         }
-        if is_valid(self.crossing) { Ok(()) } else { Err(ProblemError::Crossing(self.crossing)) }
+        if is_valid(self.crossing_cost) {
+            Ok(())
+        } else {
+            Err(ProblemError::CrossingCost(self.crossing_cost))
+        }
     }
 
     fn check_endpoint(&self, index: usize) -> Result<(), ProblemError> {
-        let endpoint = &self.servers[index];
+        let endpoint = &self.endpoints[index];
         if endpoint.zone >= self.zones {
             return Err(ProblemError::Endpoint(index, "zone", endpoint.zone as f64));
         }
         if !is_valid(endpoint.capacity) {
             return Err(ProblemError::Endpoint(index, "capacity", endpoint.capacity));
         }
-        if !(0.0..=1.0).contains(&endpoint.warmth) {
-            return Err(ProblemError::Endpoint(index, "warmth", endpoint.warmth));
+        if !(0.0..=1.0).contains(&endpoint.slow_start_factor) {
+            return Err(ProblemError::Endpoint(index, "warmth", endpoint.slow_start_factor));
         }
         Ok(())
     }
 
     fn check_class(&self, index: usize) -> Result<(), ProblemError> {
         let class = &self.classes[index];
-        for (name, value) in [("work", class.work), ("contract time", class.contract_time)] {
+        for (name, value) in [("work", class.work), ("contract time", class.latency_objective)] {
             if !is_valid(value) || value < MIN_DIVISOR {
                 return Err(ProblemError::Class(index, name, value));
             }
         }
-        if !is_valid(class.earnings) {
-            return Err(ProblemError::Class(index, "earnings", class.earnings));
+        if !is_valid(class.value) {
+            return Err(ProblemError::Class(index, "earnings", class.value));
         }
         if class.demand.len() != self.zones {
             return Err(ProblemError::Class(index, "zones of demand", class.demand.len() as f64));
@@ -133,8 +137,8 @@
         if let Some(zone) = class.zones.iter().find(|zone| **zone >= self.zones) {
             return Err(ProblemError::Place(index, "zone", *zone));
         }
-        let mut endpoints = class.servers.iter().flatten();
-        if let Some(endpoint) = endpoints.find(|endpoint| **endpoint >= self.servers.len()) {
+        let mut endpoints = class.endpoints.iter().flatten();
+        if let Some(endpoint) = endpoints.find(|endpoint| **endpoint >= self.endpoints.len()) {
             return Err(ProblemError::Place(index, "server", *endpoint));
         }
         Ok(())
@@ -142,7 +146,7 @@
 
     /// The present capacity of an endpoint, in whole units of work a second.
     pub(crate) fn capacity_units(&self, endpoint: usize) -> i64 {
-        to_units(self.servers[endpoint].room())
+        to_units(self.endpoints[endpoint].available_capacity())
     }
 
     /// The work that a class asks for in a zone, in whole units a second.
@@ -153,7 +157,7 @@
     /// The value of a second of a class's work, less the cost of crossing zones if it does.
     pub(crate) fn unit_gain(&self, class: usize, crosses_zones: bool) -> f64 {
         let class = &self.classes[class];
-        let crossing_cost = if crosses_zones { self.crossing } else { 0.0 };
-        (class.earnings - crossing_cost) / class.work
+        let crossing_cost = if crosses_zones { self.crossing_cost } else { 0.0 };
+        (class.value - crossing_cost) / class.work
     }
 }
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -131,8 +131,8 @@
                 .map(|zones| zones.iter().map(|zone| self.planned_work(zone)).collect())
                 .collect(),
             loads,
-            let_in: admission_rates,
-            dropped: shed,
+            admission_rates,
+            shed,
             objective: self.objective(),
         }
     }
@@ -143,7 +143,7 @@
 
     /// The work of each endpoint, in cores. Within a group all endpoints are utilized alike.
     fn loads(&self) -> Vec<f64> {
-        let mut loads = vec![0.0; self.problem.servers.len()];
+        let mut loads = vec![0.0; self.problem.endpoints.len()];
         for (index, group) in self.groups.iter().enumerate() {
             let work: i64 = self.units.iter().flatten().map(|groups| groups[index]).sum();
             for endpoint in &group.endpoints {
@@ -162,12 +162,12 @@
                 let crossing = self.groups.iter().zip(groups).filter(|(group, _)| group.zone != zone);
                 let units: i64 = crossing.map(|(_, units)| units).sum();
                 let requests = units as f64 / UNITS_PER_CORE / self.problem.classes[class].work;
-                crossing_cost += requests * self.problem.crossing;
+                crossing_cost += requests * self.problem.crossing_cost;
             }
             let admitted = self.admitted_units(class) as f64 / UNITS_PER_CORE;
             value += admitted * self.problem.unit_gain(class, false);
         }
-        Objective { earned: value, crossing: crossing_cost, lateness: self.latency_cost }
+        Objective { value, crossing_cost, latency_cost: self.latency_cost }
     }
 
     fn shed_reason(&self, class: usize, shed_units: i64) -> ShedReason {
@@ -180,10 +180,10 @@
         let shed_work = shed_units as f64 / UNITS_PER_CORE;
         ShedReason {
             class,
-            visits: shed_work / self.problem.classes[class].work,
-            restored_by: shed_work / utilization,
-            room: capacity as f64 / UNITS_PER_CORE,
-            before: (0..self.units.len()).filter(is_competitor).collect(),
+            requests: shed_work / self.problem.classes[class].work,
+            missing_capacity: shed_work / utilization,
+            capacity: capacity as f64 / UNITS_PER_CORE,
+            preferred_classes: (0..self.units.len()).filter(is_competitor).collect(),
         }
     }
 
@@ -201,10 +201,10 @@
     fn weights(&self, loads: &[f64]) -> Vec<u32> {
         let is_idle = loads.iter().all(|load| *load <= 0.0);
         let part = |endpoint: usize| {
-            let warmth = self.problem.servers[endpoint].warmth;
+            let warmth = self.problem.endpoints[endpoint].slow_start_factor;
             if is_idle {
                 let is_available = self.problem.capacity_units(endpoint) > 0;
-                if is_available { self.problem.servers[endpoint].capacity } else { 0.0 }
+                if is_available { self.problem.endpoints[endpoint].capacity } else { 0.0 }
             } else if warmth > 0.0 {
                 loads[endpoint] / warmth
             } else {
--- a/crates/solver/src/table_stabilizer.rs
+++ b/crates/solver/src/table_stabilizer.rs
@@ -19,23 +19,23 @@
 }
 
 /// The fraction of its weight that each endpoint has in a table, above 0 and up to 1. Others are not in the table.
-pub type Shares = BTreeMap<usize, f64>;
+pub type WeightFractions = BTreeMap<usize, f64>;
 
 /// A smaller fraction rounds to nothing in a table, whose fractions have steps of a twentieth.
 const MIN_FRACTION: f64 = 1.0 / 40.0;
 
 /// The tables in force. Endpoints have the host's own numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Tables {
-    current: Vec<Shares>,
+pub struct TableStabilizer {
+    current: Vec<WeightFractions>,
     known_endpoints: BTreeSet<usize>,
 }
 
-impl Tables {
+impl TableStabilizer {
     /// Applies an answer to the tables of these scopes, and returns the changed ones by index of the scope. `numbers` are
     /// the numbers of the problem's endpoints and `weights` the weights in force by number. With `weights_changed` every
     /// table is computed anew, as its fractions rest on the weights.
-    pub fn take(
+    pub fn update(
         &mut self,
         problem: &Problem,
         numbers: &[usize],
@@ -43,8 +43,8 @@
         scopes: &[TableScope],
         weights: &BTreeMap<usize, u32>,
         weights_changed: bool,
-    ) -> Vec<(usize, Shares)> {
-        self.current.resize(scopes.len(), Shares::new());
+    ) -> Vec<(usize, WeightFractions)> {
+        self.current.resize(scopes.len(), WeightFractions::new());
         let endpoints: BTreeSet<usize> = numbers.iter().copied().collect();
         let mut changed = Vec::new();
         for (index, scope) in scopes.iter().enumerate() {
@@ -72,11 +72,11 @@
     answer: &Answer,
     scope: &TableScope,
     weights: &BTreeMap<usize, u32>,
-) -> Shares {
+) -> WeightFractions {
     let mut parts: BTreeMap<usize, f64> = BTreeMap::new();
     for planned in scope.classes.iter().flat_map(|class| &answer.placed[*class][scope.zone]) {
         let number = numbers[planned.endpoint];
-        let warmth = problem.servers[planned.endpoint].warmth;
+        let warmth = problem.endpoints[planned.endpoint].slow_start_factor;
         let weight = weights.get(&number).copied().unwrap_or(0);
         if warmth > 0.0 && weight > 0 {
             *parts.entry(number).or_default() += planned.work / warmth / f64::from(weight);
@@ -88,11 +88,16 @@
 }
 
 /// The fraction of a table's requests that would go to other endpoints.
-fn moved_fraction(current: &Shares, planned: &Shares, weights: &BTreeMap<usize, u32>) -> f64 {
+fn moved_fraction(
+    current: &WeightFractions,
+    planned: &WeightFractions,
+    weights: &BTreeMap<usize, u32>,
+) -> f64 {
     let current = request_fractions(current, weights);
     let planned = request_fractions(planned, weights);
     let endpoints: BTreeSet<usize> = current.keys().chain(planned.keys()).copied().collect();
-    let fraction = |fractions: &Shares, endpoint: usize| fractions.get(&endpoint).copied().unwrap_or(0.0);
+    let fraction =
+        |fractions: &WeightFractions, endpoint: usize| fractions.get(&endpoint).copied().unwrap_or(0.0);
     let differences = endpoints
         .into_iter()
         .map(|endpoint| (fraction(&current, endpoint) - fraction(&planned, endpoint)).abs());
@@ -100,7 +105,7 @@
 }
 
 /// The fraction of a table's requests that each endpoint gets.
-fn request_fractions(fractions: &Shares, weights: &BTreeMap<usize, u32>) -> Shares {
+fn request_fractions(fractions: &WeightFractions, weights: &BTreeMap<usize, u32>) -> WeightFractions {
     let weight = |endpoint: &usize| f64::from(weights.get(endpoint).copied().unwrap_or(0));
     let total: f64 = fractions.iter().map(|(endpoint, fraction)| weight(endpoint) * fraction).sum();
     let requests =
--- a/crates/solver/tests/linear_program/mod.rs
+++ b/crates/solver/tests/linear_program/mod.rs
@@ -8,8 +8,8 @@
 const SEGMENTS: usize = 16;
 
 fn may_use(class: &Class, problem: &Problem, endpoint: usize) -> bool {
-    let zone = class.zones.is_empty() || class.zones.contains(&problem.servers[endpoint].zone);
-    zone && class.servers.as_ref().is_none_or(|servers| servers.contains(&endpoint))
+    let zone = class.zones.is_empty() || class.zones.contains(&problem.endpoints[endpoint].zone);
+    zone && class.endpoints.as_ref().is_none_or(|endpoints| endpoints.contains(&endpoint))
 }
 
 /// Latency objective over work of the classes that may use an endpoint, weighted by the work that they ask for, times the
@@ -18,21 +18,21 @@
     let group_of = |endpoint: usize| -> (usize, Vec<bool>) {
         (
             // Where crossing costs nothing, zones make no difference.
-            if problem.crossing > 0.0 { problem.servers[endpoint].zone } else { 0 },
+            if problem.crossing_cost > 0.0 { problem.endpoints[endpoint].zone } else { 0 },
             problem.classes.iter().map(|class| may_use(class, problem, endpoint)).collect(),
         )
     };
-    let is_available = |endpoint: usize| !problem.servers[endpoint].withdrawn;
-    let group: Vec<f64> = (0..problem.servers.len())
+    let is_available = |endpoint: usize| !problem.endpoints[endpoint].unavailable;
+    let group: Vec<f64> = (0..problem.endpoints.len())
         .filter(|other| is_available(*other) && group_of(*other) == group_of(endpoint))
-        .map(|other| problem.servers[other].capacity)
+        .map(|other| problem.endpoints[other].capacity)
         .collect();
     let cores = (group.iter().sum::<f64>() / group.len() as f64).max(1.0);
     let mut weighted_ratios = 0.0;
     let mut work = 0.0;
     for class in problem.classes.iter().filter(|class| may_use(class, problem, endpoint)) {
         let asked = class.demand.iter().sum::<f64>() * class.work;
-        weighted_ratios += asked * class.contract_time / class.work;
+        weighted_ratios += asked * class.latency_objective / class.work;
         work += asked;
     }
     if work > 0.0 { cores * weighted_ratios / work } else { 0.0 }
@@ -48,10 +48,12 @@
     for class in &problem.classes {
         let own = class.demand.iter().sum::<f64>() * class.work;
         work += own;
-        value += own * class.earnings / class.work;
+        value += own * class.value / class.work;
     }
     let unit_value = if work > 0.0 { value / work } else { 0.0 };
-    for (place, server) in problem.servers.iter().enumerate().filter(|(_, server)| !server.withdrawn) {
+    for (place, endpoint) in
+        problem.endpoints.iter().enumerate().filter(|(_, endpoint)| !endpoint.unavailable)
+    {
         let steepness = steepness(problem, place);
         let penalized_work = |share: f64| share * share * ((-(1.0 - share) * steepness).exp() + 1.0 / 1024.0);
         for segment in 0..SEGMENTS {
@@ -59,8 +61,8 @@
             let cost = (penalized_work(to) - penalized_work(from)) * SEGMENTS as f64 * unit_value;
             for (number, class) in problem.classes.iter().enumerate() {
                 for zone in (0..problem.zones).filter(|_| may_use(class, problem, place)) {
-                    let crossing = if zone == server.zone { 0.0 } else { problem.crossing };
-                    let gain = (class.earnings - crossing) / class.work - cost;
+                    let crossing = if zone == endpoint.zone { 0.0 } else { problem.crossing_cost };
+                    let gain = (class.value - crossing) / class.work - cost;
                     let part = program.add_var(gain, (0.0, f64::INFINITY));
                     demand_rows.entry((number, zone)).or_default().push((part, 1.0));
                     capacity_rows.entry((place, segment)).or_default().push((part, 1.0));
@@ -73,8 +75,12 @@
         program.add_constraint(parts, ComparisonOp::Le, class.demand[zone] * class.work);
     }
     for ((place, _), parts) in capacity_rows {
-        let server = &problem.servers[place];
-        program.add_constraint(parts, ComparisonOp::Le, server.capacity * server.warmth / SEGMENTS as f64);
+        let endpoint = &problem.endpoints[place];
+        program.add_constraint(
+            parts,
+            ComparisonOp::Le,
+            endpoint.capacity * endpoint.slow_start_factor / SEGMENTS as f64,
+        );
     }
     program.solve().ok().and_then(|outcome| outcome.solution().map(|s| s.objective())).unwrap_or(f64::NAN)
 }
--- a/crates/solver/tests/stabilizers.rs
+++ b/crates/solver/tests/stabilizers.rs
@@ -4,33 +4,38 @@
 
 use lockcroft_solver::{
     CapacityEstimator, CapacityPrior, ChangePrice, Class, Endpoint, LoadSample, PlanStabilizer, Problem,
-    Shares, TableScope, Tables, solve,
+    TableScope, TableStabilizer, WeightFractions, solve,
 };
 use proptest::prelude::*;
 
-const PRICE: ChangePrice = ChangePrice { line: 0.5, lines_most: 100, stands: 30.0 };
+const PRICE: ChangePrice = ChangePrice { per_entry: 0.5, max_entries: 100, horizon_secs: 30.0 };
 
 fn problem(capacities: &[f64], demand: f64) -> Problem {
-    let endpoint = |capacity: &f64| Endpoint { zone: 0, capacity: *capacity, warmth: 1.0, withdrawn: false };
+    let endpoint = |capacity: &f64| Endpoint {
+        zone: 0,
+        capacity: *capacity,
+        slow_start_factor: 1.0,
+        unavailable: false,
+    };
     let class = Class {
         work: 0.1,
-        contract_time: 1.0,
-        earnings: 1.0,
+        latency_objective: 1.0,
+        value: 1.0,
         zones: vec![],
-        servers: None,
+        endpoints: None,
         demand: vec![demand],
     };
     Problem {
         zones: 1,
-        servers: capacities.iter().map(endpoint).collect(),
+        endpoints: capacities.iter().map(endpoint).collect(),
         classes: vec![class],
-        crossing: 0.0,
+        crossing_cost: 0.0,
     }
 }
 
 fn update(stabilizer: &mut PlanStabilizer, problem: &Problem, price: ChangePrice) -> Vec<(usize, u32)> {
-    let numbers: Vec<usize> = (0..problem.servers.len()).collect();
-    stabilizer.take(problem, &numbers, &solve(problem).expect("sound"), price)
+    let numbers: Vec<usize> = (0..problem.endpoints.len()).collect();
+    stabilizer.update(problem, &numbers, &solve(problem).expect("sound"), price)
 }
 
 proptest! {
@@ -40,11 +45,11 @@
         let mut stabilizer = PlanStabilizer::default();
         let capacities = [1.0, 2.0, 2.0, 4.0, 8.0];
         prop_assert_eq!(update(&mut stabilizer, &problem(&capacities, 100.0), PRICE).len(), 5);
-        let rates = stabilizer.let_in().to_vec();
+        let rates = stabilizer.admission_rates().to_vec();
         for fluctuation in fluctuations {
             let changes = update(&mut stabilizer, &problem(&capacities, 100.0 * (1.0 + fluctuation)), PRICE);
             prop_assert_eq!(changes, vec![]);
-            prop_assert_eq!(stabilizer.let_in(), &rates[..]);
+            prop_assert_eq!(stabilizer.admission_rates(), &rates[..]);
         }
     }
 }
@@ -55,7 +60,7 @@
     update(&mut stabilizer, &problem(&[2.0; 6], 90.0), PRICE);
     // One endpoint turns out to be half as large: late requests cost more than an entry.
     let halved = problem(&[2.0, 2.0, 2.0, 2.0, 2.0, 1.0], 90.0);
-    let expensive = ChangePrice { line: 1e6, ..PRICE };
+    let expensive = ChangePrice { per_entry: 1e6, ..PRICE };
     assert_eq!(update(&mut stabilizer.clone(), &halved, expensive), []);
     assert_eq!(update(&mut stabilizer, &halved, PRICE), [(5, 128)]);
     assert_eq!(update(&mut stabilizer, &halved, PRICE), [], "and it stays so");
@@ -68,7 +73,7 @@
     update(&mut stabilizer, &problem(&[2.0; 40], 600.0), PRICE);
     let capacities: Vec<f64> = (0..40).map(|i| if i < 12 { 0.5 } else { 2.0 }).collect();
     let halved = problem(&capacities, 500.0);
-    let limited = ChangePrice { lines_most: 5, ..PRICE };
+    let limited = ChangePrice { max_entries: 5, ..PRICE };
     let changes: Vec<usize> = (0..4).map(|_| update(&mut stabilizer, &halved, limited).len()).collect();
     assert_eq!(changes, [5, 5, 2, 0]);
 }
@@ -76,7 +81,7 @@
 #[test]
 fn a_new_endpoint_gets_a_weight_at_any_price() {
     let mut stabilizer = PlanStabilizer::default();
-    let expensive = ChangePrice { line: 1e6, ..PRICE };
+    let expensive = ChangePrice { per_entry: 1e6, ..PRICE };
     update(&mut stabilizer, &problem(&[2.0; 3], 30.0), expensive);
     assert_eq!(update(&mut stabilizer, &problem(&[2.0; 4], 30.0), expensive), [(3, 256)]);
     update(&mut stabilizer, &problem(&[2.0; 2], 30.0), expensive);
@@ -94,13 +99,17 @@
 }
 
 fn observe(estimator: &mut CapacityEstimator, seconds: std::ops::Range<u64>, sample: LoadSample) {
-    seconds.for_each(|at| estimator.look(secs(at), 0, PRIOR, sample));
+    seconds.for_each(|at| estimator.observe(secs(at), 0, PRIOR, sample));
 }
 
 #[test]
 fn a_reported_load_shows_the_capacity_below_saturation() {
     let mut estimator = estimator();
-    observe(&mut estimator, 0..60, LoadSample { done: 1.0, late: false, slowdown: 0.0, load: Some(0.25) });
+    observe(
+        &mut estimator,
+        0..60,
+        LoadSample { completed_work: 1.0, is_late: false, slowdown: 0.0, load: Some(0.25) },
+    );
     let known = estimator.estimate(secs(60), 0, PRIOR);
     assert!((known.capacity - 4.0).abs() < 0.1, "{known:?}");
     // Evidence decays until only the prior is left.
@@ -114,7 +123,11 @@
 fn without_a_reported_load_the_slowdown_shows_the_capacity() {
     let known = |done: f64, slowdown: f64| {
         let mut estimator = estimator();
-        observe(&mut estimator, 0..60, LoadSample { done, late: false, slowdown, load: None });
+        observe(
+            &mut estimator,
+            0..60,
+            LoadSample { completed_work: done, is_late: false, slowdown, load: None },
+        );
         estimator.estimate(secs(60), 0, PRIOR).capacity
     };
     assert!((known(0.5, 1.5) - 1.0).abs() < 0.05, "{}", known(0.5, 1.5));
@@ -126,28 +139,53 @@
 #[test]
 fn false_loads_and_idle_endpoints_stay_within_the_bounds() {
     let mut estimator = estimator();
-    observe(&mut estimator, 0..60, LoadSample { done: 1.2, late: true, slowdown: 0.0, load: Some(0.0) });
+    observe(
+        &mut estimator,
+        0..60,
+        LoadSample { completed_work: 1.2, is_late: true, slowdown: 0.0, load: Some(0.0) },
+    );
     let false_load = estimator.estimate(secs(60), 0, PRIOR);
     assert!(false_load.capacity <= 1.3, "late at 1.2, whatever it reports: {false_load:?}");
-    observe(&mut estimator, 60..120, LoadSample { done: 0.9, late: false, slowdown: 0.0, load: Some(1e-9) });
+    observe(
+        &mut estimator,
+        60..120,
+        LoadSample { completed_work: 0.9, is_late: false, slowdown: 0.0, load: Some(1e-9) },
+    );
     let idle = estimator.estimate(secs(120), 0, PRIOR);
     assert!(idle.capacity <= 8.0, "{idle:?}");
-    estimator.look(secs(121), 1, PRIOR, LoadSample { done: 0.01, late: false, slowdown: 0.0, load: None });
+    estimator.observe(
+        secs(121),
+        1,
+        PRIOR,
+        LoadSample { completed_work: 0.01, is_late: false, slowdown: 0.0, load: None },
+    );
     assert_eq!(estimator.estimate(secs(121), 1, PRIOR).capacity, 2.0, "an idle one keeps the prior");
 }
 
 #[test]
 fn an_overload_is_forgotten_in_time() {
     let mut estimator = estimator();
-    observe(&mut estimator, 0..30, LoadSample { done: 1.8, late: false, slowdown: 0.0, load: None });
-    observe(&mut estimator, 30..40, LoadSample { done: 0.2, late: true, slowdown: 0.0, load: None });
+    observe(
+        &mut estimator,
+        0..30,
+        LoadSample { completed_work: 1.8, is_late: false, slowdown: 0.0, load: None },
+    );
+    observe(
+        &mut estimator,
+        30..40,
+        LoadSample { completed_work: 0.2, is_late: true, slowdown: 0.0, load: None },
+    );
     let overloaded = estimator.estimate(secs(40), 0, PRIOR);
     assert!((1.4..1.9).contains(&overloaded.capacity), "it did 1.8 a while ago: {overloaded:?}");
-    observe(&mut estimator, 40..140, LoadSample { done: 0.0, late: true, slowdown: 0.0, load: None });
+    observe(
+        &mut estimator,
+        40..140,
+        LoadSample { completed_work: 0.0, is_late: true, slowdown: 0.0, load: None },
+    );
     assert!(estimator.estimate(secs(140), 0, PRIOR).capacity >= 0.5, "at least a quarter of the prior");
     let later = estimator.estimate(secs(340), 0, PRIOR);
     assert_eq!(later.capacity, 2.0, "{later:?}");
-    estimator.keep(|_| false);
+    estimator.retain(|_| false);
     assert_eq!(estimator.estimate(secs(340), 0, PRIOR).age, None);
 }
 
@@ -158,41 +196,60 @@
     let mut estimator = estimator();
     let stated = CapacityPrior::stated(4.0);
     for at in 0..60 {
-        estimator.look(secs(at), 0, stated, LoadSample { done: 0.5, late: true, slowdown: 9.0, load: None });
-        estimator.look(secs(at), 1, stated, LoadSample { done: 3.9, late: false, slowdown: 1.0, load: None });
+        estimator.observe(
+            secs(at),
+            0,
+            stated,
+            LoadSample { completed_work: 0.5, is_late: true, slowdown: 9.0, load: None },
+        );
+        estimator.observe(
+            secs(at),
+            1,
+            stated,
+            LoadSample { completed_work: 3.9, is_late: false, slowdown: 1.0, load: None },
+        );
     }
     let capacity = |endpoint| estimator.estimate(secs(60), endpoint, stated).capacity;
     assert!(capacity(0) >= 3.5 && capacity(1) <= 4.5, "{} and {}", capacity(0), capacity(1));
     for endpoint in 2..6 {
         let load = if endpoint == 5 { 0.9 } else { 0.5 };
-        let sample = LoadSample { done: 1.0, late: false, slowdown: 0.0, load: Some(load) };
-        (0..60).for_each(|at| estimator.look(secs(at), endpoint, PRIOR, sample));
+        let sample = LoadSample { completed_work: 1.0, is_late: false, slowdown: 0.0, load: Some(load) };
+        (0..60).for_each(|at| estimator.observe(secs(at), endpoint, PRIOR, sample));
     }
-    assert_eq!(estimator.alike(secs(60), 2..4), None, "two are too few");
-    let median = estimator.alike(secs(60), 2..6).expect("four showed it");
+    assert_eq!(estimator.machine_type_capacity(secs(60), 2..4), None, "two are too few");
+    let median = estimator.machine_type_capacity(secs(60), 2..6).expect("four showed it");
     assert!((median - 2.0).abs() < 0.1, "{median}");
-    assert_eq!(estimator.alike(secs(600), 2..6), None, "that was long ago");
-    let new = estimator.estimate(secs(60), 9, CapacityPrior::alike(median));
+    assert_eq!(estimator.machine_type_capacity(secs(600), 2..6), None, "that was long ago");
+    let new = estimator.estimate(secs(60), 9, CapacityPrior::from_machine_type(median));
     assert_eq!((new.capacity, new.age), (median, None));
 }
 
 /// Two zones of two endpoints each.
 fn two_zones(requests_per_s: f64) -> Problem {
-    let endpoint = |zone| Endpoint { zone, capacity: 2.0, warmth: 1.0, withdrawn: false };
+    let endpoint = |zone| Endpoint { zone, capacity: 2.0, slow_start_factor: 1.0, unavailable: false };
     let class = Class { demand: vec![requests_per_s, 5.0], ..problem(&[], 0.0).classes.remove(0) };
-    Problem { zones: 2, servers: [0, 0, 1, 1].map(endpoint).into(), classes: vec![class], crossing: 0.2 }
+    Problem {
+        zones: 2,
+        endpoints: [0, 0, 1, 1].map(endpoint).into(),
+        classes: vec![class],
+        crossing_cost: 0.2,
+    }
 }
 
-fn update_tables(tables: &mut Tables, problem: &Problem, weights_changed: bool) -> Vec<(usize, Shares)> {
+fn update_tables(
+    tables: &mut TableStabilizer,
+    problem: &Problem,
+    weights_changed: bool,
+) -> Vec<(usize, WeightFractions)> {
     let scopes = [0, 1].map(|zone| TableScope { zone, classes: vec![0] });
     let answer = solve(problem).expect("sound");
     let weights = (0..4).map(|endpoint| (endpoint, 256)).collect();
-    tables.take(problem, &[0, 1, 2, 3], &answer, &scopes, &weights, weights_changed)
+    tables.update(problem, &[0, 1, 2, 3], &answer, &scopes, &weights, weights_changed)
 }
 
 #[test]
 fn an_overloaded_zone_spills_over_and_the_other_keeps_to_itself() {
-    let mut tables = Tables::default();
+    let mut tables = TableStabilizer::default();
     let changed = update_tables(&mut tables, &two_zones(50.0), false);
     let [(0, overloaded), (1, own)] = &changed[..] else { panic!("{changed:?}") };
     assert!(
@@ -212,7 +269,7 @@
     assert_eq!(changed.iter().map(|(place, _)| *place).collect::<Vec<_>>(), [0], "{changed:?}");
     // The decisions handle a lost endpoint until a new one or a larger change asks for another table.
     let mut lost = two_zones(20.0);
-    lost.servers[0].withdrawn = true;
+    lost.endpoints[0].unavailable = true;
     let changed = update_tables(&mut tables, &lost, false);
     assert!(changed.iter().all(|(_, shares)| !shares.contains_key(&0)), "{changed:?}");
 }
@@ -221,8 +278,8 @@
 #[test]
 fn slow_start_does_not_lower_the_fraction_in_a_table() {
     let mut starting = two_zones(20.0);
-    starting.servers[0].warmth = 0.25;
-    let changed = update_tables(&mut Tables::default(), &starting, false);
+    starting.endpoints[0].slow_start_factor = 0.25;
+    let changed = update_tables(&mut TableStabilizer::default(), &starting, false);
     let shares = &changed[0].1;
     assert!((shares[&0] - shares[&1]).abs() < 1e-6, "{shares:?}");
 }
--- a/crates/state-store/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_state_store::{
-    AgeingRules, DirectoryStorage, EndpointNote, Entry, EntryValue, Key, Store, StoreIdentity, age, load,
+    AgeingRules, DirectoryStorage, Entry, EntryValue, Key, RecordedEndpoint, Store, StoreIdentity, age, load,
 };
 use serde_json::{Value, json};
 
@@ -15,34 +15,34 @@
 const ROUNDS: usize = 60;
 
 fn identity() -> StoreIdentity {
-    StoreIdentity::of("p", ["a", "gen3", "look"].into_iter())
+    StoreIdentity::from_names("p", ["a", "gen3", "look"].into_iter())
 }
 
 /// The entries of a controller with 640 endpoints, 42 tables and two classes.
 fn fleet() -> Vec<Entry> {
     let endpoint = |i: usize| {
-        let value = EndpointNote {
+        let value = RecordedEndpoint {
             zone: ["a", "b", "c", "d"][i % 4].into(),
-            kind: "gen3".into(),
-            counter: Some(4),
-            relief: 1.0,
-            ..EndpointNote::default()
+            machine_type: "gen3".into(),
+            health_counter: Some(4),
+            weight_factor: 1.0,
+            ..RecordedEndpoint::default()
         };
         let name = format!("server-{i:04}");
         [
             Entry {
                 at_ms: 1_800_000_000_000,
-                key: Key::Server(name.clone()),
-                what: EntryValue::Server(value),
+                key: Key::Endpoint(name.clone()),
+                value: EntryValue::Endpoint(value),
             },
-            Entry { at_ms: 1_800_000_000_000, key: Key::Size(name), what: EntryValue::Size(2.05) },
+            Entry { at_ms: 1_800_000_000_000, key: Key::Capacity(name), value: EntryValue::Capacity(2.05) },
         ]
     };
     let admission = |table: u32| {
         ["look", "book"].map(|class| Entry {
             at_ms: 1_800_000_000_000,
-            key: Key::Level(class.into(), table),
-            what: EntryValue::Level(1.0),
+            key: Key::AdmissionRate(class.into(), table),
+            value: EntryValue::AdmissionRate(1.0),
         })
     };
     (0..ENDPOINTS).flat_map(endpoint).chain((0..TABLES).flat_map(admission)).collect()
@@ -52,12 +52,12 @@
 fn second(round: usize) -> Vec<Entry> {
     let all = fleet();
     let some =
-        all.into_iter().filter(|entry| matches!(entry.key, Key::Server(_))).skip(round % 10).step_by(10);
+        all.into_iter().filter(|entry| matches!(entry.key, Key::Endpoint(_))).skip(round % 10).step_by(10);
     some.map(|entry| Entry { at_ms: entry.at_ms + round as u64, ..entry }).collect()
 }
 
 fn as_json(entries: &[Entry]) -> Value {
-    entries.iter().map(|entry| json!({"at": entry.at_ms, "key": format!("{:?}", entry.key), "what": format!("{:?}", entry.what)})).collect()
+    entries.iter().map(|entry| json!({"at": entry.at_ms, "key": format!("{:?}", entry.key), "what": format!("{:?}", entry.value)})).collect()
 }
 
 fn print_times(name: &str, mut times: Vec<Duration>, bytes: u64) {
@@ -75,7 +75,8 @@
 fn main() {
     let directory = tempfile::tempdir().expect("a directory");
     let (mut store, _) =
-        Store::open(DirectoryStorage::hold(directory.path()).expect("held"), identity()).expect("opened");
+        Store::open(DirectoryStorage::open_exclusive(directory.path()).expect("held"), identity())
+            .expect("opened");
     store.append(&fleet()).expect("written");
     store.rotate().expect("rotated");
     let (mut appended, mut flushed) = (vec![], vec![]);
@@ -90,12 +91,14 @@
     print_times("and flushed", flushed, 0);
     drop(store);
     let (mut loaded, mut aged) = (vec![], vec![]);
-    let rules = AgeingRules { report_period: Duration::from_secs(2), warm_within: Duration::from_secs(10) };
+    let rules =
+        AgeingRules { report_period: Duration::from_secs(2), slow_start_window: Duration::from_secs(10) };
     let mut bytes = 0;
     for _ in 0..ROUNDS {
         let mut state = None;
         timed(&mut loaded, || {
-            state = Some(load(&DirectoryStorage::look(directory.path()), &identity()).expect("sound"))
+            state =
+                Some(load(&DirectoryStorage::open_read_only(directory.path()), &identity()).expect("sound"))
         });
         let state = state.expect("loaded");
         bytes = state.bytes;
--- a/crates/state-store/src/ageing.rs
+++ b/crates/state-store/src/ageing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::entry::{EndpointNote, EntryValue, Key, State};
+use crate::entry::{EntryValue, Key, RecordedEndpoint, State};
 
 /// Half of the weight that an endpoint lacked is given back after this many report periods, which is about as quick as
 /// a running controller would have restored it.
@@ -29,7 +29,7 @@
     /// The interval between two load reports of a proxy.
     pub report_period: Duration,
     /// The longest time for which an endpoint is in slow start.
-    pub warm_within: Duration,
+    pub slow_start_window: Duration,
 }
 
 /// What is still valid of one endpoint.
@@ -40,28 +40,28 @@
     /// Name of its zone.
     pub zone: String,
     /// Name of its machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// It was removed or draining when it was last recorded; proxies may still have it in their tables.
-    pub out: bool,
+    pub not_ready: bool,
     /// Fraction of its full weight, from 0 to 1.
-    pub relief: f64,
+    pub weight_factor: f64,
     /// How long ago its process started and how long its slow start still lasts; `None` if it has ended.
-    pub warming: Option<(Duration, Duration)>,
+    pub slow_start: Option<(Duration, Duration)>,
     /// How long passing health checks still don't count, because it was an outlier.
-    pub doubted: Duration,
+    pub outlier_remaining: Duration,
 }
 
 /// What is still valid of a state, in the order of names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredState {
     /// The endpoints of which anything is still valid.
-    pub servers: Vec<RecoveredEndpoint>,
+    pub endpoints: Vec<RecoveredEndpoint>,
     /// Class, table and admission rate, where the rate is below 1.
-    pub levels: Vec<(String, u32, f64)>,
+    pub admission_rates: Vec<(String, u32, f64)>,
     /// Endpoint and its capacity in cores.
-    pub sizes: Vec<(String, f64)>,
+    pub capacities: Vec<(String, f64)>,
     /// Number of entries from the future: the wall clock was set back since they were written.
-    pub ahead: usize,
+    pub future_entries: usize,
 }
 
 /// What is valid of a state at `now_ms`, in milliseconds of the wall clock.
@@ -70,17 +70,17 @@
     let mut recovered = RecoveredState::default();
     for (key, (at_ms, value)) in state {
         let age = EntryAge::new(*at_ms, now_ms, rules);
-        recovered.ahead += usize::from(age.is_from_future);
+        recovered.future_entries += usize::from(age.is_from_future);
         match (key, value) {
-            (Key::Server(name), EntryValue::Server(endpoint)) => {
-                recovered.servers.extend(age.recover_endpoint(name, endpoint));
+            (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
+                recovered.endpoints.extend(age.recover_endpoint(name, endpoint));
             }
-            (Key::Level(class, table), EntryValue::Level(rate)) => {
+            (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
                 let rate = age.recover_admission_rate(*rate);
-                recovered.levels.extend(rate.map(|rate| (class.clone(), *table, rate)));
+                recovered.admission_rates.extend(rate.map(|rate| (class.clone(), *table, rate)));
             }
-            (Key::Size(name), EntryValue::Size(cores)) if age.is_capacity_valid() => {
-                recovered.sizes.push((name.clone(), *cores));
+            (Key::Capacity(name), EntryValue::Capacity(cores)) if age.is_capacity_valid() => {
+                recovered.capacities.push((name.clone(), *cores));
             }
             _ => {}
         }
@@ -128,27 +128,27 @@
     }
 
     /// The endpoint, or `None` if nothing of it is valid any more.
-    fn recover_endpoint(&self, name: &str, recorded: &EndpointNote) -> Option<RecoveredEndpoint> {
+    fn recover_endpoint(&self, name: &str, recorded: &RecordedEndpoint) -> Option<RecoveredEndpoint> {
         let endpoint = RecoveredEndpoint {
             name: name.into(),
             zone: recorded.zone.clone(),
-            kind: recorded.kind.clone(),
-            out: self.is_still_not_ready(recorded),
-            relief: self.recover_weight_factor(recorded.relief),
-            warming: self.recover_slow_start(recorded),
-            doubted: self.recover_outlier_time(recorded.doubted_until_ms),
+            machine_type: recorded.machine_type.clone(),
+            not_ready: self.is_still_not_ready(recorded),
+            weight_factor: self.recover_weight_factor(recorded.weight_factor),
+            slow_start: self.recover_slow_start(recorded),
+            outlier_remaining: self.recover_outlier_time(recorded.outlier_until_ms),
         };
-        let is_restricted = endpoint.out
-            || endpoint.relief < 1.0
-            || endpoint.warming.is_some()
-            || !endpoint.doubted.is_zero();
+        let is_restricted = endpoint.not_ready
+            || endpoint.weight_factor < 1.0
+            || endpoint.slow_start.is_some()
+            || !endpoint.outlier_remaining.is_zero();
         is_restricted.then_some(endpoint)
     }
 
     /// An entry from the future counts here: naming an endpoint that went is safe at any time, as it only costs a
     /// table entry at the proxies that still have it.
-    fn is_still_not_ready(&self, recorded: &EndpointNote) -> bool {
-        let was_not_ready = recorded.gone || recorded.draining;
+    fn is_still_not_ready(&self, recorded: &RecordedEndpoint) -> bool {
+        let was_not_ready = recorded.removed || recorded.draining;
         was_not_ready && (self.is_from_future || self.since < MAX_REMOVED_AGE)
     }
 
@@ -162,9 +162,9 @@
     }
 
     /// Time since the start of the process and until the end of slow start, neither longer than a whole slow start.
-    fn recover_slow_start(&self, recorded: &EndpointNote) -> Option<(Duration, Duration)> {
-        let max = self.rules.warm_within;
-        let remaining = self.time_until(recorded.warm_ms).min(max);
+    fn recover_slow_start(&self, recorded: &RecordedEndpoint) -> Option<(Duration, Duration)> {
+        let max = self.rules.slow_start_window;
+        let remaining = self.time_until(recorded.slow_start_until_ms).min(max);
         let elapsed = Duration::from_millis(self.now_ms.saturating_sub(recorded.started_ms)).min(max);
         (!self.is_from_future && !remaining.is_zero()).then_some((elapsed, remaining))
     }
--- a/crates/state-store/src/codec.rs
+++ b/crates/state-store/src/codec.rs
@@ -2,7 +2,7 @@
 
 use protobuf::Message;
 
-use crate::entry::{EndpointNote, Entry, EntryValue, Key};
+use crate::entry::{Entry, EntryValue, Key, RecordedEndpoint};
 use crate::frame::{FORMAT, FrameKind};
 use crate::identity::StoreIdentity;
 use crate::proto;
@@ -46,11 +46,11 @@
 
 /// The message of an entry.
 pub(crate) fn encode_entry(entry: &Entry) -> proto::Entry {
-    let what = match (&entry.key, &entry.what) {
-        (Key::Server(name), EntryValue::Server(endpoint)) => {
+    let what = match (&entry.key, &entry.value) {
+        (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
             proto::entry::What::Server(encode_endpoint(name, endpoint))
         }
-        (Key::Level(class, table), EntryValue::Level(admission_rate)) => {
+        (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(admission_rate)) => {
             proto::entry::What::Level(proto::Level {
                 class: class.clone(),
                 table: *table,
@@ -58,7 +58,7 @@
                 ..Default::default()
             })
         }
-        (Key::Size(endpoint), EntryValue::Size(cores)) => proto::entry::What::Size(proto::Size {
+        (Key::Capacity(endpoint), EntryValue::Capacity(cores)) => proto::entry::What::Size(proto::Size {
             server: endpoint.clone(),
             cores: *cores,
             ..Default::default()
@@ -68,19 +68,19 @@
     proto::Entry { at_ms: entry.at_ms, what: Some(what), ..Default::default() }
 }
 
-fn encode_endpoint(name: &str, endpoint: &EndpointNote) -> proto::Server {
+fn encode_endpoint(name: &str, endpoint: &RecordedEndpoint) -> proto::Server {
     proto::Server {
         name: name.into(),
         zone: endpoint.zone.clone(),
-        kind: endpoint.kind.clone(),
-        gone: endpoint.gone,
+        kind: endpoint.machine_type.clone(),
+        gone: endpoint.removed,
         draining: endpoint.draining,
         // The stored counter is one higher, so that 0 stands for unknown.
-        counter: endpoint.counter.map_or(0, |counter| counter + 1),
-        doubted_until_ms: endpoint.doubted_until_ms,
+        counter: endpoint.health_counter.map_or(0, |counter| counter + 1),
+        doubted_until_ms: endpoint.outlier_until_ms,
         started_ms: endpoint.started_ms,
-        warm_ms: endpoint.warm_ms,
-        relief: endpoint.relief,
+        warm_ms: endpoint.slow_start_until_ms,
+        relief: endpoint.weight_factor,
         ..Default::default()
     }
 }
@@ -95,29 +95,29 @@
         proto::entry::What::Server(endpoint) => decode_endpoint(endpoint)?,
         proto::entry::What::Level(admission) => {
             let admission_rate = fraction(admission.level)?;
-            (Key::Level(admission.class, admission.table), EntryValue::Level(admission_rate))
+            (Key::AdmissionRate(admission.class, admission.table), EntryValue::AdmissionRate(admission_rate))
         }
         proto::entry::What::Size(capacity) => {
             let cores = Some(capacity.cores).filter(|cores| cores.is_finite() && *cores > 0.0)?;
-            (Key::Size(capacity.server), EntryValue::Size(cores))
+            (Key::Capacity(capacity.server), EntryValue::Capacity(cores))
         }
     };
-    Some(Entry { at_ms: message.at_ms, key, what })
+    Some(Entry { at_ms: message.at_ms, key, value: what })
 }
 
 fn decode_endpoint(endpoint: proto::Server) -> Option<(Key, EntryValue)> {
-    let value = EndpointNote {
+    let value = RecordedEndpoint {
         zone: endpoint.zone,
-        kind: endpoint.kind,
-        gone: endpoint.gone,
+        machine_type: endpoint.kind,
+        removed: endpoint.gone,
         draining: endpoint.draining,
-        counter: endpoint.counter.checked_sub(1),
-        doubted_until_ms: endpoint.doubted_until_ms,
+        health_counter: endpoint.counter.checked_sub(1),
+        outlier_until_ms: endpoint.doubted_until_ms,
         started_ms: endpoint.started_ms,
-        warm_ms: endpoint.warm_ms,
-        relief: fraction(endpoint.relief)?,
+        slow_start_until_ms: endpoint.warm_ms,
+        weight_factor: fraction(endpoint.relief)?,
     };
-    Some((Key::Server(endpoint.name), EntryValue::Server(value)))
+    Some((Key::Endpoint(endpoint.name), EntryValue::Endpoint(value)))
 }
 
 fn fraction(value: f64) -> Option<f64> {
--- a/crates/state-store/src/entry.rs
+++ b/crates/state-store/src/entry.rs
@@ -6,45 +6,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     /// An endpoint, by name.
-    Server(String),
+    Endpoint(String),
     /// The admission rate of a class at a routing table.
-    Level(String, u32),
+    AdmissionRate(String, u32),
     /// The measured capacity of an endpoint, by its name.
-    Size(String),
+    Capacity(String),
 }
 
 /// What was known of an endpoint. Times are milliseconds of the wall clock, 0 for none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointNote {
+pub struct RecordedEndpoint {
     /// Name of its zone.
     pub zone: String,
     /// Name of its machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// The endpoint list no longer had it, or reported it as removed.
-    pub gone: bool,
+    pub removed: bool,
     /// The endpoint list reported it as draining.
     pub draining: bool,
     /// The rise/fall counter of its health checks; `None` if unknown.
-    pub counter: Option<u32>,
+    pub health_counter: Option<u32>,
     /// Until when it counts as an outlier.
-    pub doubted_until_ms: u64,
+    pub outlier_until_ms: u64,
     /// When its process started.
     pub started_ms: u64,
     /// When its slow start ends.
-    pub warm_ms: u64,
+    pub slow_start_until_ms: u64,
     /// Fraction of its full weight, from 0 to 1, that load-based weight reduction left.
-    pub relief: f64,
+    pub weight_factor: f64,
 }
 
 /// What was learned; its variant is that of the entry's [`Key`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryValue {
     /// Figures of an endpoint.
-    Server(EndpointNote),
+    Endpoint(RecordedEndpoint),
     /// Admission rate, from 0 to 1.
-    Level(f64),
+    AdmissionRate(f64),
     /// Capacity in cores.
-    Size(f64),
+    Capacity(f64),
 }
 
 /// One thing that was learned, and when.
@@ -55,7 +55,7 @@
     /// What it is about.
     pub key: Key,
     /// What was learned.
-    pub what: EntryValue,
+    pub value: EntryValue,
 }
 
 /// The last entry of each key: its time in milliseconds of the wall clock, and its value.
@@ -63,5 +63,5 @@
 
 /// Replaces what the state had for the entry's key.
 pub(crate) fn apply(state: &mut State, entry: Entry) {
-    state.insert(entry.key, (entry.at_ms, entry.what));
+    state.insert(entry.key, (entry.at_ms, entry.value));
 }
--- a/crates/state-store/src/identity.rs
+++ b/crates/state-store/src/identity.rs
@@ -11,7 +11,7 @@
 
 impl StoreIdentity {
     /// The identity of a controller whose fleet has these names, in this order: zones, machine types, classes.
-    pub fn of<'a>(controller: &str, fleet_names: impl Iterator<Item = &'a str>) -> Self {
+    pub fn from_names<'a>(controller: &str, fleet_names: impl Iterator<Item = &'a str>) -> Self {
         let mut checksum = crc32fast::Hasher::new();
         for name in fleet_names {
             checksum.update(name.as_bytes());
--- a/crates/state-store/src/lib.rs
+++ b/crates/state-store/src/lib.rs
@@ -27,10 +27,10 @@
 }
 
 pub use ageing::{AgeingRules, RecoveredEndpoint, RecoveredState, age};
-pub use entry::{EndpointNote, Entry, EntryValue, Key, State};
+pub use entry::{Entry, EntryValue, Key, RecordedEndpoint, State};
 pub use error::{OpenError, RecoveryError};
 pub use frame::FORMAT;
 pub use identity::StoreIdentity;
-pub use recovery::{LoadedState, load, owner_of};
+pub use recovery::{LoadedState, load, read_identity};
 pub use storage::{DirectoryStorage, Storage};
 pub use store::Store;
--- a/crates/state-store/src/recovery.rs
+++ b/crates/state-store/src/recovery.rs
@@ -16,11 +16,11 @@
     /// The last whole entry of each key.
     pub state: State,
     /// What was skipped or cut, as texts for people.
-    pub remarks: Vec<String>,
+    pub warnings: Vec<String>,
     /// The highest number of a snapshot or journal, sound or not; 0 for none.
-    pub number: u64,
+    pub highest_number: u64,
     /// The number of the snapshot that was read; 0 for none.
-    pub from: u64,
+    pub snapshot_number: u64,
     /// How many files there are.
     pub files: usize,
     /// Bytes of the files that were read.
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// The storage can't be listed or read.
-pub fn owner_of(storage: &impl Storage) -> io::Result<Option<StoreIdentity>> {
+pub fn read_identity(storage: &impl Storage) -> io::Result<Option<StoreIdentity>> {
     let names = storage.list()?;
     let numbered = names.iter().filter_map(|name| Some((snapshot_or_journal_number(name)?, name)));
     let mut numbered: Vec<(u64, &String)> = numbered.collect();
@@ -108,11 +108,11 @@
     let journals = FileRole::Journal.numbers_in(&names);
     let snapshots = FileRole::Snapshot.numbers_in(&names);
     let mut loaded = LoadedState { files: names.len(), ..LoadedState::default() };
-    loaded.number = journals.iter().chain(&snapshots).copied().max().unwrap_or(0);
+    loaded.highest_number = journals.iter().chain(&snapshots).copied().max().unwrap_or(0);
     let snapshot_number = load_newest_sound_snapshot(storage, identity, &snapshots, &mut loaded)?;
-    loaded.from = snapshot_number.unwrap_or(0);
+    loaded.snapshot_number = snapshot_number.unwrap_or(0);
     // Without a sound snapshot every journal counts.
-    let first_journal = loaded.from;
+    let first_journal = loaded.snapshot_number;
     for number in journals.into_iter().filter(|number| *number >= first_journal) {
         load_journal(storage, identity, number, &mut loaded)?;
     }
@@ -139,7 +139,7 @@
             loaded.state = state;
             return Ok(Some(number));
         }
-        loaded.remarks.push(format!("{name}: broken, the one before is taken"));
+        loaded.warnings.push(format!("{name}: broken, the one before is taken"));
     }
     Ok(None)
 }
@@ -160,7 +160,7 @@
         replay_entries(&mut frames, &mut loaded.state);
     }
     if header == HeaderCheck::Unreadable || frames.has_remainder() {
-        loaded.remarks.push(format!("{name}: cut at {} of {} bytes", frames.position(), bytes.len()));
+        loaded.warnings.push(format!("{name}: cut at {} of {} bytes", frames.position(), bytes.len()));
     }
     Ok(())
 }
--- a/crates/state-store/src/storage.rs
+++ b/crates/state-store/src/storage.rs
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// [`io::ErrorKind::WouldBlock`] while another writer has it open; else as the file system reports.
-    pub fn hold(path: &Path) -> io::Result<Self> {
+    pub fn open_exclusive(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
@@ -81,7 +81,7 @@
 
     /// Opens a directory for reading, whether or not a writer has it open.
     #[must_use]
-    pub fn look(path: &Path) -> Self {
+    pub fn open_read_only(path: &Path) -> Self {
         DirectoryStorage { path: path.into(), open_file: None, lock: None }
     }
 }
--- a/crates/state-store/src/store.rs
+++ b/crates/state-store/src/store.rs
@@ -46,9 +46,9 @@
             storage,
             identity,
             state: loaded.state.clone(),
-            number: loaded.number,
+            number: loaded.highest_number,
             // The highest number may be broken: only the one that was loaded is known to be complete.
-            complete_number: loaded.from,
+            complete_number: loaded.snapshot_number,
             journal_bytes: 0,
             snapshot_bytes: 0,
             has_unflushed_entries: false,
@@ -69,7 +69,7 @@
     }
 
     /// The number of the current snapshot and its journal.
-    pub fn number(&self) -> u64 {
+    pub fn snapshot_number(&self) -> u64 {
         self.number
     }
 
@@ -146,7 +146,7 @@
     fn write_snapshot(&mut self) -> io::Result<usize> {
         let mut bytes = self.encoded_header();
         for (key, (at_ms, what)) in &self.state {
-            let entry = Entry { at_ms: *at_ms, key: key.clone(), what: what.clone() };
+            let entry = Entry { at_ms: *at_ms, key: key.clone(), value: what.clone() };
             append_frame(&mut bytes, FrameKind::Entry, &encode_entry(&entry));
         }
         append_frame(&mut bytes, FrameKind::End, &encode_end(self.state.len()));
--- a/crates/state-store/tests/crash_model.rs
+++ b/crates/state-store/tests/crash_model.rs
@@ -183,8 +183,8 @@
 
 /// An entry of the run, for one of three keys.
 fn entry(number: u64) -> Entry {
-    let key = Key::Level(format!("class-{}", number % 3), 0);
-    Entry { at_ms: number, key, what: EntryValue::Level(1.0 / (1.0 + number as f64)) }
+    let key = Key::AdmissionRate(format!("class-{}", number % 3), 0);
+    Entry { at_ms: number, key, value: EntryValue::AdmissionRate(1.0 / (1.0 + number as f64)) }
 }
 
 /// The states after none, one, two … of the entries.
@@ -192,7 +192,7 @@
     let mut states = vec![from.clone()];
     for entry in entries {
         let mut state = states[states.len() - 1].clone();
-        state.insert(entry.key.clone(), (entry.at_ms, entry.what.clone()));
+        state.insert(entry.key.clone(), (entry.at_ms, entry.value.clone()));
         states.push(state);
     }
     states
--- a/crates/state-store/tests/directory.rs
+++ b/crates/state-store/tests/directory.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lockcroft_state_store::{
-    DirectoryStorage, EndpointNote, Entry, EntryValue, Key, LoadedState, OpenError, RecoveryError, Store,
+    DirectoryStorage, Entry, EntryValue, Key, LoadedState, OpenError, RecordedEndpoint, RecoveryError, Store,
     StoreIdentity, load,
 };
 
@@ -16,27 +16,31 @@
 const FOLDER: &str = "LOCKCROFT_TEST_FOLDER";
 
 fn identity() -> StoreIdentity {
-    StoreIdentity::of("p", ["north", "std", "look"].into_iter())
+    StoreIdentity::from_names("p", ["north", "std", "look"].into_iter())
 }
 
 /// The entry of this number, which its value repeats, for one of ten keys.
 fn entry(number: u64) -> Entry {
-    let endpoint = EndpointNote {
+    let endpoint = RecordedEndpoint {
         zone: "north".into(),
-        kind: "std".into(),
-        warm_ms: number,
-        relief: 0.5,
-        ..EndpointNote::default()
+        machine_type: "std".into(),
+        slow_start_until_ms: number,
+        weight_factor: 0.5,
+        ..RecordedEndpoint::default()
     };
-    Entry { at_ms: number, key: Key::Server(format!("e{}", number % 10)), what: EntryValue::Server(endpoint) }
+    Entry {
+        at_ms: number,
+        key: Key::Endpoint(format!("e{}", number % 10)),
+        value: EntryValue::Endpoint(endpoint),
+    }
 }
 
 fn open(directory: &Path) -> (Store<DirectoryStorage>, LoadedState) {
-    Store::open(DirectoryStorage::hold(directory).expect("not locked"), identity()).expect("sound")
+    Store::open(DirectoryStorage::open_exclusive(directory).expect("not locked"), identity()).expect("sound")
 }
 
 fn load_directory(directory: &Path) -> Result<LoadedState, RecoveryError> {
-    load(&DirectoryStorage::look(directory), &identity())
+    load(&DirectoryStorage::open_read_only(directory), &identity())
 }
 
 /// The number of the last entry; everything loaded has to be from the run up to it.
@@ -44,7 +48,7 @@
     let last = loaded.state.values().map(|(at, _)| *at).max().unwrap_or(0);
     for (key, (at, what)) in &loaded.state {
         let entry = entry(*at);
-        assert_eq!((&entry.key, &entry.what), (key, what), "torn");
+        assert_eq!((&entry.key, &entry.value), (key, what), "torn");
         assert!(*at + 10 > last, "{key:?} is at {at} of {last}");
     }
     last
@@ -140,8 +144,8 @@
     // With the snapshot broken, the one before it and both journals give the whole state.
     fs::write(directory.path().join("snapshot-2"), b"broken").expect("written");
     let loaded = load_directory(directory.path()).expect("sound");
-    assert_eq!((last_number(&loaded), loaded.from), (30, 1));
-    assert_eq!(loaded.remarks, ["snapshot-2: broken, the one before is taken"]);
+    assert_eq!((last_number(&loaded), loaded.snapshot_number), (30, 1));
+    assert_eq!(loaded.warnings, ["snapshot-2: broken, the one before is taken"]);
 }
 
 #[test]
@@ -149,19 +153,19 @@
     let directory = directory_of_two_numbers();
     let before = load_directory(directory.path()).expect("sound");
     let refusal_of = |identity: StoreIdentity| match Store::open(
-        DirectoryStorage::hold(directory.path()).expect("held"),
+        DirectoryStorage::open_exclusive(directory.path()).expect("held"),
         identity,
     ) {
         Err(RecoveryError::Open(error)) => error,
         other => panic!("not refused: {:?}", other.map(|(_, loaded)| loaded)),
     };
-    let other_controller = refusal_of(StoreIdentity::of("q", ["north", "std", "look"].into_iter()));
+    let other_controller = refusal_of(StoreIdentity::from_names("q", ["north", "std", "look"].into_iter()));
     assert_eq!(
         other_controller,
         OpenError::ForeignController { file: "snapshot-2".into(), controller: "p".into() }
     );
     assert_eq!(
-        refusal_of(StoreIdentity::of("p", ["south"].into_iter())),
+        refusal_of(StoreIdentity::from_names("p", ["south"].into_iter())),
         OpenError::ForeignFleet { file: "snapshot-2".into() }
     );
     // A file of a later program states its format in the header.
@@ -183,7 +187,7 @@
 fn one_writer_at_a_time_and_any_number_of_readers() {
     let directory = directory_of_two_numbers();
     let (store, _) = open(directory.path());
-    let second = DirectoryStorage::hold(directory.path()).expect_err("it is held");
+    let second = DirectoryStorage::open_exclusive(directory.path()).expect_err("it is held");
     assert_eq!(second.kind(), std::io::ErrorKind::WouldBlock);
     assert_eq!(last_number(&load_directory(directory.path()).expect("readers need no lock")), 30);
     drop(store);
@@ -209,8 +213,8 @@
 #[test]
 fn files_of_format_1_still_load() {
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/format-1");
-    let loaded = load(&DirectoryStorage::look(&fixture), &identity()).expect("sound");
-    assert_eq!((last_number(&loaded), loaded.state.len(), loaded.from), (30, 10, 2));
+    let loaded = load(&DirectoryStorage::open_read_only(&fixture), &identity()).expect("sound");
+    assert_eq!((last_number(&loaded), loaded.state.len(), loaded.snapshot_number), (30, 10, 2));
 }
 
 /// Writes the fixture when a new format is introduced.
@@ -239,7 +243,7 @@
     fs::create_dir(&path).expect("a directory in its place");
     assert!(matches!(load_directory(directory.path()), Err(RecoveryError::Io(_))));
     assert!(matches!(
-        Store::open(DirectoryStorage::hold(directory.path()).expect("held"), identity()),
+        Store::open(DirectoryStorage::open_exclusive(directory.path()).expect("held"), identity()),
         Err(RecoveryError::Io(_))
     ));
     fs::remove_dir(&path).expect("gone");
--- a/crates/table-format/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -24,7 +24,7 @@
             format!("10.{}.{}.{}:8101", i / 65_536, i / 256 % 256, i % 256).parse().expect("an address");
         (format!("server-{i:05}"), TableEntry { address, weight: 1 + (i % 256) as u32 })
     };
-    Table { lines: (0..entries).map(entry).collect() }
+    Table { entries: (0..entries).map(entry).collect() }
 }
 
 /// Prints entries a second, in millions.
@@ -62,7 +62,7 @@
             black_box(decode_table("table-0", &file)).expect("sound");
         });
         let all: Vec<JsonEntry> = table
-            .lines
+            .entries
             .iter()
             .map(|(server, line)| JsonEntry {
                 server: server.clone(),
@@ -82,7 +82,7 @@
                     line.address, line.weight
                 )
             };
-            table.lines.iter().map(command).collect::<String>()
+            table.entries.iter().map(command).collect::<String>()
         };
         let text = write();
         rate("commands: written", lines, text.len(), || drop(black_box(write())));
--- a/crates/table-format/src/codec.rs
+++ b/crates/table-format/src/codec.rs
@@ -24,7 +24,7 @@
         weight: entry.weight,
         ..Default::default()
     };
-    let entries = table.lines.iter().map(entry).collect();
+    let entries = table.entries.iter().map(entry).collect();
     encode(&proto::Table { number, lines: entries, ..Default::default() })
 }
 
@@ -32,13 +32,13 @@
     let assignment = |(class, assignment): (&String, &ProxyAssignment)| proto::Bound {
         class: class.clone(),
         table: assignment.table,
-        level: assignment.level,
-        again: assignment.again,
+        level: assignment.admission_per_mille,
+        again: assignment.retries,
         ..Default::default()
     };
     encode(&proto::Group {
         proxies: group.proxies.iter().cloned().collect(),
-        bound: group.bound.iter().map(assignment).collect(),
+        bound: group.assignments.iter().map(assignment).collect(),
         ..Default::default()
     })
 }
@@ -67,7 +67,7 @@
             return Err(out_of_range(format!("weight {}", line.weight), "1 to 256"));
         }
         let entry = TableEntry { address, weight: line.weight };
-        if table.lines.insert(line.server.clone(), entry).is_some() {
+        if table.entries.insert(line.server.clone(), entry).is_some() {
             return Err(out_of_range("stands twice".into(), "each server once"));
         }
     }
@@ -89,10 +89,11 @@
                 limit: "0 to 1000".into(),
             });
         }
-        let assignment = ProxyAssignment { table: bound.table, level: bound.level, again: bound.again };
+        let assignment =
+            ProxyAssignment { table: bound.table, admission_per_mille: bound.level, retries: bound.again };
         assignments.insert(bound.class, assignment);
     }
-    Ok(ProxyGroup { proxies: message.proxies.into_iter().collect(), bound: assignments })
+    Ok(ProxyGroup { proxies: message.proxies.into_iter().collect(), assignments })
 }
 
 /// Decodes the member [`EJECTED_MEMBER`]: the names of the ejected endpoints.
--- a/crates/table-format/src/content.rs
+++ b/crates/table-format/src/content.rs
@@ -11,14 +11,14 @@
     /// Proxy groups by number.
     pub groups: BTreeMap<u32, ProxyGroup>,
     /// Names of the endpoints that are ejected at all proxies, whatever their tables say.
-    pub withdrawn: BTreeSet<String>,
+    pub ejected: BTreeSet<String>,
 }
 
 /// A routing table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     /// Entries by name of the endpoint.
-    pub lines: BTreeMap<String, TableEntry>,
+    pub entries: BTreeMap<String, TableEntry>,
 }
 
 /// An endpoint's entry in a table.
@@ -36,7 +36,7 @@
     /// Names of the proxies.
     pub proxies: BTreeSet<String>,
     /// Assignments by name of the class.
-    pub bound: BTreeMap<String, ProxyAssignment>,
+    pub assignments: BTreeMap<String, ProxyAssignment>,
 }
 
 /// What requests of one class may use.
@@ -45,9 +45,9 @@
     /// Number of the table.
     pub table: u32,
     /// Admission rate in thousandths.
-    pub level: u32,
+    pub admission_per_mille: u32,
     /// Whether the proxies may retry after proof of non-execution.
-    pub again: bool,
+    pub retries: bool,
 }
 
 impl SnapshotContent {
@@ -59,7 +59,7 @@
 
     /// How many table entries, groups and ejections differ from another snapshot's.
     #[must_use]
-    pub fn differs(&self, other: &SnapshotContent) -> usize {
+    pub fn changed_entry_count(&self, other: &SnapshotContent) -> usize {
         let empty = Table::default();
         let table_numbers: BTreeSet<u32> = self.tables.keys().chain(other.tables.keys()).copied().collect();
         let table_entries = table_numbers.iter().map(|number| {
@@ -69,14 +69,14 @@
         let group_numbers: BTreeSet<u32> = self.groups.keys().chain(other.groups.keys()).copied().collect();
         let groups =
             group_numbers.iter().filter(|number| self.groups.get(number) != other.groups.get(number)).count();
-        let ejections = self.withdrawn.symmetric_difference(&other.withdrawn).count();
+        let ejections = self.ejected.symmetric_difference(&other.ejected).count();
         table_entries.sum::<usize>() + groups + ejections
     }
 }
 
 impl Table {
     fn count_changed_entries(&self, other: &Table) -> usize {
-        let endpoints: BTreeSet<&String> = self.lines.keys().chain(other.lines.keys()).collect();
-        endpoints.into_iter().filter(|name| self.lines.get(*name) != other.lines.get(*name)).count()
+        let endpoints: BTreeSet<&String> = self.entries.keys().chain(other.entries.keys()).collect();
+        endpoints.into_iter().filter(|name| self.entries.get(*name) != other.entries.get(*name)).count()
     }
 }
--- a/crates/table-format/src/seal.rs
+++ b/crates/table-format/src/seal.rs
@@ -75,6 +75,6 @@
     for (number, group) in &content.groups {
         members.insert(group_member(*number), Member::new(encode_group(group)));
     }
-    members.insert(EJECTED_MEMBER.into(), Member::new(encode_ejected(&content.withdrawn)));
+    members.insert(EJECTED_MEMBER.into(), Member::new(encode_ejected(&content.ejected)));
     members
 }
--- a/crates/table-format/src/status.rs
+++ b/crates/table-format/src/status.rs
@@ -46,7 +46,7 @@
 impl proto::Status {
     /// The status of a proxy that has not applied any snapshot.
     #[must_use]
-    pub fn of(proxy: &str) -> Self {
+    pub fn for_proxy(proxy: &str) -> Self {
         proto::Status { proxy: proxy.into(), refused: MessageField::none(), ..Default::default() }
     }
 }
--- a/crates/table-format/tests/bytes.rs
+++ b/crates/table-format/tests/bytes.rs
@@ -23,20 +23,25 @@
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
         TableEntry { address, weight }
     });
-    let table = proptest::collection::btree_map(any_name(), entry, 0..6).prop_map(|lines| Table { lines });
+    let table =
+        proptest::collection::btree_map(any_name(), entry, 0..6).prop_map(|lines| Table { entries: lines });
     let assignment = (0..4_u32, 0..=1000_u32, any::<bool>());
-    let assignment = assignment.prop_map(|(table, level, again)| ProxyAssignment { table, level, again });
+    let assignment = assignment.prop_map(|(table, level, again)| ProxyAssignment {
+        table,
+        admission_per_mille: level,
+        retries: again,
+    });
     let group = (
         proptest::collection::btree_set(any_name(), 0..4),
         proptest::collection::btree_map(any_name(), assignment, 0..3),
     );
-    let group = group.prop_map(|(proxies, bound)| ProxyGroup { proxies, bound });
+    let group = group.prop_map(|(proxies, bound)| ProxyGroup { proxies, assignments: bound });
     (
         proptest::collection::btree_map(0..9_u32, table, 0..4),
         proptest::collection::btree_map(0..9_u32, group, 0..4),
         proptest::collection::btree_set(any_name(), 0..4),
     )
-        .prop_map(|(tables, groups, withdrawn)| SnapshotContent { tables, groups, withdrawn })
+        .prop_map(|(tables, groups, withdrawn)| SnapshotContent { tables, groups, ejected: withdrawn })
 }
 
 /// A manifest without the seals of unknown keys. Readers ignore these, so that keys can be rotated.
@@ -54,7 +59,7 @@
         let bytes = &snapshot.members[name].bytes;
         opened.check(name, bytes)?;
         if name == EJECTED_MEMBER {
-            content.withdrawn = decode_ejected(bytes)?;
+            content.ejected = decode_ejected(bytes)?;
         } else if let Some(number) = name.strip_prefix(GROUP_MEMBER_PREFIX) {
             content.groups.insert(number.parse().expect("a number"), decode_group(name, bytes)?);
         } else {
@@ -101,9 +106,9 @@
             prop_assert!(bytes == member.bytes || opened.check(name, &bytes).is_err());
             // Somebody with a key may have made the digest, so the limits still have to be checked.
             let table = decode_table(name, &bytes);
-            prop_assert!(table.is_err() || table.is_ok_and(|numbered| numbered.table.lines.values().all(|entry| (1..=256).contains(&entry.weight))));
+            prop_assert!(table.is_err() || table.is_ok_and(|numbered| numbered.table.entries.values().all(|entry| (1..=256).contains(&entry.weight))));
             let group = decode_group(name, &bytes);
-            prop_assert!(group.is_err() || group.is_ok_and(|group| group.bound.values().all(|assignment| assignment.level <= 1000)));
+            prop_assert!(group.is_err() || group.is_ok_and(|group| group.assignments.values().all(|assignment| assignment.admission_per_mille <= 1000)));
             let _ = (decode_ejected(&bytes), decode_status(&bytes));
         }
     }
@@ -210,16 +215,19 @@
 fn changed_entries_and_ejections_are_counted() {
     let line = |weight| TableEntry { address: "127.0.0.1:1".parse().expect("an address"), weight };
     let table = |weights: &[u32]| Table {
-        lines: weights.iter().enumerate().map(|(i, weight)| (format!("e{i}"), line(*weight))).collect(),
+        entries: weights.iter().enumerate().map(|(i, weight)| (format!("e{i}"), line(*weight))).collect(),
     };
     let one =
         SnapshotContent { tables: BTreeMap::from([(1, table(&[1, 2, 3]))]), ..SnapshotContent::default() };
     let other = SnapshotContent {
         tables: BTreeMap::from([(1, table(&[1, 5])), (2, table(&[1]))]),
-        withdrawn: BTreeSet::from(["e9".to_string()]),
+        ejected: BTreeSet::from(["e9".to_string()]),
         ..SnapshotContent::default()
     };
-    assert_eq!((one.differs(&other), other.differs(&one), one.differs(&one)), (4, 4, 0));
+    assert_eq!(
+        (one.changed_entry_count(&other), other.changed_entry_count(&one), one.changed_entry_count(&one)),
+        (4, 4, 0)
+    );
 }
 
 /// The worked example of docs/table-files.md, to the byte: readers in other languages are built from it.
@@ -227,17 +235,17 @@
 fn the_worked_example_is_encoded_byte_for_byte() {
     let key = Key::new("k1", &(0..32).collect::<Vec<u8>>()).expect("long enough");
     let line = TableEntry { address: "127.0.0.1:8101".parse().expect("an address"), weight: 256 };
-    let bound = ProxyAssignment { table: 3, level: 500, again: true };
+    let bound = ProxyAssignment { table: 3, admission_per_mille: 500, retries: true };
     let content = SnapshotContent {
-        tables: BTreeMap::from([(3, Table { lines: BTreeMap::from([("e1".into(), line)]) })]),
+        tables: BTreeMap::from([(3, Table { entries: BTreeMap::from([("e1".into(), line)]) })]),
         groups: BTreeMap::from([(
             0,
             ProxyGroup {
                 proxies: BTreeSet::from(["r1".into()]),
-                bound: BTreeMap::from([("look".into(), bound)]),
+                assignments: BTreeMap::from([("look".into(), bound)]),
             },
         )]),
-        withdrawn: BTreeSet::from(["e9".into()]),
+        ejected: BTreeSet::from(["e9".into()]),
     };
     let snapshot = seal("p", 7, 41, &content, &KeyRing(vec![key]));
     let hex = |bytes: &[u8]| {
--- a/crates/table-store/benches/folder.rs
+++ b/crates/table-store/benches/folder.rs
@@ -10,7 +10,7 @@
 };
 use lockcroft_table_store::{RetentionPolicy, SnapshotReader, SnapshotWriter, write_status};
 
-const RETENTION: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: false };
+const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 4, keep_earlier_epochs: false };
 
 /// This many tables with this many entries each, and this many proxies on each.
 fn content(tables: u32, entries: usize, proxies: u32, weight: u32) -> SnapshotContent {
@@ -21,17 +21,17 @@
             (format!("server-{table}-{i}"), TableEntry { address, weight })
         }
     };
-    let table = |number: u32| (number, Table { lines: (0..entries).map(entry(number)).collect() });
+    let table = |number: u32| (number, Table { entries: (0..entries).map(entry(number)).collect() });
     let group = |number: u32| {
-        let bound = ProxyAssignment { table: number, level: 1000, again: true };
+        let bound = ProxyAssignment { table: number, admission_per_mille: 1000, retries: true };
         let bound = ["look", "book"].map(|class| (class.to_string(), bound)).into();
         let names: BTreeSet<String> = (0..proxies).map(|i| format!("r-{number}-{i}")).collect();
-        (number, ProxyGroup { proxies: names, bound })
+        (number, ProxyGroup { proxies: names, assignments: bound })
     };
     SnapshotContent {
         tables: (0..tables).map(table).collect(),
         groups: (0..tables).map(group).collect::<BTreeMap<_, _>>(),
-        withdrawn: BTreeSet::new(),
+        ejected: BTreeSet::new(),
     }
 }
 
@@ -47,7 +47,7 @@
     for (tables, lines, proxies) in [(1, 15, 20), (42, 15, 20), (1, 600, 20), (1, 10_000, 20)] {
         let directory = tempfile::tempdir_in(&base).expect("a directory");
         let keys = || KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")]);
-        let mut writer = SnapshotWriter::take(directory.path(), "p", keys()).expect("taken");
+        let mut writer = SnapshotWriter::acquire_epoch(directory.path(), "p", keys()).expect("taken");
         let mut readers: Vec<SnapshotReader> = (0..8)
             .map(|i| SnapshotReader::new(directory.path(), &format!("r-{}-{i}", tables - 1), keys(), None))
             .collect();
@@ -65,9 +65,9 @@
             timed(&mut writes, &mut || bytes = writer.write(&content, RETENTION).expect("written").bytes);
             for (number, reader) in readers.iter_mut().enumerate() {
                 let into = if round == 0 { &mut first } else { &mut updates };
-                timed(into, &mut || assert_eq!(reader.look().expect("there").lay.len(), 1));
-                timed(&mut idle, &mut || drop(reader.look().expect("there")));
-                let status = proto::Status::of(&format!("r{number}"));
+                timed(into, &mut || assert_eq!(reader.scan().expect("there").to_apply.len(), 1));
+                timed(&mut idle, &mut || drop(reader.scan().expect("there")));
+                let status = proto::Status::for_proxy(&format!("r{number}"));
                 timed(&mut statuses, &mut || write_status(directory.path(), &status).expect("written"));
             }
         }
--- a/crates/table-store/src/layout.rs
+++ b/crates/table-store/src/layout.rs
@@ -43,20 +43,20 @@
 
     /// The directory of an epoch.
     #[must_use]
-    pub fn epoch(&self, epoch: Epoch) -> PathBuf {
+    pub fn epoch_directory(&self, epoch: Epoch) -> PathBuf {
         self.directory.join(format!("{EPOCH_PREFIX}{epoch}"))
     }
 
     /// The directory of a snapshot.
     #[must_use]
     pub fn snapshot(&self, id: SnapshotId) -> PathBuf {
-        self.epoch(id.epoch).join(snapshot_name(id.version))
+        self.epoch_directory(id.epoch).join(snapshot_name(id.version))
     }
 
     /// The link to the current snapshot of an epoch.
     #[must_use]
     pub fn current_link(&self, epoch: Epoch) -> PathBuf {
-        self.epoch(epoch).join("current")
+        self.epoch_directory(epoch).join("current")
     }
 
     /// The directory with the status files of the proxies.
@@ -78,7 +78,7 @@
     /// # Errors
     /// The epoch's directory can't be read.
     pub fn versions(&self, epoch: Epoch) -> io::Result<Vec<Version>> {
-        numbered_entries(&self.epoch(epoch), SNAPSHOT_PREFIX)
+        numbered_entries(&self.epoch_directory(epoch), SNAPSHOT_PREFIX)
     }
 
     /// The current snapshot of an epoch; `None` before the first one, or if the link leads elsewhere.
--- a/crates/table-store/src/lib.rs
+++ b/crates/table-store/src/lib.rs
@@ -35,7 +35,7 @@
 pub use error::{KeyFileError, ReadError, WriteError};
 pub use key_file::read_keys;
 pub use layout::{Epoch, SnapshotId, StoreLayout, Version};
-pub use loaded_snapshot::{LoadedSnapshot, find};
+pub use loaded_snapshot::{LoadedSnapshot, load_snapshot};
 pub use proxy_view::AppliedSnapshot;
 pub use reader::{RejectedSnapshot, ScanResult, SnapshotReader};
 pub use retention::{OutdatedSnapshots, RetentionPolicy};
--- a/crates/table-store/src/loaded_snapshot.rs
+++ b/crates/table-store/src/loaded_snapshot.rs
@@ -15,7 +15,7 @@
     /// What it says.
     pub content: SnapshotContent,
     /// Name of the controller that wrote it.
-    pub pilot: String,
+    pub controller: String,
     /// Name of the key that seals it.
     pub key: String,
     /// Length of all its files.
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// A file is missing or not sound.
-pub fn find(
+pub fn load_snapshot(
     layout: &StoreLayout,
     epoch: Epoch,
     version: Version,
@@ -41,14 +41,14 @@
         decode_member(name, &bytes, &mut content)?;
     }
     let manifest = files.manifest;
-    Ok(LoadedSnapshot { content, pilot: manifest.controller, key: manifest.key, bytes: total_bytes })
+    Ok(LoadedSnapshot { content, controller: manifest.controller, key: manifest.key, bytes: total_bytes })
 }
 
 /// Adds a member to the content. Members of unknown names are of a later program and skipped.
 fn decode_member(name: &str, bytes: &[u8], content: &mut SnapshotContent) -> Result<(), ReadError> {
     let group_number = name.strip_prefix(GROUP_MEMBER_PREFIX).and_then(|number| number.parse().ok());
     if name == EJECTED_MEMBER {
-        content.withdrawn = decode_ejected(bytes)?;
+        content.ejected = decode_ejected(bytes)?;
     } else if let Some(number) = group_number {
         content.groups.insert(number, decode_group(name, bytes)?);
     } else if name.starts_with(TABLE_MEMBER_PREFIX) {
--- a/crates/table-store/src/proxy_view.rs
+++ b/crates/table-store/src/proxy_view.rs
@@ -21,11 +21,11 @@
     pub version: Version,
     /// Assignments by class. Empty if the controller has assigned no table to the proxy yet: the proxy then keeps the
     /// tables that it holds.
-    pub bound: BTreeMap<String, ProxyAssignment>,
+    pub assignments: BTreeMap<String, ProxyAssignment>,
     /// The assigned tables by number.
     pub tables: BTreeMap<u32, Table>,
     /// Names of the ejected endpoints.
-    pub withdrawn: BTreeSet<String>,
+    pub ejected: BTreeSet<String>,
 }
 
 impl AppliedSnapshot {
@@ -58,16 +58,16 @@
         let mut snapshot = AppliedSnapshot {
             epoch: manifest.epoch,
             version: manifest.version,
-            withdrawn: decode_ejected(&files.read_member(EJECTED_MEMBER)?)?,
+            ejected: decode_ejected(&files.read_member(EJECTED_MEMBER)?)?,
             ..AppliedSnapshot::default()
         };
         let Some(group) = self.find_group(files)? else { return Ok(snapshot) };
-        for assignment in group.bound.values() {
+        for assignment in group.assignments.values() {
             if let Entry::Vacant(vacant) = snapshot.tables.entry(assignment.table) {
                 vacant.insert(self.read_table(files, assignment.table)?);
             }
         }
-        snapshot.bound = group.bound;
+        snapshot.assignments = group.assignments;
         self.drop_unlisted_members(manifest);
         Ok(snapshot)
     }
--- a/crates/table-store/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -19,12 +19,12 @@
     /// Its number within the epoch.
     pub version: Version,
     /// The reason, as a text for people.
-    pub why: String,
+    pub reason: String,
 }
 
 impl RejectedSnapshot {
     fn new(id: SnapshotId, reason: String) -> Self {
-        RejectedSnapshot { epoch: id.epoch, version: id.version, why: reason }
+        RejectedSnapshot { epoch: id.epoch, version: id.version, reason }
     }
 }
 
@@ -33,9 +33,9 @@
 pub struct ScanResult {
     /// The snapshots to apply, in this order: after a start, tables of an earlier epoch may come before the ejections of
     /// the current one.
-    pub lay: Vec<AppliedSnapshot>,
+    pub to_apply: Vec<AppliedSnapshot>,
     /// The snapshots that were rejected on the way.
-    pub refused: Vec<RejectedSnapshot>,
+    pub rejected: Vec<RejectedSnapshot>,
 }
 
 /// A sound snapshot, and what to do with it.
@@ -69,7 +69,7 @@
     }
 
     /// Replaces the keys, after they were rotated.
-    pub fn turn_over(&mut self, keys: KeyRing) {
+    pub fn replace_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
@@ -77,14 +77,14 @@
     ///
     /// # Errors
     /// The directory can't be read.
-    pub fn look(&mut self) -> io::Result<ScanResult> {
+    pub fn scan(&mut self) -> io::Result<ScanResult> {
         let epochs = self.layout.epochs()?;
         let result = if self.selector.has_applied() {
             self.scan_for_newer(&epochs)
         } else {
             self.scan_at_start(&epochs)
         };
-        if let Some(last) = result.lay.last() {
+        if let Some(last) = result.to_apply.last() {
             self.selector.record_applied(last.id());
             self.last_applied = Some(last.id());
         }
@@ -104,15 +104,15 @@
             let candidate = match self.examine(id) {
                 Ok(candidate) => candidate,
                 Err(error) => {
-                    result.refused.push(RejectedSnapshot::new(id, error.to_string()));
+                    result.rejected.push(RejectedSnapshot::new(id, error.to_string()));
                     continue;
                 }
             };
             match candidate.decision {
-                SnapshotDecision::Apply => result.lay.push(candidate.snapshot),
+                SnapshotDecision::Apply => result.to_apply.push(candidate.snapshot),
                 // One reason is enough, that of the snapshot which would have been the newest.
-                SnapshotDecision::Older if result.refused.is_empty() => {
-                    result.refused.push(RejectedSnapshot::new(id, self.selector.older_reason()));
+                SnapshotDecision::Older if result.rejected.is_empty() => {
+                    result.rejected.push(RejectedSnapshot::new(id, self.selector.older_reason()));
                 }
                 SnapshotDecision::Older | SnapshotDecision::AlreadyApplied => {}
             }
@@ -130,7 +130,7 @@
             let candidate = match self.examine(id) {
                 Ok(candidate) => candidate,
                 Err(error) => {
-                    result.refused.push(RejectedSnapshot::new(id, error.to_string()));
+                    result.rejected.push(RejectedSnapshot::new(id, error.to_string()));
                     continue;
                 }
             };
@@ -140,7 +140,7 @@
                     return result;
                 }
                 SnapshotDecision::Older => {
-                    result.refused.push(RejectedSnapshot::new(id, self.selector.older_reason()));
+                    result.rejected.push(RejectedSnapshot::new(id, self.selector.older_reason()));
                     newest_below_floor.get_or_insert(candidate.snapshot);
                 }
             }
@@ -178,10 +178,10 @@
 
     /// Adds the first snapshot after a start. If it assigns no table to the proxy, those of an earlier epoch come first.
     fn apply_first(&mut self, snapshot: AppliedSnapshot, result: &mut ScanResult) {
-        if snapshot.bound.is_empty() {
-            result.lay.extend(self.find_earlier_tables(&snapshot));
+        if snapshot.assignments.is_empty() {
+            result.to_apply.extend(self.find_earlier_tables(&snapshot));
         }
-        result.lay.push(snapshot);
+        result.to_apply.push(snapshot);
     }
 
     /// The current snapshot of the highest earlier epoch that assigns tables to the proxy, with the newer ejections
@@ -191,8 +191,8 @@
         for epoch in epochs.into_iter().filter(|epoch| *epoch < newer.epoch) {
             let Some(version) = self.layout.current_version(epoch) else { continue };
             let Ok(mut earlier) = self.read(SnapshotId { epoch, version }) else { continue };
-            if !earlier.bound.is_empty() {
-                earlier.withdrawn.extend(newer.withdrawn.iter().cloned());
+            if !earlier.assignments.is_empty() {
+                earlier.ejected.extend(newer.ejected.iter().cloned());
                 return Some(earlier);
             }
         }
--- a/crates/table-store/src/retention.rs
+++ b/crates/table-store/src/retention.rs
@@ -9,10 +9,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionPolicy {
     /// How many snapshots of the writer's epoch stay, the current one included; 2 at least.
-    pub generations: usize,
+    pub max_snapshots: usize,
     /// Whether earlier epochs stay. They may go once the current snapshot assigns tables to every proxy, so that none
     /// has to take its tables from an earlier epoch.
-    pub earlier_epochs: bool,
+    pub keep_earlier_epochs: bool,
 }
 
 /// What may be removed.
@@ -37,9 +37,9 @@
     ) -> OutdatedSnapshots {
         let mut older: Vec<Version> = versions.iter().copied().filter(|version| *version < current).collect();
         older.sort_unstable_by(|a, b| b.cmp(a));
-        let max_older = self.generations.max(MIN_SNAPSHOTS) - 1;
+        let max_older = self.max_snapshots.max(MIN_SNAPSHOTS) - 1;
         let outdated_versions = older.split_off(older.len().min(max_older));
-        let is_outdated = |epoch: &Epoch| !self.earlier_epochs && *epoch < own_epoch;
+        let is_outdated = |epoch: &Epoch| !self.keep_earlier_epochs && *epoch < own_epoch;
         OutdatedSnapshots {
             versions: outdated_versions,
             epochs: epochs.iter().copied().filter(is_outdated).collect(),
--- a/crates/table-store/src/status.rs
+++ b/crates/table-store/src/status.rs
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// The directory can't be read; it need not exist yet.
-    pub fn look(&mut self, directory: &Path) -> io::Result<Vec<Status>> {
+    pub fn read_changed(&mut self, directory: &Path) -> io::Result<Vec<Status>> {
         let entries = match fs::read_dir(StoreLayout::new(directory).status_directory()) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
             entries => entries?,
@@ -136,7 +136,7 @@
 
     /// The present status of one proxy.
     #[must_use]
-    pub fn of(directory: &Path, proxy: &str) -> Option<Status> {
+    pub fn read_one(directory: &Path, proxy: &str) -> Option<Status> {
         if !is_file_name(proxy) {
             return None;
         }
--- a/crates/table-store/src/writer.rs
+++ b/crates/table-store/src/writer.rs
@@ -56,10 +56,10 @@
     ///
     /// # Errors
     /// The store's directory does not exist or can't be written to.
-    pub fn take(directory: &Path, controller: &str, keys: KeyRing) -> io::Result<Self> {
+    pub fn acquire_epoch(directory: &Path, controller: &str, keys: KeyRing) -> io::Result<Self> {
         let layout = StoreLayout::new(directory);
         let mut epoch = layout.epochs()?.first().copied().unwrap_or(0) + 1;
-        while let Err(error) = fs::create_dir(layout.epoch(epoch)) {
+        while let Err(error) = fs::create_dir(layout.epoch_directory(epoch)) {
             if error.kind() != io::ErrorKind::AlreadyExists {
                 return Err(error);
             }
@@ -90,7 +90,7 @@
     }
 
     /// Replaces the keys, after they were rotated: the next snapshot is sealed with these.
-    pub fn turn_over(&mut self, keys: KeyRing) {
+    pub fn replace_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn unfinished_directory(&self) -> PathBuf {
-        self.layout.epoch(self.epoch).join("new")
+        self.layout.epoch_directory(self.epoch).join("new")
     }
 
     fn id(&self, version: Version) -> SnapshotId {
@@ -180,7 +180,7 @@
     }
 
     fn replace_current_link(&self, version: Version) -> io::Result<()> {
-        let epoch_directory = self.layout.epoch(self.epoch);
+        let epoch_directory = self.layout.epoch_directory(self.epoch);
         let new_link = epoch_directory.join("current.new");
         ignore_missing(fs::remove_file(&new_link))?;
         symlink(snapshot_name(version), &new_link)?;
@@ -198,7 +198,7 @@
             let _ = fs::remove_dir_all(self.layout.snapshot(self.id(version)));
         }
         for epoch in outdated.epochs {
-            let _ = fs::remove_dir_all(self.layout.epoch(epoch));
+            let _ = fs::remove_dir_all(self.layout.epoch_directory(epoch));
         }
     }
 }
--- a/crates/table-store/tests/directory/faults.rs
+++ b/crates/table-store/tests/directory/faults.rs
@@ -204,8 +204,8 @@
 fn a_missing_directory_is_an_error() {
     let directory = tempfile::tempdir().expect("a directory");
     let missing = directory.path().join("none");
-    assert!(SnapshotWriter::take(&missing, "p", keys()).is_err());
-    assert!(reader(&missing, "r0").look().is_err());
+    assert!(SnapshotWriter::acquire_epoch(&missing, "p", keys()).is_err());
+    assert!(reader(&missing, "r0").scan().is_err());
     let mut writer = writer(directory.path());
     fs::remove_dir_all(directory.path().join("e1")).expect("gone");
     assert!(matches!(writer.write(&content(1, 3), RETENTION), Err(WriteError::Io(_))));
--- a/crates/table-store/tests/directory/kills.rs
+++ b/crates/table-store/tests/directory/kills.rs
@@ -54,8 +54,8 @@
                 let mut reader = reader(directory, &format!("r{}", number % 2));
                 let mut last = (0, 0);
                 while !is_over.load(Ordering::Relaxed) {
-                    let result = reader.look().expect("the directory is there");
-                    for snapshot in &result.lay {
+                    let result = reader.scan().expect("the directory is there");
+                    for snapshot in &result.to_apply {
                         assert!((snapshot.epoch, snapshot.version) > last, "it went back");
                         last = (snapshot.epoch, snapshot.version);
                         assert_eq!(u64::from(stamp(snapshot)), snapshot.epoch * 1000 + snapshot.version);
@@ -64,7 +64,8 @@
                     // A snapshot may be removed while a slow reader reads it; a damaged one must never be found.
                     let is_removed = |reason: &str| reason.contains("No such file");
                     damaged.fetch_add(
-                        result.refused.iter().filter(|rejected| !is_removed(&rejected.why)).count() as u64,
+                        result.rejected.iter().filter(|rejected| !is_removed(&rejected.reason)).count()
+                            as u64,
                         Ordering::Relaxed,
                     );
                     std::thread::sleep(Duration::from_millis(3));
@@ -79,8 +80,8 @@
             std::thread::sleep(Duration::from_micros(5_000 + (random >> 33) % 30_000));
             child.kill().and_then(|()| child.wait()).expect("ended");
             // A reader that starts now finds a sound snapshot, once there has been one.
-            let result = reader(directory.path(), "r0").look().expect("the directory is there");
-            let found = result.lay.last().map(stamp);
+            let result = reader(directory.path(), "r0").scan().expect("the directory is there");
+            let found = result.to_apply.last().map(stamp);
             assert!(found.is_some() || applied.load(Ordering::Relaxed) == 0, "{result:?}");
         }
         is_over.store(true, Ordering::Relaxed);
--- a/crates/table-store/tests/directory/selection.rs
+++ b/crates/table-store/tests/directory/selection.rs
@@ -23,11 +23,11 @@
     assert_eq!(scan(&mut reader), (None, vec![]));
     // Only what changed is written: both groups and both tables are linked.
     let mut with_ejection = content(1, 3);
-    with_ejection.withdrawn.insert("zzz".into());
+    with_ejection.ejected.insert("zzz".into());
     let second = writer.write(&with_ejection, RETENTION).expect("written");
     assert_eq!((second.files, second.linked), (2, 4));
     assert_eq!(scan(&mut reader), (Some(1), vec![]));
-    assert_eq!(reader.look().expect("there").lay, []);
+    assert_eq!(reader.scan().expect("there").to_apply, []);
 }
 
 #[test]
@@ -38,16 +38,18 @@
     assert_eq!(scan(&mut running), (Some(1), vec![]));
     // The next controller has assigned no tables yet, but ejects an endpoint.
     let mut next = writer(directory.path());
-    let ejections_only =
-        SnapshotContent { withdrawn: ["w2".to_string()].into(), ..SnapshotContent::default() };
-    next.write(&ejections_only, RetentionPolicy { earlier_epochs: true, ..RETENTION }).expect("written");
-    let result = running.look().expect("there");
-    assert!(result.lay[0].bound.is_empty() && result.lay[0].withdrawn.contains("w2"), "{result:?}");
+    let ejections_only = SnapshotContent { ejected: ["w2".to_string()].into(), ..SnapshotContent::default() };
+    next.write(&ejections_only, RetentionPolicy { keep_earlier_epochs: true, ..RETENTION }).expect("written");
+    let result = running.scan().expect("there");
+    assert!(
+        result.to_apply[0].assignments.is_empty() && result.to_apply[0].ejected.contains("w2"),
+        "{result:?}"
+    );
     // A proxy that starts now takes its tables from the earlier epoch, with the ejections of both.
-    let result = reader(directory.path(), "r0").look().expect("there");
-    let [tables, ejections] = &result.lay[..] else { panic!("{result:?}") };
+    let result = reader(directory.path(), "r0").scan().expect("there");
+    let [tables, ejections] = &result.to_apply[..] else { panic!("{result:?}") };
     assert_eq!((tables.epoch, ejections.epoch, tables.tables.len()), (1, 2, 1));
-    assert_eq!(tables.withdrawn.iter().collect::<Vec<_>>(), ["w1", "w2"]);
+    assert_eq!(tables.ejected.iter().collect::<Vec<_>>(), ["w1", "w2"]);
     // Once all proxies have assignments, the earlier epoch is removed.
     next.write(&content(3, 3), RETENTION).expect("written");
     assert!(!directory.path().join("e1").exists());
@@ -65,7 +67,9 @@
     let mut second = writer(directory.path());
     assert_eq!((paused.epoch(), second.epoch()), (1, 2));
     assert!(matches!(paused.write(&content(9, 3), RETENTION), Err(WriteError::Fenced(2))));
-    second.write(&content(2, 3), RetentionPolicy { earlier_epochs: true, ..RETENTION }).expect("written");
+    second
+        .write(&content(2, 3), RetentionPolicy { keep_earlier_epochs: true, ..RETENTION })
+        .expect("written");
     assert_eq!(scan(&mut reader), (Some(2), vec![]));
     // Had it been paused after its last check, its rename would happen now, in an epoch that nobody reads.
     copy(&directory.path().join("e2/g1"), &directory.path().join("e1/g7"));
@@ -77,7 +81,8 @@
 #[test]
 fn each_epoch_is_acquired_by_one_writer() {
     let directory = tempfile::tempdir().expect("a directory");
-    let acquire_epoch = || SnapshotWriter::take(directory.path(), "p", keys()).expect("an epoch").epoch();
+    let acquire_epoch =
+        || SnapshotWriter::acquire_epoch(directory.path(), "p", keys()).expect("an epoch").epoch();
     let mut epochs: Vec<u64> = std::thread::scope(|scope| {
         let threads: Vec<_> =
             (0..16).map(|_| scope.spawn(|| (0..10).map(|_| acquire_epoch()).collect::<Vec<_>>())).collect();
@@ -136,7 +141,7 @@
     let mut early = SnapshotReader::new(directory.path(), "r1", both(), None);
     let steps = [keys(), both(), KeyRing(vec![new.clone()])];
     for (stamp, keys) in (1..).zip(steps) {
-        writer.turn_over(keys);
+        writer.replace_keys(keys);
         writer.write(&content(stamp, 3), RETENTION).expect("written");
         assert_eq!(scan(&mut early), (Some(stamp), vec![]));
         let (applied, reasons) = scan(&mut lagging);
@@ -147,7 +152,7 @@
             assert!(reasons[0].contains("no seal of a key"), "{reasons:?}");
         }
     }
-    lagging.turn_over(both());
+    lagging.replace_keys(both());
     assert_eq!(scan(&mut lagging), (Some(3), vec![]));
 }
 
@@ -179,12 +184,12 @@
 
 #[test]
 fn retention_keeps_the_newest_snapshots_and_later_epochs() {
-    let policy = RetentionPolicy { generations: 3, earlier_epochs: false };
+    let policy = RetentionPolicy { max_snapshots: 3, keep_earlier_epochs: false };
     assert_eq!(
         policy.outdated(5, 9, &[10, 9, 8, 7, 6], &[7, 5, 4, 2]),
         OutdatedSnapshots { versions: vec![6], epochs: vec![4, 2] }
     );
-    let policy = RetentionPolicy { generations: 0, earlier_epochs: true };
+    let policy = RetentionPolicy { max_snapshots: 0, keep_earlier_epochs: true };
     assert_eq!(
         policy.outdated(5, 9, &[9, 8, 7], &[5, 4]),
         OutdatedSnapshots { versions: vec![7], epochs: vec![] },
@@ -196,22 +201,22 @@
 fn only_changed_statuses_are_read() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut statuses = StatusReader::default();
-    assert!(statuses.look(directory.path()).expect("none yet").is_empty());
-    let mut status = proto::Status::of("r-1.a");
+    assert!(statuses.read_changed(directory.path()).expect("none yet").is_empty());
+    let mut status = proto::Status::for_proxy("r-1.a");
     write_status(directory.path(), &status).expect("written");
-    assert_eq!(statuses.look(directory.path()).expect("there"), [status.clone()]);
-    assert!(statuses.look(directory.path()).expect("there").is_empty());
+    assert_eq!(statuses.read_changed(directory.path()).expect("there"), [status.clone()]);
+    assert!(statuses.read_changed(directory.path()).expect("there").is_empty());
     status.refused = Some((3, 4, "torn".to_string()).into()).into();
     write_status(directory.path(), &status).expect("written");
-    assert_eq!(statuses.look(directory.path()).expect("there"), [status.clone()]);
-    assert_eq!(StatusReader::of(directory.path(), "r-1.a"), Some(status));
+    assert_eq!(statuses.read_changed(directory.path()).expect("there"), [status.clone()]);
+    assert_eq!(StatusReader::read_one(directory.path(), "r-1.a"), Some(status));
     fs::write(directory.path().join("status/r2"), b"\xff\xff\xff").expect("written");
     assert!(
-        statuses.look(directory.path()).expect("there").is_empty(),
+        statuses.read_changed(directory.path()).expect("there").is_empty(),
         "a file that is no status is skipped"
     );
     for name in ["", "..", "a/b", ".hidden"] {
-        assert!(write_status(directory.path(), &proto::Status::of(name)).is_err(), "{name:?}");
+        assert!(write_status(directory.path(), &proto::Status::for_proxy(name)).is_err(), "{name:?}");
     }
 }
 
--- a/crates/table-store/tests/directory/support.rs
+++ b/crates/table-store/tests/directory/support.rs
@@ -6,7 +6,7 @@
 use lockcroft_table_format::{Key, KeyRing, ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
 use lockcroft_table_store::{AppliedSnapshot, RetentionPolicy, SnapshotReader, SnapshotWriter};
 
-pub const RETENTION: RetentionPolicy = RetentionPolicy { generations: 4, earlier_epochs: false };
+pub const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 4, keep_earlier_epochs: false };
 
 pub fn keys() -> KeyRing {
     KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")])
@@ -18,23 +18,23 @@
         let address = format!("127.0.0.1:{}", 1000 + i).parse().expect("an address");
         (format!("e{i}"), TableEntry { address, weight: 1 + stamp % 256 })
     };
-    let table = || Table { lines: (0..entry_count).map(entry).collect() };
+    let table = || Table { entries: (0..entry_count).map(entry).collect() };
     let group = |number: u32| ProxyGroup {
         proxies: BTreeSet::from([format!("r{number}")]),
-        bound: BTreeMap::from([(
+        assignments: BTreeMap::from([(
             "look".into(),
-            ProxyAssignment { table: number, level: stamp % 1001, again: true },
+            ProxyAssignment { table: number, admission_per_mille: stamp % 1001, retries: true },
         )]),
     };
     SnapshotContent {
         tables: (0..2).map(|number| (number, table())).collect(),
         groups: (0..2).map(|number| (number, group(number))).collect(),
-        withdrawn: BTreeSet::from([format!("w{stamp}")]),
+        ejected: BTreeSet::from([format!("w{stamp}")]),
     }
 }
 
 pub fn writer(directory: &Path) -> SnapshotWriter {
-    SnapshotWriter::take(directory, "p1", keys()).expect("the directory exists")
+    SnapshotWriter::acquire_epoch(directory, "p1", keys()).expect("the directory exists")
 }
 
 pub fn reader(directory: &Path, proxy: &str) -> SnapshotReader {
@@ -43,17 +43,17 @@
 
 /// The stamp of a snapshot; everything in it has to be derived from it.
 pub fn stamp(snapshot: &AppliedSnapshot) -> u32 {
-    let withdrawn = snapshot.withdrawn.first().expect("one endpoint is ejected");
+    let withdrawn = snapshot.ejected.first().expect("one endpoint is ejected");
     let stamp: u32 = withdrawn[1..].parse().expect("a stamp");
-    let assignment = &snapshot.bound["look"];
-    assert_eq!(assignment.level, stamp % 1001, "admission rates of another snapshot");
-    let weights = snapshot.tables[&assignment.table].lines.values().map(|entry| entry.weight);
+    let assignment = &snapshot.assignments["look"];
+    assert_eq!(assignment.admission_per_mille, stamp % 1001, "admission rates of another snapshot");
+    let weights = snapshot.tables[&assignment.table].entries.values().map(|entry| entry.weight);
     assert!(weights.into_iter().all(|weight| weight == 1 + stamp % 256), "weights of another snapshot");
     stamp
 }
 
 /// The stamp of the last snapshot that a scan applies, and the reasons of the rejected ones.
 pub fn scan(reader: &mut SnapshotReader) -> (Option<u32>, Vec<String>) {
-    let result = reader.look().expect("the directory exists");
-    (result.lay.last().map(stamp), result.refused.into_iter().map(|rejected| rejected.why).collect())
+    let result = reader.scan().expect("the directory exists");
+    (result.to_apply.last().map(stamp), result.rejected.into_iter().map(|rejected| rejected.reason).collect())
 }
