--- a/crates/config/src/daemon_config.rs
+++ b/crates/config/src/daemon_config.rs
@@ -1,6 +1,6 @@
 //! The configuration of one controller instance.
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::Duration;
 
 use lockcroft::{Settings, ZoneId};
@@ -8,10 +8,7 @@
 use lockcroft_runtime_api::{AccessLevel, Address};
 use roxmltree::Node;
 
-use crate::daemon_reader::read_daemon_config;
-use crate::document::Document;
 use crate::endpoint_list::EndpointListConfig;
-use crate::error::ConfigErrors;
 
 /// The settings of a controller's decisions, and everything else that its daemon needs.
 #[derive(Clone, Debug)]
@@ -118,22 +115,6 @@
 }
 
 impl DaemonConfig {
-    /// Reads and checks a configuration file, and the file of the endpoint list that it names.
-    ///
-    /// # Errors
-    /// All errors in either file.
-    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
-        DaemonConfig::read(&Document::open(file, crate::SCHEMA)?)
-    }
-
-    /// Reads a configuration that was checked against the schema.
-    ///
-    /// # Errors
-    /// All errors that no schema can express.
-    pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
-        read_daemon_config(document)
-    }
-
     /// The greatest weight that an endpoint may have.
     #[must_use]
     pub fn max_weight(&self) -> f64 {
--- a/crates/config/src/daemon_reader.rs
+++ b/crates/config/src/daemon_reader.rs
@@ -26,8 +26,26 @@
 /// The load of a proxy for which none is stated, in requests a second.
 const DEFAULT_REQUEST_RATE: f64 = 1.0;
 
+impl DaemonConfig {
+    /// Reads and checks a configuration file, and the file of the endpoint list that it names.
+    ///
+    /// # Errors
+    /// All errors in either file.
+    pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
+        DaemonConfig::read(&Document::open(file, crate::SCHEMA)?)
+    }
+
+    /// Reads a configuration that was checked against the schema.
+    ///
+    /// # Errors
+    /// All errors that no schema can express.
+    pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
+        read_daemon_config(document)
+    }
+}
+
 /// Reads a configuration that was checked against the schema.
-pub(crate) fn read_daemon_config(document: &Document) -> Result<DaemonConfig, ConfigErrors> {
+fn read_daemon_config(document: &Document) -> Result<DaemonConfig, ConfigErrors> {
     let tree = document.tree();
     let root = tree.root_element();
     if !root.has_tag_name("lockcroft") {
--- a/crates/platform/src/io/connection.rs
+++ b/crates/platform/src/io/connection.rs
@@ -1,7 +1,6 @@
 //! One connection from a proxy, a collector or anybody else: its task reads lines and writes what is pending. However
 //! the connection ends, what is owed at that instant is paid first: docs/platform.md lists the endings.
 
-use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,74 +10,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
-use tokio::sync::Notify;
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
+use super::connection_handle::{ConnectionHandle, Shutdown};
 use super::shared::Shared;
 use crate::connection_admission::ConnectionId;
 
 /// A buffer that a long message has grown beyond this is given back.
 const MAX_KEPT_BUFFER_BYTES: usize = 1 << 16;
-/// The most bytes that may wait for one connection before a message is added: messages wait in the core, so these are
-/// answers that nobody reads.
-const MAX_PENDING_BYTES: usize = 1 << 18;
 /// How long the last bytes of a connection may take to be written, and the other end to close after that.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The most bytes that are read and dropped while the other end closes.
 const MAX_DROPPED_BYTES: usize = 1 << 20;
 const DROP_BUFFER_BYTES: usize = 1 << 12;
 
-/// How other tasks reach the task of a connection.
-#[derive(Default)]
-pub struct ConnectionHandle {
-    pending: RefCell<BytesMut>,
-    shutdown: Cell<Option<Shutdown>>,
-    final_read: Cell<bool>,
-    /// Bytes that the task took off what is pending and has not written yet.
-    writing_bytes: Cell<usize>,
-    wake: Notify,
-}
-
-/// How a connection is to be closed.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Shutdown {
-    /// After what is pending is written.
-    AfterWrites,
-    /// As it is.
-    Now,
-}
-
-impl ConnectionHandle {
-    /// Adds this to what is pending.
-    pub fn write(&self, text: &str) {
-        let mut pending = self.pending.borrow_mut();
-        // Checked before it is added, as a single message may be longer.
-        if pending.len() > MAX_PENDING_BYTES {
-            self.shutdown.set(Some(Shutdown::Now));
-        }
-        pending.extend_from_slice(text.as_bytes());
-        self.wake.notify_one();
-    }
-
-    /// Has the connection closed.
-    pub fn shut_down(&self, shutdown: Shutdown) {
-        self.shutdown.set(Some(shutdown));
-        self.wake.notify_one();
-    }
-
-    /// Has what came on the connection by now read, and the control plane notified.
-    pub fn final_read(&self) {
-        self.final_read.set(true);
-        self.wake.notify_one();
-    }
-
-    /// Whether all that was to be written is out.
-    pub fn is_idle(&self) -> bool {
-        self.pending.borrow().is_empty() && self.writing_bytes.get() == 0
-    }
-}
-
 /// Reads and writes until the connection ends.
 ///
 /// # Errors
--- a/crates/platform/src/io/health_checks.rs
+++ b/crates/platform/src/io/health_checks.rs
@@ -1,15 +1,12 @@
 //! Health checks: one call to an endpoint, and what its response says.
 
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft::{EndpointId, HealthCheckOutcome};
+use lockcroft::HealthCheckOutcome;
 use lockcroft_http_client::HttpResponse;
-use tokio::task::spawn_local;
 use tracing::debug;
 
-use super::shared::Shared;
 use crate::load_report::parse_load_report;
 
 /// Load reports are short.
@@ -18,19 +15,8 @@
 const LOAD_PATH: &str = "/metrics/load";
 const ALIVE_PATH: &str = "/alive";
 
-/// Starts a health check, which ends within its timeout and hands its outcome on.
-pub fn start(shared: &Rc<Shared>, endpoint: EndpointId, address: SocketAddr) {
-    let shared = shared.clone();
-    spawn_local(async move {
-        let requests_load = shared.control_plane.borrow().requests_load_reports();
-        let (outcome, duration) = check(address, requests_load).await;
-        let now = shared.now();
-        shared.control_plane.borrow_mut().health_check_finished(now, endpoint, address, outcome, duration);
-        shared.after_input();
-    });
-}
-
-async fn check(address: SocketAddr, requests_load: bool) -> (HealthCheckOutcome, Duration) {
+/// Checks an endpoint; gives the outcome and how long it took.
+pub async fn check(address: SocketAddr, requests_load: bool) -> (HealthCheckOutcome, Duration) {
     let path = if requests_load { LOAD_PATH } else { ALIVE_PATH };
     let classify = |response: &HttpResponse| classify(address, response);
     lockcroft_http_client::check_health(address, path, MAX_REPORT_BYTES, classify).await
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -2,6 +2,7 @@
 //! [`LocalSet`] of [`serve`]: when it returns, those that still run end with it.
 
 mod connection;
+mod connection_handle;
 mod discovery;
 mod error;
 mod health_checks;
--- a/crates/platform/src/io/shared.rs
+++ b/crates/platform/src/io/shared.rs
@@ -3,12 +3,15 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
+use lockcroft::EndpointId;
 use tokio::sync::Notify;
+use tokio::task::spawn_local;
 
-use super::connection::{ConnectionHandle, Shutdown};
+use super::connection_handle::{ConnectionHandle, Shutdown};
 use super::health_checks;
 use crate::config::Config;
 use crate::connection_admission::ConnectionId;
@@ -104,11 +107,25 @@
                 Effect::Abort { connection } => {
                     self.with(connection, |handle| handle.shut_down(Shutdown::Now));
                 }
-                Effect::CheckHealth { endpoint, address } => health_checks::start(self, endpoint, address),
+                Effect::CheckHealth { endpoint, address } => self.start_health_check(endpoint, address),
             }
         }
     }
 
+    /// Starts a health check, which ends within its timeout and hands its outcome on.
+    fn start_health_check(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) {
+        let shared = self.clone();
+        spawn_local(async move {
+            let requests_load = shared.control_plane.borrow().requests_load_reports();
+            let (outcome, duration) = health_checks::check(address, requests_load).await;
+            let now = shared.now();
+            let mut control_plane = shared.control_plane.borrow_mut();
+            control_plane.health_check_finished(now, endpoint, address, outcome, duration);
+            drop(control_plane);
+            shared.after_input();
+        });
+    }
+
     /// Calls this on the handle of a connection, unless its socket is closed by now.
     fn with(&self, connection: ConnectionId, call: impl FnOnce(&ConnectionHandle)) {
         if let Some(handle) = self.handles.borrow().get(&connection) {
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -12,5 +12,5 @@
 pub use entry::TableEntry;
 pub use limits::{DEFAULT_TABLE, LoadBalancingLimits, MAX_WEIGHT};
 pub(crate) use requests::{ADMISSION_VARIABLE, RETRY_VARIABLE};
-pub use requests::{Choice, ChosenEndpoint, Frontend};
-pub use state::{RoutingState, TableSet};
+pub use requests::{Choice, ChosenEndpoint};
+pub use state::{Frontend, RoutingState, TableSet};
--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -21,15 +21,6 @@
 /// Prefix of the variable that allows one retry after proof of non-execution.
 pub(crate) const RETRY_VARIABLE: &str = "again";
 
-/// Counters of one class of requests.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Frontend {
-    /// Requests that came.
-    pub requests: u64,
-    /// Requests shed by the admission rate.
-    pub shed: u64,
-}
-
 /// The endpoint that was chosen for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenEndpoint {
--- a/crates/proxy/src/routing/state.rs
+++ b/crates/proxy/src/routing/state.rs
@@ -10,7 +10,15 @@
 use super::backend::Backend;
 use super::entry::TableEntry;
 use super::limits::{DEFAULT_TABLE, LoadBalancingLimits, MAX_WEIGHT};
-use super::requests::Frontend;
+
+/// Counters of one class of requests.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Frontend {
+    /// Requests that came.
+    pub requests: u64,
+    /// Requests shed by the admission rate.
+    pub shed: u64,
+}
 
 /// All by which a proxy routes. A copy is cheap, as it shares all backends until one of them changes.
 #[derive(Clone, Debug)]
--- a/crates/table-store/src/error.rs
+++ b/crates/table-store/src/error.rs
@@ -1,48 +1,11 @@
-//! The errors of reading key files and snapshots, and of writing snapshots.
+//! The errors of reading and of writing snapshots.
 
 use std::io;
-use std::path::PathBuf;
 
-use lockcroft_table_format::{FormatError, KeyRingError};
+use lockcroft_table_format::FormatError;
 
-use crate::key_file::MAX_KEY_FILE_BYTES;
 use crate::layout::{Epoch, SnapshotId};
 
-/// Why a key file is refused.
-#[derive(Debug, thiserror::Error)]
-pub enum KeyFileError {
-    /// The file system reported an error.
-    #[error("{}: {source}", .path.display())]
-    Io {
-        /// Path of the key file.
-        path: PathBuf,
-        /// The error.
-        source: io::Error,
-    },
-    /// The path is no regular file, or the file is too long.
-    #[error("{}: no file of {MAX_KEY_FILE_BYTES} bytes at most", .path.display())]
-    NoShortFile {
-        /// Path of the key file.
-        path: PathBuf,
-    },
-    /// The group or others have permissions on the file.
-    #[error("{}: others may use it (mode {mode:03o}); 600 or 400 is allowed", .path.display())]
-    OpenToOthers {
-        /// Path of the key file.
-        path: PathBuf,
-        /// Its permission bits.
-        mode: u32,
-    },
-    /// The text holds no valid keys.
-    #[error("{}: {source}", .path.display())]
-    InvalidKeys {
-        /// Path of the key file.
-        path: PathBuf,
-        /// What is wrong.
-        source: KeyRingError,
-    },
-}
-
 /// Why a snapshot, or another file of the directory, is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
--- a/crates/table-store/src/lib.rs
+++ b/crates/table-store/src/lib.rs
@@ -32,8 +32,8 @@
 mod status;
 mod writer;
 
-pub use error::{KeyFileError, ReadError, WriteError};
-pub use key_file::read_keys;
+pub use error::{ReadError, WriteError};
+pub use key_file::{KeyFileError, read_keys};
 pub use layout::{Epoch, SnapshotId, StoreLayout, Version};
 pub use loaded_snapshot::{LoadedSnapshot, load_snapshot};
 pub use proxy_view::AppliedSnapshot;
