--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -69,7 +69,7 @@
 
     /// Chooses the endpoint for the next attempt: one that is open, not ejected here, below its limit of
     /// attempts in flight, and not `excluded`. The attempt counts as in flight until it
-    /// [ends](RoutingState::ended).
+    /// [ends](RoutingState::record_outcome).
     pub fn choose(&mut self, now: Duration, class: &str, excluded: Option<&str>) -> Choice {
         let Some(name) = self.class_map.get(class) else { return Choice::NoEndpoint };
         let Some(backend) = self.backends.get_mut(name) else { return Choice::NoEndpoint };
--- a/crates/runtime-api/src/command_handler.rs
+++ b/crates/runtime-api/src/command_handler.rs
@@ -44,7 +44,7 @@
 pub enum CommandResult {
     /// This text.
     Text(String),
-    /// This text, and then whatever [`CommandHandler::more`] gives from this position on, until the connection
+    /// This text, and then whatever [`CommandHandler::read_from`] gives from this position on, until the connection
     /// ends.
     Follow(String, u64),
 }
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -12,7 +12,7 @@
     Stay,
     /// It is closed.
     Close,
-    /// It is sent what [`CommandHandler::more`] gives from this position on.
+    /// It is sent what [`CommandHandler::read_from`] gives from this position on.
     Follow(u64),
 }
 
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Problem`] states what endpoints can do, what is asked of them and what it is worth. [`solve`] returns how much of
 //! each class to admit, where its work goes and the weights for that, as a flow of greatest gain. [`PlanStabilizer`] and
-//! [`Tables`] keep the weights and the table fractions in force until another plan gains more than its changes cost.
+//! [`TableStabilizer`] keep the weights and the table fractions in force until another plan gains more than its changes cost.
 //! [`CapacityEstimator`] estimates the capacities that a problem needs from load reports. The same input gives the same
 //! answer to the bit, as the flow is computed in whole numbers. `docs/solver.md` has the objective and its reasons.
 
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -1,6 +1,6 @@
 //! What is to be solved: endpoints, classes and their demand.
 
-/// An endpoint; others refer to it by its index in [`Problem::servers`].
+/// An endpoint; others refer to it by its index in [`Problem::endpoints`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Index of its zone.
@@ -47,7 +47,7 @@
     pub endpoints: Vec<Endpoint>,
     /// The classes.
     pub classes: Vec<Class>,
-    /// Cost of a request that crosses zones, in the unit of [`Class::earnings`].
+    /// Cost of a request that crosses zones, in the unit of [`Class::value`].
     pub crossing_cost: f64,
 }
 
