--- a/crates/table-store/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -101,13 +101,7 @@
             if self.last_applied == Some(id) {
                 break;
             }
-            let candidate = match self.examine(id) {
-                Ok(candidate) => candidate,
-                Err(error) => {
-                    result.rejected.push(RejectedSnapshot::new(id, error.to_string()));
-                    continue;
-                }
-            };
+            let Some(candidate) = self.examine_or_reject(id, &mut result) else { continue };
             match candidate.decision {
                 SnapshotDecision::Apply => result.to_apply.push(candidate.snapshot),
                 // One reason is enough, that of the snapshot which would have been the newest.
@@ -127,13 +121,7 @@
         let mut result = ScanResult::default();
         let mut newest_below_floor = None;
         for id in self.snapshots_of(epochs) {
-            let candidate = match self.examine(id) {
-                Ok(candidate) => candidate,
-                Err(error) => {
-                    result.rejected.push(RejectedSnapshot::new(id, error.to_string()));
-                    continue;
-                }
-            };
+            let Some(candidate) = self.examine_or_reject(id, &mut result) else { continue };
             match candidate.decision {
                 SnapshotDecision::Apply | SnapshotDecision::AlreadyApplied => {
                     self.apply_first(candidate.snapshot, &mut result);
@@ -166,6 +154,12 @@
         })
     }
 
+    /// Examines a snapshot; one that is not sound is noted as rejected.
+    fn examine_or_reject(&mut self, id: SnapshotId, result: &mut ScanResult) -> Option<Candidate> {
+        let examined = self.examine(id);
+        examined.map_err(|error| result.rejected.push(RejectedSnapshot::new(id, error.to_string()))).ok()
+    }
+
     fn examine(&mut self, id: SnapshotId) -> Result<Candidate, ReadError> {
         let snapshot = self.read(id)?;
         Ok(Candidate { snapshot, decision: self.selector.decide(id) })
