--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -31,7 +31,7 @@
 impl PlatformCommand {
     pub fn run(self) -> ExitCode {
         // Before anything else: no signal may end the process by default, however early it comes.
-        let (runtime, signals) = match lockcroft_signals::start() {
+        let (runtime, signals) = match lockcroft_signals::start_runtime() {
             Ok(started) => started,
             Err(error) => return report(Err(CliError::other(error))),
         };
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -17,7 +17,7 @@
 
 /// Runs a controller until SIGTERM.
 pub fn serve(file: &Path) -> ExitCode {
-    let (runtime, signals) = match lockcroft_signals::start() {
+    let (runtime, signals) = match lockcroft_signals::start_runtime() {
         Ok(started) => started,
         Err(error) => return report(Err(CliError::other(error))),
     };
@@ -31,7 +31,7 @@
 
 /// Runs a proxy until SIGTERM.
 pub fn proxy(file: &Path) -> ExitCode {
-    let (runtime, signals) = match lockcroft_signals::start() {
+    let (runtime, signals) = match lockcroft_signals::start_runtime() {
         Ok(started) => started,
         Err(error) => return report(Err(CliError::other(error))),
     };
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -10,7 +10,7 @@
 use lockcroft_config::{DaemonConfig, EndpointListSource};
 use lockcroft_fleet::{Effect, FleetController, SolverTask};
 use lockcroft_runtime_api::{Address, Listener};
-use lockcroft_signals::{Received, Signals};
+use lockcroft_signals::{ReceivedSignal, Signals};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinSet;
 use tracing::info;
@@ -42,7 +42,7 @@
     info!(target: "lockcroft::daemon", "told to end; proxies keep their tables");
     tokio::select! {
         () = event_loop.finish_writes() => {}
-        () = signals.terminated() => warn_operators("told to end again: what was being written may be lost"),
+        () = signals.recv_termination() => warn_operators("told to end again: what was being written may be lost"),
     }
     for listener in &config.listeners {
         if let Address::Unix(path) = &listener.address {
@@ -171,9 +171,9 @@
                 _ = self.receiver.recv_many(&mut events, MAX_EVENTS_PER_ROUND) => {}
                 () = tokio::time::sleep_until(due.into()) => {}
                 () = self.wake.notified() => {}
-                received = signals.next() => match received {
-                    Received::Terminate => return,
-                    Received::Hangup => self.reload(),
+                received = signals.recv() => match received {
+                    ReceivedSignal::Terminate => return,
+                    ReceivedSignal::Hangup => self.reload(),
                 }
             }
             for effect in self.decide(&mut events) {
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -31,7 +31,7 @@
     tasks.block_on(runtime, async {
         let listener = tokio::select! {
             listener = listener::bind(&config) => listener?,
-            () = signals.terminated() => return Ok(()),
+            () = signals.recv_termination() => return Ok(()),
         };
         tick_loop::run(path, config, listener, signals).await;
         Ok(())
--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_signals::{Received, Signals};
+use lockcroft_signals::{ReceivedSignal, Signals};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -37,9 +37,9 @@
     loop {
         let next_due = shared.control_plane.borrow().next_due();
         tokio::select! {
-            received = signals.next() => match received {
-                Received::Terminate => break,
-                Received::Hangup => {
+            received = signals.recv() => match received {
+                ReceivedSignal::Terminate => break,
+                ReceivedSignal::Hangup => {
                     spawn_local(reload::reload(path.to_path_buf(), discovery_address.clone()));
                 }
             },
@@ -54,7 +54,7 @@
     tokio::select! {
         () = all_written(&shared) => {}
         () = sleep(FINAL_WRITE_TIMEOUT) => {}
-        () = signals.terminated() => {}
+        () = signals.recv_termination() => {}
     }
 }
 
--- a/crates/proxy/src/io/server.rs
+++ b/crates/proxy/src/io/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lockcroft_runtime_api::{Address, Listener};
-use lockcroft_signals::{Received, Signals};
+use lockcroft_signals::{ReceivedSignal, Signals};
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -58,7 +58,7 @@
 
     /// Client connections that are open.
     #[must_use]
-    pub fn connections(&self) -> usize {
+    pub fn client_connection_count(&self) -> usize {
         self.worker.clients.get()
     }
 
@@ -74,7 +74,7 @@
         };
         // What is left then is counted, and cut off when the proxy is dropped.
         let _ = timeout(time_limit, all_ended).await;
-        self.connections()
+        self.client_connection_count()
     }
 
     /// Stops the proxy; its addresses are free afterwards.
@@ -113,13 +113,13 @@
     let name = config.name.clone();
     let proxy = Proxy::start(config).await?;
     tracing::info!(target: "lockcroft::proxy", name, "started");
-    while signals.next().await == Received::Hangup {
+    while signals.recv().await == ReceivedSignal::Hangup {
         tracing::info!(target: "lockcroft::proxy", "SIGHUP: nothing to reload, tables come from controllers");
     }
-    tracing::info!(target: "lockcroft::proxy", connections = proxy.connections(), "draining");
+    tracing::info!(target: "lockcroft::proxy", connections = proxy.client_connection_count(), "draining");
     let cut = tokio::select! {
         cut = proxy.drain(DRAIN_TIMEOUT) => cut,
-        () = signals.terminated() => proxy.connections(),
+        () = signals.recv_termination() => proxy.client_connection_count(),
     };
     match cut {
         0 => tracing::info!(target: "lockcroft::proxy", "ended"),
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// The operating system gives one of them not.
-pub fn start() -> Result<(Runtime, Signals), StartError> {
+pub fn start_runtime() -> Result<(Runtime, Signals), StartError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     let signals = {
         let _context = runtime.enter();
@@ -42,7 +42,7 @@
 
 /// A signal that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Received {
+pub enum ReceivedSignal {
     /// The program is to end.
     Terminate,
     /// Files are to be read again.
@@ -59,16 +59,16 @@
     }
 
     /// Waits for the next signal.
-    pub async fn next(&mut self) -> Received {
+    pub async fn recv(&mut self) -> ReceivedSignal {
         tokio::select! {
-            _ = self.terminate.recv() => Received::Terminate,
-            _ = self.interrupt.recv() => Received::Terminate,
-            _ = self.hangup.recv() => Received::Hangup,
+            _ = self.terminate.recv() => ReceivedSignal::Terminate,
+            _ = self.interrupt.recv() => ReceivedSignal::Terminate,
+            _ = self.hangup.recv() => ReceivedSignal::Hangup,
         }
     }
 
-    /// Waits until the program is told to end. SIGHUP is left to [`Signals::next`].
-    pub async fn terminated(&mut self) {
+    /// Waits until the program is told to end. SIGHUP is left to [`Signals::recv`].
+    pub async fn recv_termination(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
