--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,5 +1,6 @@
-//! The signals that operators send to a long-lived program: SIGTERM and SIGINT end it, SIGHUP has it read its files
-//! again. The handlers stand before anything else is done, so that no signal ends a program by default.
+//! Handling of the signals that operators send to a long-lived program: SIGTERM and SIGINT shut it down, and
+//! SIGHUP makes it reload its files. The handlers are installed before any other work, because the default
+//! action of each of these signals would end the program without an orderly shutdown.
 
 #![warn(missing_docs)]
 
@@ -9,21 +10,22 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Why a program can't begin.
+/// An error while starting the runtime.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The runtime of the tasks does not start.
-    #[error("the runtime does not start: {0}")]
+    /// The async runtime can't be built.
+    #[error("failed to start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Handlers of signals can't be set.
-    #[error("signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("failed to install signal handlers: {0}")]
     Signals(#[source] io::Error),
 }
 
-/// Makes a runtime of one thread and sets the handlers of signals.
+/// Builds a runtime of one thread and installs the signal handlers. Call it before any other work: a signal
+/// that is received earlier ends the program.
 ///
 /// # Errors
-/// The operating system gives one of them not.
+/// Returns an error if the operating system refuses the resources of the runtime or a signal handler.
 pub fn start_runtime() -> Result<(Runtime, Signals), StartError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     let signals = {
@@ -33,19 +35,20 @@
     Ok((runtime, signals))
 }
 
-/// Handlers of signals; while they stand, the signals do nothing else.
+/// The installed signal handlers, which replace the default actions of the signals. A signal that is received
+/// while no method waits for it stays pending; several signals of one kind may be reported as one.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-/// A signal that came.
+/// The request that a received signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceivedSignal {
-    /// The program is to end.
+    /// SIGTERM or SIGINT: shut down.
     Terminate,
-    /// Files are to be read again.
+    /// SIGHUP: reload files.
     Hangup,
 }
 
@@ -58,7 +61,7 @@
         })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next signal. No signal is lost if the future is dropped.
     pub async fn recv(&mut self) -> ReceivedSignal {
         tokio::select! {
             _ = self.terminate.recv() => ReceivedSignal::Terminate,
@@ -67,7 +70,8 @@
         }
     }
 
-    /// Waits until the program is told to end. SIGHUP is left to [`Signals::recv`].
+    /// Waits for SIGTERM or SIGINT. SIGHUP stays pending for [`Signals::recv`]. No signal is lost if the
+    /// future is dropped.
     pub async fn recv_termination(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
