--- a/crates/proxy/src/io/attempt.rs
+++ b/crates/proxy/src/io/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one endpoint, and what came of it.
+//! A single attempt: sends a request to one endpoint and classifies the outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,18 +20,18 @@
 
 const VIA: HeaderValue = HeaderValue::from_static("1.1 lockcroft");
 
-/// A client's request, apart from its body.
+/// A client's request without its body.
 pub struct RequestHead {
     pub id: String,
     pub class: String,
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    /// When the client's timeout ends, as time since the proxy's start.
+    /// End of the client timeout, as time since the start of the proxy.
     pub deadline: Duration,
 }
 
-/// How an attempt ended, and the response that the client gets if it was the last.
+/// The outcome of an attempt, and the response for the client if no retry follows.
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
     pub response: Response<Body>,
@@ -47,15 +47,19 @@
     }
 }
 
-/// A response without a body.
+/// Returns a response with this status code and an empty body.
 pub fn status_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(empty_body());
     *response.status_mut() = status;
     response
 }
 
-/// Sends a request to an endpoint, within a time limit.
-pub async fn attempt(
+/// Sends a request to an endpoint and receives the response, within a time limit.
+///
+/// The limit covers the head of the response and the body if it is buffered, but not a streamed body. If the
+/// limit is exceeded, the result is `TimedOut` with status 504 and the connection is closed. A future that is
+/// dropped closes the connection too.
+pub async fn make_attempt(
     request: &RequestHead,
     endpoint: &ChosenEndpoint,
     body: &mut RequestBody,
@@ -67,8 +71,8 @@
         .unwrap_or_else(|_| AttemptResult::failed(AttemptOutcome::TimedOut, StatusCode::GATEWAY_TIMEOUT))
 }
 
-/// Sends a request over an idle connection or, where there is none or it was closed before a byte was
-/// written, over a new one.
+/// Sends a request over an idle connection. Uses a new connection if none is idle, or if the idle one turns
+/// out to be closed before a byte was written: the endpoint can't have seen the request then.
 async fn exchange(
     request: &RequestHead,
     endpoint: &ChosenEndpoint,
@@ -78,14 +82,16 @@
     let Some(mut message) = endpoint_request(request, endpoint, body, worker) else {
         return AttemptResult::bad_gateway(AttemptOutcome::ConnectFailed);
     };
-    let idle = worker.connections.borrow_mut().take(endpoint.address);
+    let idle = worker.connection_pool.borrow_mut().take(endpoint.address);
     if let Some(connection) = idle {
         match send(connection, message).await {
             SendResult::Response(response, connection) => {
-                return receive(response, connection, endpoint.address, worker).await;
+                return receive_response(response, connection, endpoint.address, worker).await;
             }
             SendResult::NotSent(unsent) => message = unsent,
-            SendResult::Broken => return AttemptResult::bad_gateway(AttemptOutcome::ConnectionBroken),
+            SendResult::ConnectionBroken => {
+                return AttemptResult::bad_gateway(AttemptOutcome::ConnectionBroken);
+            }
         }
     }
     let Some(connection) = connect(endpoint.address, worker.config.connect_timeout).await else {
@@ -93,14 +99,14 @@
     };
     match send(connection, message).await {
         SendResult::Response(response, connection) => {
-            receive(response, connection, endpoint.address, worker).await
+            receive_response(response, connection, endpoint.address, worker).await
         }
         SendResult::NotSent(_) => AttemptResult::bad_gateway(AttemptOutcome::ConnectFailed),
-        SendResult::Broken => AttemptResult::bad_gateway(AttemptOutcome::ConnectionBroken),
+        SendResult::ConnectionBroken => AttemptResult::bad_gateway(AttemptOutcome::ConnectionBroken),
     }
 }
 
-/// The request as it goes to the endpoint; `None` if its URI has no path.
+/// Builds the request that is sent to the endpoint. Returns `None` if the client's URI has no path.
 fn endpoint_request(
     request: &RequestHead,
     endpoint: &ChosenEndpoint,
@@ -126,16 +132,18 @@
     Some(message)
 }
 
-/// Takes a response from an endpoint. A small one is buffered before a byte goes to the client, so that an
-/// incomplete one becomes an error and not half a response.
-async fn receive(
+/// Receives the body of a response from an endpoint. A body of a known size up to `max_buffered_body_bytes`
+/// is buffered before any byte is sent to the client: if it is incomplete, the client gets status 502 instead
+/// of a truncated response. Larger bodies and those of unknown size are streamed, and their connection is not
+/// reused.
+async fn receive_response(
     response: Response<Incoming>,
     connection: Connection,
     address: SocketAddr,
     worker: &Worker,
 ) -> AttemptResult {
     let (mut head, body) = response.into_parts();
-    let outcome = outcome_of(head.status, &head.headers);
+    let outcome = classify_response(head.status, &head.headers);
     remove_hop_by_hop(&mut head.headers);
     let max_bytes = worker.config.max_buffered_body_bytes;
     let is_small = body.size_hint().upper().is_some_and(|upper| upper <= max_bytes as u64);
@@ -144,7 +152,7 @@
     }
     match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => {
-            worker.connections.borrow_mut().put(address, connection);
+            worker.connection_pool.borrow_mut().put(address, connection);
             let body = full_body(collected.to_bytes());
             AttemptResult { outcome, response: Response::from_parts(head, body) }
         }
@@ -152,7 +160,7 @@
     }
 }
 
-fn outcome_of(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
+fn classify_response(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
     if status == StatusCode::SERVICE_UNAVAILABLE && headers.contains_key(REJECTED_UNREAD) {
         AttemptOutcome::Rejected
     } else {
--- a/crates/proxy/src/io/blocking_pool.rs
+++ b/crates/proxy/src/io/blocking_pool.rs
@@ -1,6 +1,7 @@
-//! Work that may wait for a disk, off the threads that forward requests. All proxies of a process share a few
-//! threads for it, since a process may run many of them. Reads go before status writes: a proxy whose tables
-//! are late sends requests to the wrong endpoints, one whose status is late is only known late.
+//! A thread pool for file operations, which may block on the disk and must not block the threads that forward
+//! requests. All proxies of a process share it, since a process may run many of them. Reads of snapshots take
+//! precedence over status writes: outdated tables send requests to the wrong endpoints, while a late status
+//! only delays the acknowledgement.
 
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -9,9 +10,9 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-const THREADS: usize = 3;
+const THREAD_COUNT: usize = 3;
 
-/// Which of the waiting jobs goes first.
+/// The priority of a job: queued `Read` jobs run before queued `WriteStatus` jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
     Read,
@@ -37,7 +38,7 @@
     }
 }
 
-/// The queue of all threads. They live as long as the process.
+/// The job queue of the pool's threads, which run until the process exits.
 #[derive(Default)]
 struct JobQueue {
     jobs: Mutex<Jobs>,
@@ -45,14 +46,14 @@
 }
 
 impl JobQueue {
-    /// The queue of the process; starts the threads at its first use.
+    /// Returns the queue of the process and starts the threads on the first call.
     fn global() -> &'static JobQueue {
         static QUEUE: OnceLock<JobQueue> = OnceLock::new();
         static STARTED: OnceLock<()> = OnceLock::new();
         let queue = QUEUE.get_or_init(JobQueue::default);
         STARTED.get_or_init(|| {
-            for number in 0..THREADS {
-                // Without any thread a caller waits for ever, as it would with a disk that hangs.
+            for number in 0..THREAD_COUNT {
+                // If no thread can be spawned, callers wait forever, as they do if the disk hangs.
                 let thread = std::thread::Builder::new().name(format!("files-{number}"));
                 let _ = thread.spawn(|| queue.run());
             }
@@ -84,15 +85,16 @@
     }
 }
 
-/// Runs `work` on one of the threads and waits for its result.
+/// Runs `work` on a thread of the pool and waits for its result. `work` runs even if the returned future is
+/// dropped.
 ///
 /// # Panics
-/// If the work itself panics.
+/// Panics if `work` panics. The pool then has one thread fewer.
 pub async fn run_blocking<T: Send + 'static>(
     priority: Priority,
     work: impl FnOnce() -> T + Send + 'static,
 ) -> T {
-    let (sender, result) = oneshot::channel();
-    JobQueue::global().push(priority, Box::new(move || drop(sender.send(work()))));
-    result.await.expect("work that was begun ends")
+    let (result_sender, result_receiver) = oneshot::channel();
+    JobQueue::global().push(priority, Box::new(move || drop(result_sender.send(work()))));
+    result_receiver.await.expect("the job does not panic")
 }
--- a/crates/proxy/src/io/bodies.rs
+++ b/crates/proxy/src/io/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses: buffered ones, which can be sent again, and streamed ones.
+//! Bodies of requests and responses. A buffered body can be sent again with a retry, a streamed body can't.
 
 use std::time::Duration;
 
@@ -7,43 +7,45 @@
 use hyper::body::{Body as _, Bytes, Frame, Incoming};
 use tokio::time::timeout;
 
-/// A body of either kind.
+/// A buffered or streamed body.
 pub type Body = UnsyncBoxBody<Bytes, hyper::Error>;
 
-/// A body without data.
+/// Returns an empty body.
 pub fn empty_body() -> Body {
     full_body(Bytes::new())
 }
 
-/// A body that is there as a whole.
+/// Returns a body with these bytes.
 pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// The body of a client's request.
 pub enum RequestBody {
-    /// Complete; it can be sent with each attempt.
+    /// A complete body, which can be sent with each attempt.
     Buffered(Bytes),
-    /// Forwarded as it comes, once.
+    /// A body that is forwarded while it is received. `None` once an attempt has taken it.
     Streamed(Option<Body>),
 }
 
 impl RequestBody {
-    /// Buffers a body of at most `max_bytes`. `None` if the client doesn't send it within `time_limit`, or
-    /// breaks off.
+    /// Buffers a body of up to `max_bytes` bytes; a longer one is streamed. Returns `None` if the client
+    /// sends neither the whole body nor more than `max_bytes` within `time_limit`, or if its connection
+    /// breaks.
     pub async fn receive(mut body: Incoming, max_bytes: usize, time_limit: Duration) -> Option<Self> {
         if body.is_end_stream() {
             return Some(RequestBody::Buffered(Bytes::new()));
         }
         let mut buffer = Vec::new();
-        let filled = timeout(time_limit, fill(&mut buffer, &mut body, max_bytes)).await.ok()??;
-        Some(match filled {
-            Filled::Complete => RequestBody::Buffered(buffer.into()),
-            Filled::TooLong => RequestBody::Streamed(Some(resume(buffer, body))),
+        let read_result =
+            timeout(time_limit, read_into_buffer(&mut buffer, &mut body, max_bytes)).await.ok()??;
+        Some(match read_result {
+            BufferedPart::Whole => RequestBody::Buffered(buffer.into()),
+            BufferedPart::Prefix => RequestBody::Streamed(Some(prefixed_body(buffer, body))),
         })
     }
 
-    /// The body for the next attempt.
+    /// Returns the body for the next attempt. A streamed body is empty after the first call.
     pub fn for_attempt(&mut self) -> Body {
         match self {
             RequestBody::Buffered(bytes) => full_body(bytes.clone()),
@@ -51,33 +53,39 @@
         }
     }
 
-    /// Whether it can be sent with another attempt.
+    /// Returns true if the body can be sent with another attempt.
     pub fn is_buffered(&self) -> bool {
         matches!(self, RequestBody::Buffered(_))
     }
 }
 
-enum Filled {
-    Complete,
-    /// The buffer holds the first part of a longer body.
-    TooLong,
+/// The part of a body that was read into the buffer.
+enum BufferedPart {
+    Whole,
+    /// The start of a body that exceeds the limit.
+    Prefix,
 }
 
-/// Reads a body into the buffer. `None` if the client breaks off.
-async fn fill(buffer: &mut Vec<u8>, body: &mut Incoming, max_bytes: usize) -> Option<Filled> {
+/// Reads a body into the buffer until it ends or exceeds `max_bytes`. Returns `None` if the client's
+/// connection breaks.
+async fn read_into_buffer(
+    buffer: &mut Vec<u8>,
+    body: &mut Incoming,
+    max_bytes: usize,
+) -> Option<BufferedPart> {
     while buffer.len() <= max_bytes {
         match body.frame().await {
-            None => return Some(Filled::Complete),
+            None => return Some(BufferedPart::Whole),
             Some(Ok(frame)) => buffer.extend_from_slice(frame.data_ref().map_or(&[], |data| data)),
             Some(Err(_)) => return None,
         }
     }
-    Some(Filled::TooLong)
+    Some(BufferedPart::Prefix)
 }
 
-/// A body of which the first part was read already.
-fn resume(first_part: Vec<u8>, rest: Incoming) -> Body {
-    let first_frame = Some(Frame::data(Bytes::from(first_part)));
+/// Returns a streamed body of a prefix that was already read, followed by the rest.
+fn prefixed_body(prefix: Vec<u8>, rest: Incoming) -> Body {
+    let first_frame = Some(Frame::data(Bytes::from(prefix)));
     let frames = futures_util::stream::unfold((first_frame, rest), |(first_frame, mut rest)| async move {
         match first_frame {
             Some(frame) => Some((Ok(frame), (None, rest))),
--- a/crates/proxy/src/io/client_stream.rs
+++ b/crates/proxy/src/io/client_stream.rs
@@ -1,5 +1,6 @@
-//! A client's socket. The HTTP library reads and writes it, and a second handle learns of a reset, which tells
-//! that the client has gone: the end of input alone may come from one that only closed its sending side.
+//! A client's socket. The HTTP library reads from it and writes to it, while a second handle detects a reset
+//! (RST), which shows that the client has disconnected. The end of input (FIN) does not show that: a client
+//! that only closed its sending side still waits for the response.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,13 +14,13 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// A client's socket, as the HTTP library reads and writes it.
+/// A client's socket for the HTTP library.
 pub struct ClientStream {
     reader: OwnedReadHalf,
     writer: Rc<OwnedWriteHalf>,
 }
 
-/// A second handle on a client's socket.
+/// A second handle to a client's socket, for detecting resets and unread input.
 pub struct ClientHandle(Rc<OwnedWriteHalf>);
 
 impl ClientStream {
@@ -28,6 +29,7 @@
         ClientStream { reader, writer: Rc::new(writer) }
     }
 
+    /// Returns a handle that can be used while the HTTP library owns this stream.
     pub fn handle(&self) -> ClientHandle {
         ClientHandle(self.writer.clone())
     }
@@ -42,13 +44,14 @@
         (*self.0).as_ref()
     }
 
-    /// Waits until the client resets the connection.
-    pub async fn reset(&self) {
-        // A socket that can't be waited for any more is as good as reset.
+    /// Waits until the client resets the connection. Does not return for a client that only closed its
+    /// sending side.
+    pub async fn wait_for_reset(&self) {
+        // A socket whose readiness can't be polled any more is treated as reset.
         let _ = self.socket().ready(Interest::ERROR).await;
     }
 
-    /// Whether bytes have come that were not read yet.
+    /// Returns true if bytes were received that the HTTP library has not read yet.
     pub fn has_unread(&self) -> bool {
         SockRef::from(self.socket()).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
     }
--- a/crates/proxy/src/io/clients.rs
+++ b/crates/proxy/src/io/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepts them, serves HTTP/1.1 on them, and drains them when the proxy is to end.
+//! Client connections: accepts them, serves HTTP/1.1 on them, and drains them at shutdown.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -18,24 +18,24 @@
 use super::request_validator::RequestValidator;
 use super::worker::Worker;
 
-/// Pause after a failed accept, as when no file descriptor is free.
+/// Delay after a failed accept, such as one for lack of free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a connection without a request stays open once the proxy drains: a request that is on its way is
-/// answered then, and does not meet a closed connection.
+/// Time for which an idle connection stays open once the proxy drains, so that a request that is already on
+/// its way is answered and does not find the connection closed.
 const IDLE_DRAIN_DELAY: Duration = Duration::from_millis(250);
 
-/// How often a connection within the head of a request is looked at while the proxy drains.
+/// Interval at which a connection on which a request is being received is checked while the proxy drains.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts client connections until the proxy drains, and ends once the last of them has. Dropping it ends
-/// them all.
+/// Accepts client connections until the proxy drains, then returns once all of them are closed. A future that
+/// is dropped closes them all.
 pub async fn accept_connections(listener: TcpListener, worker: Rc<Worker>) {
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = worker.draining() => break,
+            () = worker.wait_until_draining() => break,
         };
         match accepted {
             Ok((stream, _)) => start_connection(stream, &worker, &mut connections),
@@ -43,12 +43,13 @@
         }
         while connections.try_join_next().is_some() {}
     }
-    accept_queued(listener, &worker, &mut connections);
+    accept_backlog(listener, &worker, &mut connections);
     while connections.join_next().await.is_some() {}
 }
 
-/// Accepts what is in the listener's queue already, and may have been sent requests, then closes the listener.
-fn accept_queued(listener: TcpListener, worker: &Rc<Worker>, connections: &mut JoinSet<()>) {
+/// Accepts the connections in the listener's backlog, then closes the listener. Clients may have sent
+/// requests on them, which closing the listener would reset.
+fn accept_backlog(listener: TcpListener, worker: &Rc<Worker>, connections: &mut JoinSet<()>) {
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, _)) = listener.accept() {
         let Ok(()) = stream.set_nonblocking(true) else { continue };
@@ -59,12 +60,12 @@
 }
 
 fn start_connection(stream: TcpStream, worker: &Rc<Worker>, connections: &mut JoinSet<()>) {
-    if worker.clients.get() >= worker.config.max_clients {
+    if worker.client_connections.get() >= worker.config.max_clients {
         return;
     }
-    // Without it responses are only slower.
+    // If the option can't be set, responses are only slower.
     let _ = stream.set_nodelay(true);
-    let client = CountGuard::new(&worker.clients);
+    let client = CountGuard::new(&worker.client_connections);
     let worker = worker.clone();
     connections.spawn_local(async move {
         serve_connection(stream, &worker).await;
@@ -79,17 +80,18 @@
     let validated = RequestValidator::new(stream, between_requests.clone());
     let service = service_fn(|request| forward(request, worker.clone()));
     let mut http = http1::Builder::new();
-    // Who has closed the sending side only still waits for the response.
+    // A client that has only closed its sending side still waits for the response.
     http.half_close(true).timer(TokioTimer::new()).header_read_timeout(worker.config.header_timeout);
     let mut serving = pin!(http.serve_connection(TokioIo::new(validated), service));
-    let mut reset = pin!(handle.reset());
+    let mut reset = pin!(handle.wait_for_reset());
     tokio::select! {
-        // An error concerns this client alone: it broke off, or was cut off.
+        // An error affects this client alone: it disconnected, or a timeout or the validator ended the
+        // connection.
         _ = &mut serving => return,
         () = &mut reset => return,
-        () = drained(worker, &handle, &between_requests) => {}
+        () = wait_until_idle_while_draining(worker, &handle, &between_requests) => {}
     }
-    // A request that is being answered is finished first.
+    // A request in flight is answered before the connection is closed.
     serving.as_mut().graceful_shutdown();
     tokio::select! {
         _ = serving => {}
@@ -97,9 +99,13 @@
     }
 }
 
-/// Waits until the proxy drains and nothing of a further request has come.
-async fn drained(worker: &Worker, client: &ClientHandle, between_requests: &Cell<bool>) {
-    worker.draining().await;
+/// Waits until the proxy drains and no byte of a further request was received.
+async fn wait_until_idle_while_draining(
+    worker: &Worker,
+    client: &ClientHandle,
+    between_requests: &Cell<bool>,
+) {
+    worker.wait_until_draining().await;
     sleep(IDLE_DRAIN_DELAY).await;
     while client.has_unread() || !between_requests.get() {
         sleep(IDLE_POLL_INTERVAL).await;
--- a/crates/proxy/src/io/connection_pool.rs
+++ b/crates/proxy/src/io/connection_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints: kept open between requests, made anew where none is idle.
+//! Connections to endpoints. They are kept open between requests and reused; a new one is opened if none is
+//! idle.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,16 +22,16 @@
 
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl IdleConnection {
-    fn is_usable(&self, timeout: Duration) -> bool {
-        !self.connection.is_closed() && self.since.elapsed() < timeout
+    fn is_usable(&self, idle_timeout: Duration) -> bool {
+        !self.connection.is_closed() && self.idle_since.elapsed() < idle_timeout
     }
 }
 
-/// Idle connections by endpoint.
+/// The idle connections, by endpoint address.
 pub struct ConnectionPool {
     idle: HashMap<SocketAddr, Vec<IdleConnection>>,
     idle_timeout: Duration,
@@ -41,7 +42,8 @@
         ConnectionPool { idle: HashMap::new(), idle_timeout }
     }
 
-    /// The connection that was used last, if one is still open.
+    /// Removes and returns the most recently used idle connection to an endpoint that is still open and
+    /// within the idle timeout.
     pub fn take(&mut self, address: SocketAddr) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
         while let Some(candidate) = idle.pop() {
@@ -52,15 +54,17 @@
         None
     }
 
-    /// Keeps a connection whose last response is complete.
+    /// Adds a connection whose last response was received completely. Drops it if it is closed, or if the
+    /// pool is full for this endpoint.
     pub fn put(&mut self, address: SocketAddr, connection: Connection) {
         let idle = self.idle.entry(address).or_default();
         if idle.len() < MAX_IDLE_PER_ENDPOINT && !connection.is_closed() {
-            idle.push(IdleConnection { connection, since: Instant::now() });
+            idle.push(IdleConnection { connection, idle_since: Instant::now() });
         }
     }
 
-    /// Closes connections that were idle for too long, also those to endpoints that no table holds any more.
+    /// Closes connections that exceeded the idle timeout, including those to endpoints that are in no table
+    /// any more.
     pub fn close_idle(&mut self) {
         self.idle.retain(|_, idle| {
             idle.retain(|candidate| candidate.is_usable(self.idle_timeout));
@@ -69,28 +73,28 @@
     }
 }
 
-/// Opens a connection; `None` if none is established in time.
+/// Opens a connection. Returns `None` if it fails or takes longer than `connect_timeout`.
 pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> Option<Connection> {
     let stream = timeout(connect_timeout, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (connection, driver) = handshake(TokioIo::new(stream)).await.ok()?;
-    // The driver ends with the connection's last handle.
+    // The driver task ends when the last handle of the connection is dropped.
     spawn_local(driver);
     Some(connection)
 }
 
-/// What came of sending a request, before the body of its response.
+/// The result of sending a request, up to the head of the response.
 pub enum SendResult {
-    /// The head of the response, and the connection for its body.
+    /// The head of the response was received; the body is still read from the connection.
     Response(Response<Incoming>, Connection),
-    /// No byte of the request was written; here it is again.
+    /// No byte of the request was written. Contains the request, which can be sent over another connection.
     NotSent(Request<Body>),
-    /// The request was written, at least in part, and the connection broke.
-    Broken,
+    /// The connection broke after at least part of the request was written.
+    ConnectionBroken,
 }
 
-/// Sends a request and waits for the head of the response. A connection that turns out to be closed before a
-/// byte was written gives the request back.
+/// Sends a request and waits for the head of the response. Returns the request in [`SendResult::NotSent`] if
+/// the connection turns out to be closed before a byte was written.
 pub async fn send(mut connection: Connection, request: Request<Body>) -> SendResult {
     if connection.ready().await.is_err() {
         return SendResult::NotSent(request);
@@ -99,7 +103,7 @@
         Ok(response) => SendResult::Response(response, connection),
         Err(mut error) => match error.take_message() {
             Some(request) => SendResult::NotSent(request),
-            None => SendResult::Broken,
+            None => SendResult::ConnectionBroken,
         },
     }
 }
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -1,4 +1,4 @@
-//! Control connections: commands in, answers out.
+//! Control connections, on which controllers and operators send commands of the runtime API.
 
 use std::io;
 use std::rc::Rc;
@@ -10,24 +10,28 @@
 use super::worker::Worker;
 use crate::command_queue::CommandQueue;
 
-/// A command about latencies rather than tables, known only where it stands alone on its line.
+/// A command about latencies rather than tables. It is recognized only if it is the only command of its line.
 const SHOW_LATENCIES: &str = "show times";
 
-/// Accepts control connections until a socket fails. Their tasks end with the worker.
+/// Accepts control connections until accepting fails. Open connections are served until the worker is
+/// stopped, also if this future is dropped.
 pub async fn accept_connections(listener: Listener, worker: Rc<Worker>) {
     while let Ok(stream) = listener.accept().await {
         let worker = worker.clone();
         spawn_local(async move {
             tokio::select! {
-                // A broken connection concerns its controller alone; an incomplete line is dropped with it.
-                _ = converse(stream, &worker) => {}
-                () = worker.stopped() => {}
+                // A broken connection affects its client alone; an incomplete line received on it is
+                // discarded.
+                _ = serve_connection(stream, &worker) => {}
+                () = worker.wait_until_stopped() => {}
             }
         });
     }
 }
 
-async fn converse(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
+/// Executes the lines received on a connection and sends the answers, until the client or a command closes
+/// it.
+async fn serve_connection(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
     let mut reader = CommandReader::default();
     let mut queue = CommandQueue::new(AccessLevel::Admin);
     loop {
@@ -37,11 +41,11 @@
                 Ok(None) => break,
                 Err(error) => return reject(stream, &error).await,
             };
-            worker.stall(&commands);
+            worker.inject_stall(&commands);
             let mut out = String::new();
-            let session_state = execute(commands, &mut queue, worker, &mut out).await;
+            let session_state = execute_line(commands, &mut queue, worker, &mut out).await;
             stream.write_all(out.as_bytes()).await?;
-            worker.capacity.notify_waiters();
+            worker.capacity_changed.notify_waiters();
             if session_state == SessionState::Close {
                 return stream.shutdown().await;
             }
@@ -52,7 +56,7 @@
     }
 }
 
-async fn execute(
+async fn execute_line(
     commands: Vec<Command>,
     queue: &mut CommandQueue,
     worker: &Worker,
@@ -61,7 +65,7 @@
     if let [command] = &commands[..]
         && command.joined_words() == SHOW_LATENCIES
     {
-        out.push_str(&worker.latencies.borrow().show());
+        out.push_str(&worker.latencies.borrow().answer_text());
         return queue.end_line(out);
     }
     worker.execute(commands, queue, out).await
--- a/crates/proxy/src/io/folder_watch.rs
+++ b/crates/proxy/src/io/folder_watch.rs
@@ -1,5 +1,6 @@
-//! Tells of changes in a snapshot folder: by the system's file events, and by a timeout where they fail.
-//! Proxies of one process that follow the same folder share one watcher, as the system's number is limited.
+//! Detects changes in a snapshot folder by file events of the operating system, with polling as the fallback
+//! if events are missing. Proxies of one process that follow the same folder share one watcher, as the
+//! operating system limits their number.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -11,26 +12,29 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-/// One proxy's view on the changes in a folder.
+/// Notifies one proxy of changes in a folder.
 pub struct FolderWatch {
     shared: Arc<SharedWatcher>,
     changes: watch::Receiver<u64>,
 }
 
 impl FolderWatch {
-    /// Shares the watcher of a folder, or starts one.
+    /// Returns a watch that uses the watcher of this folder, which is started if there is none in the process
+    /// yet.
     pub fn new(folder: &Path) -> Self {
-        let shared = SharedWatcher::of(folder);
+        let shared = SharedWatcher::get_or_create(folder);
         FolderWatch { changes: shared.changes.subscribe(), shared }
     }
 
-    /// Waits until something changed, at most for `timeout`.
-    pub async fn changed(&mut self, timeout: Duration) {
-        if self.shared.cover() {
-            // What happened before the new folder was watched is seen by reading once more at once.
+    /// Waits until the folder may have changed or `timeout` has passed. Returns immediately if the set of
+    /// watched folders has changed.
+    pub async fn wait_for_change(&mut self, timeout: Duration) {
+        if self.shared.update_watched_folders() {
+            // Changes made before the new folder was watched raised no event: the caller has to read it once
+            // more.
             return;
         }
-        // A timeout and an event both mean that the folder should be read.
+        // The caller reads the folder after a timeout as after an event.
         let _ = tokio::time::timeout(timeout, self.changes.changed()).await;
     }
 }
@@ -38,28 +42,29 @@
 /// The watcher of one folder.
 struct SharedWatcher {
     folder: PathBuf,
-    /// Counts the events that matter.
+    /// The number of relevant events so far.
     changes: watch::Sender<u64>,
-    /// `None` where the system gives no events.
-    watcher: Mutex<Option<CoveredFolders>>,
+    /// `None` if the operating system provides no file events.
+    watcher: Mutex<Option<WatchedFolders>>,
 }
 
-/// The system's watcher, and the folders that it watches.
-struct CoveredFolders {
+/// A watcher of the operating system, and the folders that it watches.
+struct WatchedFolders {
     watcher: RecommendedWatcher,
     folders: Vec<PathBuf>,
 }
 
 type Registry = BTreeMap<PathBuf, Weak<SharedWatcher>>;
 
-/// The watchers of the process that are in use.
+/// Locks and returns the process-wide registry of watchers that are in use.
 fn registry() -> MutexGuard<'static, Registry> {
     static REGISTRY: OnceLock<Mutex<Registry>> = OnceLock::new();
     REGISTRY.get_or_init(Mutex::default).lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl SharedWatcher {
-    fn of(folder: &Path) -> Arc<Self> {
+    /// Returns the watcher of a folder from the registry, or adds a new one.
+    fn get_or_create(folder: &Path) -> Arc<Self> {
         let mut registry = registry();
         registry.retain(|_, shared| shared.strong_count() > 0);
         if let Some(shared) = registry.get(folder).and_then(Weak::upgrade) {
@@ -79,48 +84,50 @@
             }
         });
         if let Err(error) = &watcher {
-            warn!(target: "lockcroft::table_files", "no file events, changes are found by polling alone: {error}");
+            warn!(target: "lockcroft::table_files", "file events are unavailable, detecting changes by polling only: {error}");
         }
-        let watcher = watcher.ok().map(|watcher| CoveredFolders { watcher, folders: Vec::new() });
+        let watcher = watcher.ok().map(|watcher| WatchedFolders { watcher, folders: Vec::new() });
         SharedWatcher { folder: folder.into(), changes, watcher: Mutex::new(watcher) }
     }
 
-    /// Watches the folders in which something new may appear by now; whether one was added.
-    fn cover(&self) -> bool {
+    /// Watches the folders in which new snapshots may appear at present. Returns true if the set of watched
+    /// folders changed.
+    fn update_watched_folders(&self) -> bool {
         let mut watcher = self.watcher.lock().unwrap_or_else(PoisonError::into_inner);
-        watcher.as_mut().is_some_and(|covered| covered.update(folders_to_watch(&self.folder)))
+        watcher.as_mut().is_some_and(|watched| watched.update(folders_to_watch(&self.folder)))
     }
 }
 
-impl CoveredFolders {
-    /// Watches these folders in place of those watched so far; whether one was added.
+impl WatchedFolders {
+    /// Replaces the watched folders by these. Returns true if the set of watched folders changed.
     fn update(&mut self, wanted: Vec<PathBuf>) -> bool {
         if wanted == self.folders {
             return false;
         }
         for folder in self.folders.iter().filter(|folder| !wanted.contains(folder)) {
-            // The folder may be gone, and its watch with it.
+            // Fails if the folder was deleted, which has removed its watch.
             let _ = self.watcher.unwatch(folder);
         }
-        let mut covered = Vec::new();
+        let mut watched = Vec::new();
         for folder in wanted {
             if self.folders.contains(&folder) || self.watch(&folder) {
-                covered.push(folder);
+                watched.push(folder);
             }
         }
-        let changed = covered.len() != self.folders.len()
-            || covered.iter().any(|folder| !self.folders.contains(folder));
-        self.folders = covered;
+        let changed = watched.len() != self.folders.len()
+            || watched.iter().any(|folder| !self.folders.contains(folder));
+        self.folders = watched;
         changed
     }
 
+    /// Returns true if the folder is now watched.
     fn watch(&mut self, folder: &Path) -> bool {
         self.watcher.watch(folder, RecursiveMode::NonRecursive).is_ok()
     }
 }
 
-/// Whether another snapshot may be current: a link was swapped, or an epoch begun. Everything else in the
-/// folder is the writer's own affair.
+/// Returns true if another snapshot may have become current: the link `current` was replaced, or the folder
+/// of an epoch was created. Other changes are internal to the writer.
 fn is_relevant(event: &notify::Event) -> bool {
     let is_relevant_name = |path: &PathBuf| {
         let name = path.file_name().and_then(|name| name.to_str());
@@ -129,7 +136,8 @@
     !event.kind.is_access() && event.paths.iter().any(is_relevant_name)
 }
 
-/// The folders in which something new may appear: that of all epochs, and that of the latest epoch.
+/// Returns the folders in which a new snapshot may appear: the snapshot folder itself, and that of the latest
+/// epoch if there is one.
 fn folders_to_watch(folder: &Path) -> Vec<PathBuf> {
     let layout = StoreLayout::new(folder);
     let latest = layout.epochs().unwrap_or_default().first().map(|epoch| layout.epoch_directory(*epoch));
--- a/crates/proxy/src/io/guards.rs
+++ b/crates/proxy/src/io/guards.rs
@@ -1,5 +1,6 @@
-//! What a request counts up while it is handled. The HTTP library drops the future of a request whose client
-//! has gone, at any `await`: each count is given back when its guard is dropped.
+//! Guards for what a request occupies while it is handled: counts, attempts in flight and retry tokens. The
+//! HTTP library drops the future of a request whose client reset the connection, at any `await`. Each guard
+//! releases its share when it is dropped, so that abandoned requests don't use up capacity for good.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,7 +10,7 @@
 use crate::attempts::AttemptOutcome;
 use crate::routing::ChosenEndpoint;
 
-/// Counts one of several that are in progress, until it is dropped.
+/// Adds one to a shared count and subtracts it again when dropped.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
@@ -25,63 +26,64 @@
     }
 }
 
-/// An attempt in flight. Dropped before its outcome was recorded, it is abandoned.
+/// An attempt in flight. If the guard is dropped before the outcome was recorded, the attempt counts as
+/// abandoned. In either case requests that wait for capacity are woken.
 pub struct AttemptGuard<'a> {
     worker: &'a Worker,
     endpoint: ChosenEndpoint,
-    has_ended: bool,
+    is_recorded: bool,
 }
 
 impl<'a> AttemptGuard<'a> {
-    /// Guards an attempt that counts as in flight.
+    /// Returns a guard for an attempt that already counts as in flight.
     pub fn new(worker: &'a Worker, endpoint: ChosenEndpoint) -> Self {
-        AttemptGuard { worker, endpoint, has_ended: false }
+        AttemptGuard { worker, endpoint, is_recorded: false }
     }
 
     pub fn endpoint(&self) -> &ChosenEndpoint {
         &self.endpoint
     }
 
-    /// Records how the attempt ended; gives the name of its endpoint.
-    pub fn end(mut self, outcome: AttemptOutcome, latency: Duration) -> String {
+    /// Records the outcome of the attempt. Returns the name of its endpoint.
+    pub fn record_outcome(mut self, outcome: AttemptOutcome, latency: Duration) -> String {
         let worker = self.worker;
         worker.state().record_outcome(worker.now(), &self.endpoint, outcome, latency);
-        self.has_ended = true;
+        self.is_recorded = true;
         std::mem::take(&mut self.endpoint.endpoint)
     }
 }
 
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        if !self.has_ended {
+        if !self.is_recorded {
             self.endpoint.abandon();
         }
-        self.worker.capacity.notify_waiters();
+        self.worker.capacity_changed.notify_waiters();
     }
 }
 
-/// A retry that the budget allows. Dropped before the retry was made, it goes back into the budget.
+/// A token of the retry budget. It is refunded if the reservation is dropped before the retry is made.
 pub struct RetryReservation<'a> {
     worker: &'a Worker,
-    is_used: bool,
+    is_spent: bool,
 }
 
 impl<'a> RetryReservation<'a> {
-    /// `None` if the budget allows no retry.
+    /// Takes a token from the budget. Returns `None` if the budget allows no retry.
     pub fn try_reserve(worker: &'a Worker) -> Option<Self> {
         let reserved = worker.retry_budget.borrow_mut().try_reserve();
-        reserved.then(|| RetryReservation { worker, is_used: false })
+        reserved.then(|| RetryReservation { worker, is_spent: false })
     }
 
-    /// The retry is made.
+    /// Keeps the token out of the budget, as the retry is made now.
     pub fn spend(mut self) {
-        self.is_used = true;
+        self.is_spent = true;
     }
 }
 
 impl Drop for RetryReservation<'_> {
     fn drop(&mut self) {
-        if !self.is_used {
+        if !self.is_spent {
             self.worker.retry_budget.borrow_mut().refund();
         }
     }
--- a/crates/proxy/src/io/headers.rs
+++ b/crates/proxy/src/io/headers.rs
@@ -1,22 +1,22 @@
-//! Headers that the proxy reads, adds and removes. Their names are part of the wire.
+//! Headers that the proxy reads, adds and removes. Clients and endpoints depend on their names.
 
 use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
 
-/// The client's timeout in milliseconds. What is left of it goes along to the endpoint, which may drop a
-/// request that nobody waits for.
+/// The client timeout in milliseconds. Endpoints are sent the remaining part, so that they can drop a request
+/// that nobody waits for any more.
 pub const CLIENT_TIMEOUT: &str = "x-patience-ms";
-/// The request's own id.
+/// The id of the request.
 pub const REQUEST_ID: &str = "x-visit";
-/// The client, so that one whose request is shed is shed again.
+/// The id of the client. Admission depends on it, so that a client whose request was shed is shed again.
 pub const CLIENT_ID: &str = "x-client";
-/// Name and version of the table by which the endpoint was chosen.
+/// The name and version of the table by which the endpoint was chosen, as `name@version`.
 pub const TABLE_VERSION: &str = "x-table";
-/// The proxy's name.
+/// The name of the proxy.
 pub const PROXY_NAME: &str = "x-relay";
-/// An endpoint's statement that it rejected a request without reading it.
+/// Set by an endpoint on a 503 response if it rejected the request without reading it.
 pub const REJECTED_UNREAD: &str = "x-unread";
 
-/// Headers of one hop only (RFC 9110, 7.6.1); `Connection` may name more.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1) beside those that `Connection` names.
 const HOP_BY_HOP: [&str; 7] = [
     "keep-alive",
     "te",
@@ -27,16 +27,16 @@
     "proxy-authorization",
 ];
 
-/// Removes the headers that concern one hop only.
+/// Removes the hop-by-hop headers, which must not be forwarded.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let named_by_connection: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in named_by_connection {
         headers.remove(name);
     }
     headers.remove(CONNECTION);
@@ -45,12 +45,13 @@
     }
 }
 
-/// The text of a header, if there is one and it is text.
+/// Returns the text of a header, or `None` if it is missing or contains other than visible ASCII characters.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The value of a header from text that should hold nothing but visible ASCII.
+/// Returns a header value with this text, or `-` if the text contains characters that are invalid in a
+/// header.
 pub fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("-"))
 }
--- a/crates/proxy/src/io/latencies.rs
+++ b/crates/proxy/src/io/latencies.rs
@@ -1,4 +1,4 @@
-//! Latencies of successful attempts by endpoint and class, as `show times` tells them.
+//! Latencies of successful attempts by endpoint and class, for the command `show times`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,33 +10,38 @@
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct HistogramKey {
     endpoint: String,
     class: String,
 }
 
-/// A histogram of microseconds for each endpoint and class.
+/// A histogram of latencies in microseconds for each endpoint and class.
 #[derive(Default)]
 pub struct Latencies {
-    histograms: BTreeMap<Key, Histogram<u64>>,
+    histograms: BTreeMap<HistogramKey, Histogram<u64>>,
 }
 
 impl Latencies {
+    /// Records the latency of a successful attempt. Latencies above 10 minutes count as 10 minutes.
+    ///
     /// # Panics
-    /// Never: the bounds of the histograms are constants.
+    /// Never panics, as the bounds of the histograms are valid constants.
     pub fn record(&mut self, endpoint: &str, class: &str, latency: Duration) {
-        let key = Key { endpoint: endpoint.to_string(), class: class.to_string() };
-        let new = || {
-            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-                .expect("the bounds are in order")
+        let key = HistogramKey { endpoint: endpoint.to_string(), class: class.to_string() };
+        let new_histogram = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("the bounds are valid")
         };
-        self.histograms.entry(key).or_insert_with(new).saturating_record(latency.as_micros() as u64);
+        self.histograms
+            .entry(key)
+            .or_insert_with(new_histogram)
+            .saturating_record(latency.as_micros() as u64);
     }
 
-    /// The answer to `show times`, without the empty line that ends it.
-    pub fn show(&self) -> String {
+    /// Returns the answer to `show times`, with latencies in milliseconds, without the empty line that ends
+    /// an answer.
+    pub fn answer_text(&self) -> String {
         let mut text = "# endpoint class answered p50_ms p99_ms most_ms\n".to_string();
-        for (Key { endpoint, class }, histogram) in &self.histograms {
+        for (HistogramKey { endpoint, class }, histogram) in &self.histograms {
             // Writing to a String cannot fail.
             let _ = writeln!(
                 text,
--- a/crates/proxy/src/io/mod.rs
+++ b/crates/proxy/src/io/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy on its sockets and files. `server` starts everything, `worker` is what all tasks of a proxy
-//! share; the others are its tasks and their parts, and don't know each other.
+//! I/O of the proxy: sockets, files and tasks. `server` starts and stops the tasks, and `worker` holds the
+//! state that they share. The other modules are the tasks and their parts; tasks don't depend on each other.
 
 mod attempt;
 mod blocking_pool;
--- a/crates/proxy/src/io/request_validator.rs
+++ b/crates/proxy/src/io/request_validator.rs
@@ -1,4 +1,4 @@
-//! A client's connection, validated before the HTTP library reads it.
+//! Validates the framing of requests on a client's connection before the HTTP library reads them.
 
 use std::cell::Cell;
 use std::io;
@@ -11,33 +11,38 @@
 use super::client_stream::ClientStream;
 use crate::framing_validator::FramingValidator;
 
-const BAD_REQUEST: &[u8] = b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
+const BAD_REQUEST_RESPONSE: &[u8] =
+    b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Lets no request through whose framing is ambiguous. The client then gets status 400, and the HTTP library
-/// reads the end of the connection.
+/// A client's connection that passes no request with ambiguous framing on to the HTTP library. The client
+/// gets status 400 instead, and the HTTP library reads the end of input.
 pub struct RequestValidator {
     stream: ClientStream,
     framing: FramingValidator,
-    /// Once a request was refused: how much of the response is written.
-    refusal_written: Option<usize>,
-    /// Whether the last request is read as a whole, and nothing of the next.
+    /// The number of bytes of the 400 response that were written; `None` until a request is rejected.
+    bad_request_written: Option<usize>,
+    /// True if the last request was read completely and no byte of the next one.
     between_requests: Rc<Cell<bool>>,
 }
 
 impl RequestValidator {
+    /// Returns a validator that sets `between_requests` after each read.
     pub fn new(stream: ClientStream, between_requests: Rc<Cell<bool>>) -> Self {
         RequestValidator {
             stream,
             framing: FramingValidator::default(),
-            refusal_written: None,
+            bad_request_written: None,
             between_requests,
         }
     }
 
-    fn poll_write_refusal(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while let Some(from) = self.refusal_written.filter(|from| *from < BAD_REQUEST.len()) {
-            let written = ready!(Pin::new(&mut self.stream).poll_write(context, &BAD_REQUEST[from..]))?;
-            self.refusal_written = Some(from + written);
+    fn poll_write_bad_request(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while let Some(offset) =
+            self.bad_request_written.filter(|offset| *offset < BAD_REQUEST_RESPONSE.len())
+        {
+            let written =
+                ready!(Pin::new(&mut self.stream).poll_write(context, &BAD_REQUEST_RESPONSE[offset..]))?;
+            self.bad_request_written = Some(offset + written);
         }
         Poll::Ready(Ok(()))
     }
@@ -49,17 +54,17 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.refusal_written.is_some() {
-            return self.poll_write_refusal(context);
+        if self.bad_request_written.is_some() {
+            return self.poll_write_bad_request(context);
         }
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        if self.framing.read(&buffer.filled()[before..]).is_err() {
-            // None of these bytes may reach the HTTP library.
-            buffer.set_filled(before);
-            self.refusal_written = Some(0);
+        if self.framing.read(&buffer.filled()[filled_before..]).is_err() {
+            // Hides the bytes from the HTTP library, so that it does not forward them.
+            buffer.set_filled(filled_before);
+            self.bad_request_written = Some(0);
             self.between_requests.set(true);
-            return self.poll_write_refusal(context);
+            return self.poll_write_bad_request(context);
         }
         self.between_requests.set(self.framing.is_between_requests());
         Poll::Ready(Ok(()))
@@ -72,8 +77,8 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.refusal_written.is_some() {
-            // The connection has its last response already.
+        if self.bad_request_written.is_some() {
+            // Discards responses of the HTTP library: the 400 response is the last one on this connection.
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut self.stream).poll_write(context, bytes)
--- a/crates/proxy/src/io/server.rs
+++ b/crates/proxy/src/io/server.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a proxy: its sockets, and the tasks on them.
+//! Starts and stops a proxy with its sockets and tasks.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,37 +17,41 @@
 
 const MIN_CLEANUP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long requests in flight may take to be answered once the proxy is told to end.
+/// Time limit for draining client connections at shutdown.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running proxy. It ends when this is dropped, with all its connections.
+/// A running proxy. Dropping it stops the proxy and closes all its connections.
 pub struct Proxy {
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub request_address: SocketAddr,
     worker: Rc<Worker>,
     tasks: Vec<JoinHandle<()>>,
-    /// Client connections; ends once the proxy drained.
-    clients: Option<JoinHandle<()>>,
+    /// Serves client connections; ends once the proxy has drained.
+    client_task: Option<JoinHandle<()>>,
 }
 
 impl Proxy {
-    /// Starts a proxy on the thread's local task set.
+    /// Starts a proxy on the current `LocalSet`. If this fails, the tasks that were started are stopped.
     ///
     /// # Errors
-    /// A socket can't be bound, or the keys of table files can't be read.
+    /// Returns an error if a socket can't be bound or the keys of the table files can't be read.
+    ///
+    /// # Panics
+    /// Panics outside a `LocalSet`.
     pub async fn start(config: ProxyConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(config.request_address).await?;
         let request_address = listener.local_addr()?;
         let worker = Rc::new(Worker::new(config));
-        // Tasks that run already end with the proxy if a later step fails.
-        let mut proxy = Proxy { request_address, worker: worker.clone(), tasks: Vec::new(), clients: None };
+        // If a later step fails, dropping this stops the tasks that were started.
+        let mut proxy =
+            Proxy { request_address, worker: worker.clone(), tasks: Vec::new(), client_task: None };
         for address in &worker.config.control_addresses {
             let listener = Listener::bind(address).await?;
             proxy.tasks.push(spawn_local(control::accept_connections(listener, worker.clone())));
         }
-        proxy.clients = Some(spawn_local(clients::accept_connections(listener, worker.clone())));
+        proxy.client_task = Some(spawn_local(clients::accept_connections(listener, worker.clone())));
         if let Some(config) = worker.config.table_files.clone() {
             let reader = table_files::open_reader(&worker.config.name, &config)?;
             proxy.tasks.push(spawn_local(table_files::follow(worker.clone(), config, reader)));
@@ -56,32 +60,34 @@
         Ok(proxy)
     }
 
-    /// Client connections that are open.
+    /// Returns the number of open client connections.
     #[must_use]
     pub fn client_connection_count(&self) -> usize {
-        self.worker.clients.get()
+        self.worker.client_connections.get()
     }
 
-    /// Lets client connections end: no new ones are accepted, requests in flight and those that still come on
-    /// open connections are answered, idle connections are closed. Gives the number of connections that are
-    /// still open after `time_limit`.
+    /// Drains client connections: no new ones are accepted, requests in flight and those that still arrive on
+    /// open connections are answered, and idle connections are closed. Returns the number of connections that
+    /// are still open once all have ended or `time_limit` has passed. The proxy keeps draining if the future
+    /// is dropped.
     pub async fn drain(&self, time_limit: Duration) -> usize {
         self.worker.drain();
-        let all_ended = async {
-            while self.clients.as_ref().is_some_and(|clients| !clients.is_finished()) {
+        let drained = async {
+            while self.client_task.as_ref().is_some_and(|task| !task.is_finished()) {
                 sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        // What is left then is counted, and cut off when the proxy is dropped.
-        let _ = timeout(time_limit, all_ended).await;
+        // Connections that are still open after a timeout are counted here, and closed when the proxy is
+        // dropped.
+        let _ = timeout(time_limit, drained).await;
         self.client_connection_count()
     }
 
-    /// Stops the proxy; its addresses are free afterwards.
+    /// Stops the proxy and waits for its tasks, so that its addresses are free afterwards.
     pub async fn stop(mut self) {
-        for task in std::mem::take(&mut self.tasks).into_iter().chain(self.clients.take()) {
+        for task in std::mem::take(&mut self.tasks).into_iter().chain(self.client_task.take()) {
             task.abort();
-            // The task ends as cancelled, which is what was asked for.
+            // Returns a cancellation error, as the task was aborted.
             let _ = task.await;
         }
     }
@@ -89,47 +95,63 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.tasks.iter().chain(&self.clients).for_each(JoinHandle::abort);
+        self.tasks.iter().chain(&self.client_task).for_each(JoinHandle::abort);
         self.worker.stop();
     }
 }
 
+/// Periodically closes connections to endpoints that exceeded the idle timeout, until the future is dropped.
 async fn close_idle_connections(worker: Rc<Worker>) {
-    // Twice within the time that a connection may be idle.
+    // Bounds the delay after the idle timeout: a connection is closed at most half the timeout late, or
+    // `MIN_CLEANUP_INTERVAL` if that is longer.
     let interval = (worker.config.idle_timeout / 2).max(MIN_CLEANUP_INTERVAL);
     loop {
         sleep(interval).await;
-        worker.connections.borrow_mut().close_idle();
+        worker.connection_pool.borrow_mut().close_idle();
     }
 }
 
-/// Runs a proxy until SIGTERM or SIGINT, then drains it: requests in flight are answered, within
-/// [`DRAIN_TIMEOUT`] or until a second signal.
+/// Runs a proxy until SIGTERM or SIGINT, then drains it until all client connections are closed,
+/// [`DRAIN_TIMEOUT`] has passed, or a second SIGTERM or SIGINT is received. SIGHUP is ignored.
 ///
 /// # Errors
-/// As [`Proxy::start`].
+/// Returns the errors of [`Proxy::start`].
+///
+/// # Panics
+/// Panics outside a `LocalSet`.
 pub async fn serve(config: ProxyConfig, mut signals: Signals) -> io::Result<()> {
     let control_addresses = config.control_addresses.clone();
     let name = config.name.clone();
     let proxy = Proxy::start(config).await?;
     tracing::info!(target: "lockcroft::proxy", name, "started");
     while signals.recv().await == ReceivedSignal::Hangup {
-        tracing::info!(target: "lockcroft::proxy", "SIGHUP: nothing to reload, tables come from controllers");
+        tracing::info!(
+            target: "lockcroft::proxy",
+            "received SIGHUP, nothing to reload: tables come from controllers"
+        );
     }
-    tracing::info!(target: "lockcroft::proxy", connections = proxy.client_connection_count(), "draining");
-    let cut = tokio::select! {
-        cut = proxy.drain(DRAIN_TIMEOUT) => cut,
+    tracing::info!(
+        target: "lockcroft::proxy",
+        connections = proxy.client_connection_count(),
+        "received SIGTERM or SIGINT, draining client connections"
+    );
+    let open_connections = tokio::select! {
+        open_connections = proxy.drain(DRAIN_TIMEOUT) => open_connections,
         () = signals.recv_termination() => proxy.client_connection_count(),
     };
-    match cut {
-        0 => tracing::info!(target: "lockcroft::proxy", "ended"),
-        cut => {
-            tracing::warn!(target: "lockcroft::proxy", cut_connections = cut, "ended before all was answered")
+    match open_connections {
+        0 => tracing::info!(target: "lockcroft::proxy", "shut down"),
+        open_connections => {
+            tracing::warn!(
+                target: "lockcroft::proxy",
+                cut_connections = open_connections,
+                "shut down before all client connections were drained"
+            )
         }
     }
     for address in control_addresses {
         if let Address::Unix(path) = address {
-            // A socket file that stays behind is taken over at the next start.
+            // A socket file that can't be removed is replaced at the next start.
             let _ = std::fs::remove_file(path);
         }
     }
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -1,5 +1,5 @@
-//! Follows a snapshot folder: reads each new snapshot off the thread, applies it like a batch of commands, and
-//! acknowledges it in the proxy's own status file.
+//! Follows a snapshot folder: reads each new snapshot on a blocking thread, applies it as a batch of
+//! commands, and acknowledges it in the status file of the proxy.
 
 use std::io;
 use std::path::PathBuf;
@@ -20,55 +20,60 @@
 use crate::config::TableFilesConfig;
 use crate::snapshot_commands::SnapshotCommands;
 
-/// Applied snapshots that the status file lists.
+/// The number of applied snapshots that the status file lists; older ones are removed.
 const MAX_STATUS_ENTRIES: usize = 32;
 
-/// Opens the folder's reader, which goes on from what the proxy applied before it was started.
+/// Returns a reader of the folder that starts at the snapshot which the proxy applied last before its
+/// restart, according to its status file. Blocks on file operations.
 ///
 /// # Errors
-/// The keys can't be read.
+/// Returns an error if the keys can't be read.
 pub fn open_reader(proxy: &str, config: &TableFilesConfig) -> io::Result<SnapshotReader> {
     let keys = read_keys(&config.key_file).map_err(io::Error::other)?;
-    let applied =
+    let last_applied =
         StatusReader::read_one(&config.folder, proxy).and_then(|status| status.laid.last().cloned());
-    let position = applied.map(|applied| (applied.epoch, applied.version));
+    let position = last_applied.map(|applied| (applied.epoch, applied.version));
     Ok(SnapshotReader::new(&config.folder, proxy, keys, position))
 }
 
-/// Follows the folder until dropped.
+/// Follows the folder until the future is dropped.
 pub async fn follow(worker: Rc<Worker>, config: TableFilesConfig, reader: SnapshotReader) {
     let mut watch = FolderWatch::new(&config.folder);
     let poll_interval = config.poll_interval;
     let mut follower = Follower::new(worker, &config);
-    let mut scanner = FolderScanner { reader, keys: config.key_file };
+    let mut scanner = FolderScanner { reader, key_file: config.key_file };
     loop {
-        let (returned, result) = run_blocking(Priority::Read, move || {
+        let (returned_scanner, result) = run_blocking(Priority::Read, move || {
             let result = scanner.scan();
             (scanner, result)
         })
         .await;
-        scanner = returned;
+        scanner = returned_scanner;
         match result {
             Ok(scan) => follower.apply_scan(scan).await,
             Err(error) => follower.warn_once(&error),
         }
-        watch.changed(poll_interval).await;
+        watch.wait_for_change(poll_interval).await;
     }
 }
 
-/// Reads the folder; sent to a blocking thread for each scan.
+/// Scans the folder. It is moved to a blocking thread for each scan.
 struct FolderScanner {
     reader: SnapshotReader,
-    /// The file of the keys.
-    keys: PathBuf,
+    key_file: PathBuf,
 }
 
 impl FolderScanner {
+    /// Scans the folder for snapshots to apply and to reject.
+    ///
+    /// # Errors
+    /// Returns an error if the folder can't be read.
     fn scan(&mut self) -> io::Result<ScanResult> {
         let scan = self.reader.scan()?;
-        // The keys may have been rotated: what they don't vouch for is read once more with the current ones.
-        let has_unknown_seal = scan.rejected.iter().any(|refused| refused.reason.contains("no seal"));
-        if has_unknown_seal && let Ok(keys) = read_keys(&self.keys) {
+        // The keys may have been rotated: if a snapshot has no seal of a known key, the keys are read again
+        // and the scan is repeated.
+        let has_unknown_seal = scan.rejected.iter().any(|rejected| rejected.reason.contains("no seal"));
+        if has_unknown_seal && let Ok(keys) = read_keys(&self.key_file) {
             self.reader.replace_keys(keys);
             return self.reader.scan();
         }
@@ -83,8 +88,8 @@
     commands: SnapshotCommands,
     queue: CommandQueue,
     status: proto::Status,
-    /// The error that was logged last, so that it is not logged at each scan.
-    logged_error: String,
+    /// The last logged error of a scan, so that it is not logged at each scan; empty after a successful scan.
+    last_logged_error: String,
 }
 
 impl Follower {
@@ -95,20 +100,26 @@
             folder: config.folder.clone(),
             commands: SnapshotCommands::default(),
             queue: CommandQueue::new(AccessLevel::Admin),
-            logged_error: String::new(),
+            last_logged_error: String::new(),
         }
     }
 
+    /// Logs an error unless it equals the last one.
     fn warn_once(&mut self, error: &io::Error) {
         let error = error.to_string();
-        if self.logged_error != error {
-            warn!(target: "lockcroft::table_files", folder = %self.folder.display(), "the folder cannot be read, the applied tables stay: {error}");
-            self.logged_error = error;
+        if self.last_logged_error != error {
+            warn!(
+                target: "lockcroft::table_files",
+                folder = %self.folder.display(),
+                "failed to read the snapshot folder, keeping the applied tables: {error}"
+            );
+            self.last_logged_error = error;
         }
     }
 
+    /// Applies and rejects the snapshots of a scan, and writes the status file if something changed.
     async fn apply_scan(&mut self, scan: ScanResult) {
-        self.logged_error.clear();
+        self.last_logged_error.clear();
         let mut status_changed = false;
         for rejected in scan.rejected {
             status_changed |= self.record_rejection(rejected);
@@ -123,25 +134,26 @@
         }
     }
 
-    /// Notes a snapshot that is not valid; whether that is news.
+    /// Records a rejected snapshot in the status. Returns false if the status contains it already.
     fn record_rejection(&mut self, rejected: RejectedSnapshot) -> bool {
-        let RejectedSnapshot { epoch, version, reason: why } = rejected;
+        let RejectedSnapshot { epoch, version, reason } = rejected;
         let is_known = self
             .status
             .refused
             .as_ref()
-            .is_some_and(|known| known.epoch == epoch && known.version == version && known.why == why);
+            .is_some_and(|known| known.epoch == epoch && known.version == version && known.why == reason);
         if is_known {
             return false;
         }
-        warn!(target: "lockcroft::table_files", epoch, version, "rejected: {why}");
-        self.status.refused = Some((epoch, version, why).into()).into();
+        warn!(target: "lockcroft::table_files", epoch, version, "rejected snapshot: {reason}");
+        self.status.refused = Some((epoch, version, reason).into()).into();
         true
     }
 
+    /// Records an applied snapshot in the status. `batch_version` is 0 if it changed nothing.
     fn record_applied(&mut self, snapshot: &AppliedSnapshot, batch_version: u64) {
         let (epoch, version, assigned) = (snapshot.epoch, snapshot.version, !snapshot.assignments.is_empty());
-        info!(target: "lockcroft::table_files", epoch, version, batch = batch_version, assigned, "applied");
+        info!(target: "lockcroft::table_files", epoch, version, batch = batch_version, assigned, "applied snapshot");
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         self.status.laid.push(proto::Laid {
             epoch,
@@ -153,26 +165,27 @@
         });
         let surplus = self.status.laid.len().saturating_sub(MAX_STATUS_ENTRIES);
         self.status.laid.drain(..surplus);
-        // A rejection of an older snapshot is of no interest any more.
-        let newer =
+        // Rejections of older snapshots are obsolete.
+        let newer_rejection =
             self.status.refused.take().filter(|refused| (refused.epoch, refused.version) > (epoch, version));
-        self.status.refused = newer.into();
+        self.status.refused = newer_rejection.into();
     }
 
-    /// Applies a snapshot; the version of the batch that came of it, 0 if nothing changed.
+    /// Applies a snapshot. Returns the resulting version of the routing state, or 0 if there was nothing to
+    /// change or the commands were refused.
     async fn apply(&mut self, snapshot: &AppliedSnapshot) -> u64 {
         let commands = self.commands.commands(&self.worker.state(), snapshot);
         if commands.is_empty() {
             return 0;
         }
-        let previous = self.worker.state().version;
+        let previous_version = self.worker.state().version;
         let mut answers = String::new();
-        self.worker.stall(&commands);
+        self.worker.inject_stall(&commands);
         self.worker.execute(commands, &mut self.queue, &mut answers).await;
-        self.worker.capacity.notify_waiters();
+        self.worker.capacity_changed.notify_waiters();
         let version = self.worker.state().version;
-        if version == previous {
-            warn!(target: "lockcroft::table_files", "not applied: {}", answers.trim());
+        if version == previous_version {
+            warn!(target: "lockcroft::table_files", "failed to apply snapshot: {}", answers.trim());
             return 0;
         }
         version
@@ -182,8 +195,8 @@
         let (folder, status) = (self.folder.clone(), self.status.clone());
         let written = run_blocking(Priority::WriteStatus, move || write_status(&folder, &status)).await;
         if let Err(error) = written {
-            // The controller goes on with what it knew before.
-            warn!(target: "lockcroft::table_files", "the status cannot be written: {error}");
+            // The controller keeps using the last status that it has read.
+            warn!(target: "lockcroft::table_files", "failed to write the status file: {error}");
         }
     }
 }
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -1,4 +1,5 @@
-//! What all tasks of a proxy share. They run on one thread, so that no request waits for a lock.
+//! The state that all tasks of a proxy share. The tasks run on one thread, so that no request waits for a
+//! lock.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::rc::Rc;
@@ -15,31 +16,33 @@
 use crate::retry_budget::RetryBudget;
 use crate::routing::RoutingState;
 
-/// The shared state of a running proxy. No borrow of a cell may be held over an `await`.
+/// The shared state of a running proxy. A borrow of a cell must not be held across an `await`: another task
+/// that borrows it would panic.
 pub struct Worker {
     pub config: ProxyConfig,
     started_at: Instant,
     state: RefCell<RoutingState>,
-    /// Held while a batch of commands is being staged: the next one waits.
+    /// Held while a batch of commands is staged, so that the next batch waits.
     staging: Mutex<()>,
-    pub connections: RefCell<ConnectionPool>,
+    pub connection_pool: RefCell<ConnectionPool>,
     pub retry_budget: RefCell<RetryBudget>,
     pub latencies: RefCell<Latencies>,
-    /// An attempt ended or tables changed: an endpoint may have capacity.
-    pub capacity: Notify,
-    /// Requests that wait for capacity.
+    /// Notified when an attempt ended or tables changed, after which an endpoint may have capacity.
+    pub capacity_changed: Notify,
+    /// The number of requests that wait for capacity.
     pub queued_requests: Rc<Cell<usize>>,
-    pub clients: Rc<Cell<usize>>,
+    /// The number of open client connections.
+    pub client_connections: Rc<Cell<usize>>,
     phase: watch::Sender<Phase>,
 }
 
-/// What becomes of client connections.
+/// The phase of the proxy's life. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Running,
-    /// No new ones are accepted, and those that are open end with their next response.
+    /// No client connections are accepted, and open ones are closed after their next response or when idle.
     Draining,
-    /// All end at once, control connections too.
+    /// All connections are closed, including control connections.
     Stopped,
 }
 
@@ -51,29 +54,32 @@
         Worker {
             started_at: Instant::now(),
             staging: Mutex::new(()),
-            connections: RefCell::new(ConnectionPool::new(config.idle_timeout)),
+            connection_pool: RefCell::new(ConnectionPool::new(config.idle_timeout)),
             retry_budget: RefCell::new(RetryBudget::new(config.retry_ratio)),
             latencies: RefCell::default(),
-            capacity: Notify::new(),
+            capacity_changed: Notify::new(),
             queued_requests: state.queued_requests.clone(),
-            clients: Rc::default(),
+            client_connections: Rc::default(),
             state: RefCell::new(state),
             phase: watch::Sender::new(Phase::Running),
             config,
         }
     }
 
-    /// The routing state. The borrow must end before the next `await`.
+    /// Borrows the routing state. The borrow must end before the next `await`.
+    ///
+    /// # Panics
+    /// Panics if the state is already borrowed.
     pub fn state(&self) -> RefMut<'_, RoutingState> {
         self.state.borrow_mut()
     }
 
-    /// Time since the start of the proxy.
+    /// Returns the time since the start of the proxy.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Has client connections end with what they are at.
+    /// Starts draining client connections.
     pub fn drain(&self) {
         self.phase.send_modify(|phase| *phase = Phase::Draining.max(*phase));
     }
@@ -83,27 +89,29 @@
     }
 
     /// Waits until the proxy drains or is stopped.
-    pub async fn draining(&self) {
-        self.reached(Phase::Draining).await;
+    pub async fn wait_until_draining(&self) {
+        self.wait_for_phase(Phase::Draining).await;
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn stop(&self) {
         self.phase.send_replace(Phase::Stopped);
     }
 
     /// Waits until the proxy is stopped.
-    pub async fn stopped(&self) {
-        self.reached(Phase::Stopped).await;
+    pub async fn wait_until_stopped(&self) {
+        self.wait_for_phase(Phase::Stopped).await;
     }
 
-    async fn reached(&self, wanted: Phase) {
-        // The sender lives as long as this, so waiting can't fail.
-        let _ = self.phase.subscribe().wait_for(|phase| *phase >= wanted).await;
+    /// Waits until the proxy is in this phase or a later one.
+    async fn wait_for_phase(&self, awaited: Phase) {
+        // Waiting can't fail, as `self` owns the sender.
+        let _ = self.phase.subscribe().wait_for(|phase| *phase >= awaited).await;
     }
 
-    /// Carries out a line of commands. Requests have their turn between its steps; other lines that change
-    /// something wait until this one is through.
+    /// Executes a line of commands and appends the answers to `out`. It yields to requests between steps. A
+    /// line that changes state waits until other such lines have been executed. If the future is dropped
+    /// before the last step, the routing state is unchanged.
     pub async fn execute(
         &self,
         commands: Vec<Command>,
@@ -112,18 +120,19 @@
     ) -> SessionState {
         let count = commands.len();
         let has_changes = commands.iter().any(changes_state);
-        let _exclusive = if has_changes { Some(self.staging.lock().await) } else { None };
+        let _staging_guard = if has_changes { Some(self.staging.lock().await) } else { None };
         let mut transaction = queue.begin(commands, &self.state());
         while !queue.step(&mut transaction) {
             tokio::task::yield_now().await;
         }
         let session_state = queue.finish(transaction, &mut self.state(), out);
-        tracing::debug!(target: "lockcroft::command", commands = count, "executed");
+        tracing::debug!(target: "lockcroft::command", commands = count, "executed line of commands");
         session_state
     }
 
-    /// Blocks the whole proxy, where the configuration asks for this fault.
-    pub fn stall(&self, commands: &[Command]) {
+    /// Injects the configured fault `stall_per_command`: blocks the thread, and with it the whole proxy, for
+    /// this time per command that changes state.
+    pub fn inject_stall(&self, commands: &[Command]) {
         let count = commands.iter().filter(|command| changes_state(command)).count();
         let stall = self.config.stall_per_command * count as u32;
         if !stall.is_zero() {
