--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The proxy on sockets: endpoints that fail in every way, idle clients, commands cut short.
+//! Tests of the proxy over sockets: failing endpoints, retries, slow and silent clients, and control
+//! connections.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -19,73 +20,78 @@
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 const REJECTED_UNREAD: &str = "HTTP/1.1 503 Busy\r\nx-unread: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// What an endpoint does with a connection on which a whole head came.
+/// The behavior of a test endpoint after it has received a complete request head.
 #[derive(Clone, Copy)]
 enum Behavior {
+    /// Sends this text and keeps the connection open.
     Answers(&'static str),
-    /// The same, and closes the connection.
+    /// Sends this text and closes the connection.
     AnswersAndCloses(&'static str),
+    /// Sends [`OK`] after this delay.
     AnswersAfter(Duration),
     NeverAnswers,
-    ClosesAtOnce,
+    /// Closes each connection without reading from it.
+    ClosesOnAccept,
 }
 
-/// An endpoint, and how many heads it was sent.
-async fn endpoint(behavior: Behavior) -> (SocketAddr, Rc<Cell<usize>>) {
+/// Starts an endpoint. Returns its address and the number of request heads that it received.
+async fn start_endpoint(behavior: Behavior) -> (SocketAddr, Rc<Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
-    let count = Rc::new(Cell::new(0));
-    let counted = count.clone();
+    let head_count = Rc::new(Cell::new(0));
+    let endpoint_head_count = head_count.clone();
     spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let counted = counted.clone();
+            let head_count = endpoint_head_count.clone();
             spawn_local(async move {
-                if matches!(behavior, Behavior::ClosesAtOnce) {
+                if matches!(behavior, Behavior::ClosesOnAccept) {
                     return;
                 }
-                let (mut bytes, mut seen) = (vec![0; 300_000], 0);
-                while let Ok(read @ 1..) = stream.read(&mut bytes[seen..]).await {
-                    seen += read;
-                    if !bytes[..seen].windows(4).any(|four| four == b"\r\n\r\n") {
+                let (mut bytes, mut received) = (vec![0; 300_000], 0);
+                while let Ok(read @ 1..) = stream.read(&mut bytes[received..]).await {
+                    received += read;
+                    if !bytes[..received].windows(4).any(|window| window == b"\r\n\r\n") {
                         continue;
                     }
-                    seen = 0;
-                    counted.set(counted.get() + 1);
+                    received = 0;
+                    head_count.set(head_count.get() + 1);
                     match behavior {
                         Behavior::Answers(text) => drop(stream.write_all(text.as_bytes()).await),
                         Behavior::AnswersAndCloses(text) => {
                             let _ = stream.write_all(text.as_bytes()).await;
                             return;
                         }
-                        Behavior::AnswersAfter(time) => {
-                            sleep(time).await;
+                        Behavior::AnswersAfter(delay) => {
+                            sleep(delay).await;
                             let _ = stream.write_all(OK.as_bytes()).await;
                         }
-                        Behavior::NeverAnswers | Behavior::ClosesAtOnce => std::future::pending().await,
+                        Behavior::NeverAnswers | Behavior::ClosesOnAccept => std::future::pending().await,
                     }
                 }
             });
         }
     });
-    (address, count)
+    (address, head_count)
 }
 
+/// A running proxy with one control address.
 struct Fixture {
     proxy: Proxy,
     control: Address,
     _folder: tempfile::TempDir,
 }
 
-/// A proxy with these endpoints in its default table and retries enabled.
-async fn start(endpoints: &[SocketAddr], change: impl FnOnce(&mut ProxyConfig)) -> Fixture {
+/// Starts a proxy with these endpoints, named `e0`, `e1` and so on, in its default table. Retries are enabled
+/// for the class `look`; `configure` changes the configuration before the start.
+async fn start_proxy(endpoints: &[SocketAddr], configure: impl FnOnce(&mut ProxyConfig)) -> Fixture {
     let folder = tempfile::tempdir().expect("a folder");
     let control = Address::Unix(folder.path().join("c.sock"));
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let classes = vec![("look".to_string(), Duration::from_millis(700))];
-    let mut config = ProxyConfig::new("p", any, vec![control.clone()], classes);
+    let mut config = ProxyConfig::new("p", any_port, vec![control.clone()], classes);
     config.default_table =
-        endpoints.iter().enumerate().map(|(i, address)| (format!("e{i}"), *address)).collect();
-    change(&mut config);
+        endpoints.iter().enumerate().map(|(index, address)| (format!("e{index}"), *address)).collect();
+    configure(&mut config);
     let proxy = Proxy::start(config).await.expect("started");
     let fixture = Fixture { proxy, control, _folder: folder };
     fixture.command("set var proc.again_look int(1)").await;
@@ -93,39 +99,46 @@
 }
 
 impl Fixture {
+    /// Sends a line of commands over a new control connection and returns the answer.
     async fn command(&self, line: &str) -> String {
         request(&self.control, line, Duration::from_secs(5)).await.expect("answered")
     }
 
-    /// Status of the final answer.
+    /// Sends a request and returns the status code of the response.
     async fn request_status(&self) -> u16 {
-        status(&self.send("GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await)
+        status_code(&self.send_raw("GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await)
     }
 
-    /// What comes back until the connection ends.
-    async fn send(&self, text: &str) -> String {
+    /// Sends this text over a new client connection and returns everything that is received until the
+    /// connection is closed.
+    async fn send_raw(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.proxy.request_address).await.expect("connected");
         stream.write_all(text.as_bytes()).await.expect("sent");
         let mut response = Vec::new();
-        let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut response)).await.expect("it ends");
+        let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut response))
+            .await
+            .expect("the connection is closed in time");
         String::from_utf8_lossy(&response).into_owned()
     }
 }
 
-fn status(response: &str) -> u16 {
+/// Returns the status code of a response, or 0 if there is none.
+fn status_code(response: &str) -> u16 {
     response.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
 }
 
+/// Runs a test on a runtime of one thread with a `LocalSet`, as the proxy requires.
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// The first endpoint fails in this way, the second is healthy: the final status, and how many requests each got.
-async fn with_faulty_endpoint(behavior: Behavior) -> (u16, usize, usize) {
-    let (faulty, healthy) = (endpoint(behavior).await, endpoint(Behavior::Answers(OK)).await);
-    let fixture = start(&[faulty.0, healthy.0], |_| {}).await;
-    // The heavier entry comes first.
+/// Sends a request to a proxy whose first endpoint behaves like this and whose second endpoint is healthy.
+/// Returns the status code of the response, and the number of requests that each endpoint received.
+async fn request_with_faulty_endpoint(behavior: Behavior) -> (u16, usize, usize) {
+    let (faulty, healthy) = (start_endpoint(behavior).await, start_endpoint(Behavior::Answers(OK)).await);
+    let fixture = start_proxy(&[faulty.0, healthy.0], |_| {}).await;
+    // The entry with the greater weight is chosen first.
     fixture.command("set weight standing/e1 1").await;
     let status = fixture.request_status().await;
     (status, faulty.1.get(), healthy.1.get())
@@ -134,22 +147,24 @@
 #[test]
 fn a_request_that_may_have_been_executed_is_not_retried() {
     run(async {
-        assert_eq!(with_faulty_endpoint(Behavior::NeverAnswers).await, (504, 1, 0));
-        assert_eq!(with_faulty_endpoint(Behavior::AnswersAndCloses("HT")).await, (502, 1, 0));
-        assert_eq!(with_faulty_endpoint(Behavior::AnswersAndCloses("")).await, (502, 1, 0));
+        assert_eq!(request_with_faulty_endpoint(Behavior::NeverAnswers).await, (504, 1, 0));
+        assert_eq!(request_with_faulty_endpoint(Behavior::AnswersAndCloses("HT")).await, (502, 1, 0));
+        assert_eq!(request_with_faulty_endpoint(Behavior::AnswersAndCloses("")).await, (502, 1, 0));
         assert_eq!(
-            with_faulty_endpoint(Behavior::AnswersAndCloses(
+            request_with_faulty_endpoint(Behavior::AnswersAndCloses(
                 "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhal"
             ))
             .await,
             (502, 1, 0)
         );
         assert_eq!(
-            with_faulty_endpoint(Behavior::Answers("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n")).await,
+            request_with_faulty_endpoint(Behavior::Answers("HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n"))
+                .await,
             (500, 1, 0)
         );
-        // Closed without an answer: the bytes were written, whatever became of them.
-        let (status, _, second) = with_faulty_endpoint(Behavior::ClosesAtOnce).await;
+        // The endpoint closed the connection without a response: the request was written and may have been
+        // executed.
+        let (status, _, second) = request_with_faulty_endpoint(Behavior::ClosesOnAccept).await;
         assert_eq!((status, second), (502, 0));
     });
 }
@@ -157,35 +172,40 @@
 #[test]
 fn proof_of_non_execution_allows_one_retry() {
     run(async {
-        assert_eq!(with_faulty_endpoint(Behavior::Answers(REJECTED_UNREAD)).await, (200, 1, 1));
-        let nobody = TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr()).expect("an address");
-        let healthy = endpoint(Behavior::Answers(OK)).await;
-        let first = start(&[nobody, healthy.0], |_| {}).await;
+        assert_eq!(request_with_faulty_endpoint(Behavior::Answers(REJECTED_UNREAD)).await, (200, 1, 1));
+        let unused_address = TcpListener::bind("127.0.0.1:0")
+            .await
+            .and_then(|listener| listener.local_addr())
+            .expect("an address");
+        let healthy = start_endpoint(Behavior::Answers(OK)).await;
+        let first = start_proxy(&[unused_address, healthy.0], |_| {}).await;
         for _ in 0..4 {
             assert_eq!(first.request_status().await, 200);
         }
         assert_eq!(healthy.1.get(), 4);
-        // Not where retries are not enabled, and never a third attempt.
+        // No retry is made if retries are disabled for the class, and a third attempt never.
         first.command("set var proc.again_look int(0)").await;
         let statuses = [first.request_status().await, first.request_status().await];
         assert!(statuses.contains(&502) && statuses.contains(&200), "{statuses:?}");
         let (one, two, three) = (
-            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
-            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
-            endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            start_endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            start_endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            start_endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
         );
-        let all = start(&[one.0, two.0, three.0], |_| {}).await;
+        let all = start_proxy(&[one.0, two.0, three.0], |_| {}).await;
         assert_eq!(all.request_status().await, 503);
         assert_eq!(one.1.get() + two.1.get() + three.1.get(), 2);
     });
 }
 
 #[test]
-fn the_budget_limits_retries_and_streamed_bodies_have_none() {
+fn the_budget_limits_retries_and_streamed_bodies_are_not_retried() {
     run(async {
-        let (faulty, healthy) =
-            (endpoint(Behavior::Answers(REJECTED_UNREAD)).await, endpoint(Behavior::Answers(OK)).await);
-        let fixture = start(&[faulty.0, healthy.0], |config| {
+        let (faulty, healthy) = (
+            start_endpoint(Behavior::Answers(REJECTED_UNREAD)).await,
+            start_endpoint(Behavior::Answers(OK)).await,
+        );
+        let fixture = start_proxy(&[faulty.0, healthy.0], |config| {
             (config.retry_ratio, config.max_buffered_body_bytes) = (0.01, 1000)
         })
         .await;
@@ -195,35 +215,36 @@
         }
         assert!(healthy.1.get() <= 2, "{} retries for 20 first attempts", healthy.1.get());
         let body = "x".repeat(200_000);
-        let large = format!(
+        let large_request = format!(
             "POST /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
         let before = healthy.1.get();
-        assert_eq!(status(&fixture.send(&large).await), 503);
+        assert_eq!(status_code(&fixture.send_raw(&large_request).await), 503);
         assert_eq!(healthy.1.get(), before);
     });
 }
 
-/// An idle connection that the endpoint has closed is no attempt: the request goes there over a new one.
+/// Guards against a failed attempt on an idle connection that the endpoint has closed: the request is sent
+/// over a new connection, and this counts as the same attempt.
 #[test]
 fn a_closed_idle_connection_is_replaced() {
     run(async {
-        let (closes, count) = endpoint(Behavior::AnswersAndCloses(OK)).await;
-        let fixture = start(&[closes], |_| {}).await;
+        let (closing, head_count) = start_endpoint(Behavior::AnswersAndCloses(OK)).await;
+        let fixture = start_proxy(&[closing], |_| {}).await;
         for _ in 0..5 {
             assert_eq!(fixture.request_status().await, 200);
             sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(count.get(), 5);
+        assert_eq!(head_count.get(), 5);
     });
 }
 
 #[test]
 fn a_deleted_endpoint_finishes_its_requests_and_gets_no_more() {
     run(async {
-        let (slow, count) = endpoint(Behavior::AnswersAfter(Duration::from_millis(300))).await;
-        let fixture = Rc::new(start(&[slow], |_| {}).await);
+        let (slow, head_count) = start_endpoint(Behavior::AnswersAfter(Duration::from_millis(300))).await;
+        let fixture = Rc::new(start_proxy(&[slow], |_| {}).await);
         let in_flight = spawn_local({
             let fixture = fixture.clone();
             async move { fixture.request_status().await }
@@ -235,46 +256,56 @@
                 .await
                 .contains("deleted")
         );
-        assert_eq!(fixture.request_status().await, 503, "none is left");
+        assert_eq!(fixture.request_status().await, 503, "no endpoint is left");
         assert_eq!(in_flight.await.expect("ended"), 200);
-        assert_eq!(count.get(), 1);
+        assert_eq!(head_count.get(), 1);
         assert!(
-            fixture.send("GET /look HTTP/1.1\r\nconnection: close\r\n\r\n").await.contains("retry-after: 1")
+            fixture
+                .send_raw("GET /look HTTP/1.1\r\nconnection: close\r\n\r\n")
+                .await
+                .contains("retry-after: 1")
         );
         fixture.command("set map classes look t9").await;
-        assert_eq!(fixture.request_status().await, 503, "its table does not exist");
-        assert_eq!(status(&fixture.send("GET /other HTTP/1.1\r\nconnection: close\r\n\r\n").await), 404);
+        assert_eq!(fixture.request_status().await, 503, "the table of its class does not exist");
+        assert_eq!(
+            status_code(&fixture.send_raw("GET /other HTTP/1.1\r\nconnection: close\r\n\r\n").await),
+            404
+        );
     });
 }
 
 #[test]
-fn an_admission_rate_applies_at_once_and_to_the_same_clients() {
+fn an_admission_rate_applies_at_once_and_always_sheds_the_same_clients() {
     run(async {
-        let (healthy, count) = endpoint(Behavior::Answers(OK)).await;
-        let fixture = start(&[healthy], |_| {}).await;
+        let (healthy, head_count) = start_endpoint(Behavior::Answers(OK)).await;
+        let fixture = start_proxy(&[healthy], |_| {}).await;
         fixture.command("set var proc.level_look int(0)").await;
-        assert_eq!((fixture.request_status().await, count.get()), (503, 0));
+        assert_eq!((fixture.request_status().await, head_count.get()), (503, 0));
         fixture.command("set var proc.level_look int(400)").await;
         let mut admitted = 0;
         for client in 0..200 {
             let text = format!("GET /look HTTP/1.1\r\nx-client: c{client}\r\nconnection: close\r\n\r\n");
-            let (first, again) = (status(&fixture.send(&text).await), status(&fixture.send(&text).await));
-            assert_eq!(first, again, "client {client}");
+            let (first, second) =
+                (status_code(&fixture.send_raw(&text).await), status_code(&fixture.send_raw(&text).await));
+            assert_eq!(first, second, "client {client}");
             admitted += usize::from(first == 200);
         }
-        assert!((55..=105).contains(&admitted), "{admitted} of 200 at 0.4");
+        assert!(
+            (55..=105).contains(&admitted),
+            "{admitted} of 200 clients admitted at an admission rate of 0.4"
+        );
     });
 }
 
 #[test]
-fn requests_wait_for_capacity_and_the_latest_are_rejected() {
+fn requests_wait_for_capacity_and_those_beyond_the_queue_limit_are_rejected() {
     run(async {
-        let (slow, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(100))).await;
-        let change = |config: &mut ProxyConfig| {
+        let (slow, _) = start_endpoint(Behavior::AnswersAfter(Duration::from_millis(100))).await;
+        let configure = |config: &mut ProxyConfig| {
             (config.limits.max_in_flight, config.max_queued_requests) = (1, 2);
             config.queue_timeout = Duration::from_millis(600);
         };
-        let fixture = Rc::new(start(&[slow], change).await);
+        let fixture = Rc::new(start_proxy(&[slow], configure).await);
         let requests: Vec<_> = (0..5)
             .map(|_| {
                 let fixture = fixture.clone();
@@ -293,30 +324,30 @@
 #[test]
 fn silent_and_slow_clients_do_not_delay_others() {
     run(async {
-        let (healthy, _) = endpoint(Behavior::Answers(OK)).await;
-        let fixture = start(&[healthy], |config| config.header_timeout = Duration::from_secs(2)).await;
+        let (healthy, _) = start_endpoint(Behavior::Answers(OK)).await;
+        let fixture = start_proxy(&[healthy], |config| config.header_timeout = Duration::from_secs(2)).await;
         let mut silent = Vec::new();
         for _ in 0..2000 {
             silent.push(TcpStream::connect(fixture.proxy.request_address).await.expect("connected"));
         }
-        let mut slow = TcpStream::connect(fixture.proxy.request_address).await.expect("connected");
-        slow.write_all(b"GET /look HTTP/1.1\r\n\r\nGET /look HTTP/1.1\r\n\r\n").await.expect("sent");
+        let mut slow_client = TcpStream::connect(fixture.proxy.request_address).await.expect("connected");
+        slow_client.write_all(b"GET /look HTTP/1.1\r\n\r\nGET /look HTTP/1.1\r\n\r\n").await.expect("sent");
         let mut byte = [0];
-        let slowly = spawn_local(async move {
-            // One byte a second, for as long as the test lasts.
-            let mut read = 0;
-            while slow.read(&mut [0]).await.is_ok_and(|bytes| bytes == 1) && read < 6 {
-                read += 1;
+        let slow_reads = spawn_local(async move {
+            // Reads one byte per second.
+            let mut bytes_read = 0;
+            while slow_client.read(&mut [0]).await.is_ok_and(|bytes| bytes == 1) && bytes_read < 6 {
+                bytes_read += 1;
                 sleep(Duration::from_secs(1)).await;
             }
-            read
+            bytes_read
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..50 {
             assert_eq!(fixture.request_status().await, 200);
         }
-        assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
-        // Those who say nothing are cut off in time.
+        assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
+        // Silent clients are disconnected after the header timeout.
         sleep(Duration::from_millis(2500)).await;
         assert!(matches!(
             timeout(Duration::from_secs(1), silent[0].read(&mut byte)).await,
@@ -325,31 +356,32 @@
         for _ in 0..50 {
             assert_eq!(fixture.request_status().await, 200);
         }
-        assert_eq!(slowly.await.expect("ran"), 6, "one that reads is not cut off");
+        assert_eq!(slow_reads.await.expect("ran"), 6, "a client that reads slowly stays connected");
     });
 }
 
 #[test]
 fn an_incomplete_line_of_commands_has_no_effect() {
     run(async {
-        let (one, two) = (endpoint(Behavior::Answers(OK)).await, endpoint(Behavior::Answers(OK)).await);
-        let fixture = start(&[one.0], |_| {}).await;
+        let (one, two) =
+            (start_endpoint(Behavior::Answers(OK)).await, start_endpoint(Behavior::Answers(OK)).await);
+        let fixture = start_proxy(&[one.0], |_| {}).await;
         let line = format!(
             "add server t0/n {} weight 1; set server t0/n state ready; set map classes look t0\n",
             two.0
         );
         let (first, rest) = line.split_at(line.len() - 20);
-        // A controller that dies in the middle.
-        let mut dies = dial(&fixture.control).await.expect("dialled");
-        dies.write_all(first.as_bytes()).await.expect("sent");
-        drop(dies);
-        let mut stalls = dial(&fixture.control).await.expect("dialled");
-        stalls.write_all(first.as_bytes()).await.expect("sent");
+        // A controller disconnects in the middle of a line.
+        let mut disconnecting = dial(&fixture.control).await.expect("connected");
+        disconnecting.write_all(first.as_bytes()).await.expect("sent");
+        drop(disconnecting);
+        let mut stalling = dial(&fixture.control).await.expect("connected");
+        stalling.write_all(first.as_bytes()).await.expect("sent");
         sleep(Duration::from_millis(100)).await;
         assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 0));
-        stalls.write_all(rest.as_bytes()).await.expect("sent");
+        stalling.write_all(rest.as_bytes()).await.expect("sent");
         let mut response = String::new();
-        stalls.read_to_string(&mut response).await.expect("answered");
+        stalling.read_to_string(&mut response).await.expect("answered");
         assert_eq!(response, "New server registered.\n\n\n\n");
         assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 1));
     });
@@ -358,7 +390,7 @@
 #[test]
 fn a_batch_with_a_refused_command_changes_nothing() {
     run(async {
-        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let digest = fixture.command("get var proc.digest").await;
         let response =
             fixture.command("set weight standing/e0 0; set weight standing/e9 1; show backend").await;
@@ -375,11 +407,12 @@
     });
 }
 
-/// Guards against versions that count what changed nothing: choices are compared by them.
+/// Guards against a refused command incrementing the version although it changed nothing. Choices of
+/// endpoints are compared by this version.
 #[test]
-fn a_refused_command_counts_no_version() {
+fn a_refused_command_does_not_increment_the_version() {
     run(async {
-        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let version = fixture.command("get var proc.version").await;
         for refused in
             ["set server t0/nope weight 5", "set server standing/e0 weight 300", "commit map @9 tables"]
@@ -392,25 +425,26 @@
     });
 }
 
-/// Guards against a client that waits for the end of an answer until its time-out.
+/// Guards against `show times` leaving the connection open, so that a client waits for the end of the answer
+/// until its timeout.
 #[test]
-fn show_times_closes_like_every_other_command() {
+fn show_times_ends_its_answer_and_closes_like_every_other_command() {
     run(async {
-        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         fixture.request_status().await;
-        let shown = fixture.command("show times").await;
+        let answer = fixture.command("show times").await;
         assert!(
-            shown.contains("e0 look 1 ") && shown.ends_with("\n\n") && !shown.ends_with("\n\n\n"),
-            "{shown:?}"
+            answer.contains("e0 look 1 ") && answer.ends_with("\n\n") && !answer.ends_with("\n\n\n"),
+            "{answer:?}"
         );
     });
 }
 
-/// Guards against a reset in place of the reason.
+/// Guards against a reset of the connection that reaches the client instead of the refusal.
 #[test]
-fn a_line_that_is_too_long_is_answered_before_the_connection_ends() {
+fn a_line_that_is_too_long_is_answered_before_the_connection_is_closed() {
     run(async {
-        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let answer = fixture.command(&"x".repeat(70_000)).await;
         assert_eq!(answer, "Line too long; allowed: 16384 bytes\n\n");
     });
@@ -419,28 +453,32 @@
 #[test]
 fn commands_of_older_epochs_and_versions_are_refused() {
     run(async {
-        let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
-        let first = "prompt i\nset var proc.epoch int(5)\nset weight standing/e0 100\n";
-        let mut old = dial(&fixture.control).await.expect("dialled");
-        old.write_all(first.as_bytes()).await.expect("sent");
+        let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
+        let first_lines = "prompt i\nset var proc.epoch int(5)\nset weight standing/e0 100\n";
+        let mut old_controller = dial(&fixture.control).await.expect("connected");
+        old_controller.write_all(first_lines.as_bytes()).await.expect("sent");
         let mut bytes = [0; 256];
         while fixture.command("get weight standing/e0").await != "100 (initial 256)\n\n" {
             sleep(Duration::from_millis(5)).await;
         }
-        let _ = old.read(&mut bytes).await;
+        let _ = old_controller.read(&mut bytes).await;
         assert_eq!(fixture.command("set var proc.epoch int(6); set weight standing/e0 60").await, "\n\n");
-        old.write_all(b"set weight standing/e0 7\n").await.expect("sent");
+        old_controller.write_all(b"set weight standing/e0 7\n").await.expect("sent");
         let mut response = String::new();
         while !response.contains("Superseded") {
-            let read =
-                timeout(Duration::from_secs(2), old.read(&mut bytes)).await.expect("in time").expect("read");
+            let read = timeout(Duration::from_secs(2), old_controller.read(&mut bytes))
+                .await
+                .expect("in time")
+                .expect("read");
             response += &String::from_utf8_lossy(&bytes[..read]);
         }
         assert_eq!(fixture.command("get weight standing/e0").await, "60 (initial 256)\n\n");
-        // Two batches are prepared, and the later one is committed first.
-        let (mut a, mut b) =
-            (dial(&fixture.control).await.expect("dialled"), dial(&fixture.control).await.expect("dialled"));
-        for (stream, weight) in [(&mut a, 11), (&mut b, 22)] {
+        // Two batches are prepared. The later one is committed first, so that the earlier one is refused.
+        let (mut earlier, mut later) = (
+            dial(&fixture.control).await.expect("connected"),
+            dial(&fixture.control).await.expect("connected"),
+        );
+        for (stream, weight) in [(&mut earlier, 11), (&mut later, 22)] {
             let text = format!("prompt i\nprepare map tables\nset weight standing/e0 {weight}\n");
             stream.write_all(text.as_bytes()).await.expect("sent");
             let mut response = String::new();
@@ -455,33 +493,33 @@
         assert_eq!(
             fixture.command("get weight standing/e0").await,
             "60 (initial 256)\n\n",
-            "prepared is not in force"
+            "prepared batches have no effect"
         );
-        b.write_all(b"commit map @2 tables\n").await.expect("sent");
-        let _ = b.read(&mut bytes).await.expect("read");
-        a.write_all(b"commit map @1 tables\n").await.expect("sent");
-        let read = a.read(&mut bytes).await.expect("read");
+        later.write_all(b"commit map @2 tables\n").await.expect("sent");
+        let _ = later.read(&mut bytes).await.expect("read");
+        earlier.write_all(b"commit map @1 tables\n").await.expect("sent");
+        let read = earlier.read(&mut bytes).await.expect("read");
         assert!(String::from_utf8_lossy(&bytes[..read]).contains("Version number out of range."));
         assert_eq!(fixture.command("get weight standing/e0").await, "22 (initial 256)\n\n");
     });
 }
 
 #[test]
-fn ambiguous_heads_get_400_and_the_connection_ends() {
+fn ambiguous_framing_gets_400_and_the_connection_is_closed() {
     run(async {
-        let (healthy, count) = endpoint(Behavior::Answers(OK)).await;
-        let fixture = start(&[healthy], |_| {}).await;
+        let (healthy, head_count) = start_endpoint(Behavior::Answers(OK)).await;
+        let fixture = start_proxy(&[healthy], |_| {}).await;
         for head in [
             "content-length: 3\r\ncontent-length: 3\r\n\r\nabc",
             "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
             "transfer-encoding: chunked\r\n\r\nzz\r\nabc",
             "x: a\r\n folded\r\n\r\n",
         ] {
-            let response = fixture.send(&format!("POST /look HTTP/1.1\r\nhost: x\r\n{head}")).await;
+            let response = fixture.send_raw(&format!("POST /look HTTP/1.1\r\nhost: x\r\n{head}")).await;
             assert!(response.starts_with("HTTP/1.1 400 "), "{head:?}: {response:?}");
         }
-        assert_eq!(count.get(), 0);
+        assert_eq!(head_count.get(), 0);
         let valid = "POST /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-        assert_eq!(status(&fixture.send(valid).await), 200);
+        assert_eq!(status_code(&fixture.send_raw(valid).await), 200);
     });
 }
--- a/crates/proxy/tests/sockets/shutdown.rs
+++ b/crates/proxy/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! A proxy that is told to end: whatever came to it is answered, within a bound.
+//! Tests of draining: requests that reached the proxy are answered before it shuts down, within a time limit.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -8,33 +8,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::{Behavior, Fixture, endpoint, run, start, status};
+use super::{Behavior, Fixture, run, start_endpoint, start_proxy, status_code};
 
 const REQUEST: &[u8] = b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n";
-const LIMIT: Duration = Duration::from_secs(3);
+const TIME_LIMIT: Duration = Duration::from_secs(3);
 
 async fn connect(fixture: &Fixture) -> TcpStream {
     TcpStream::connect(fixture.proxy.request_address).await.expect("connected")
 }
 
-/// What comes until the connection ends.
-async fn rest(stream: &mut TcpStream) -> String {
+/// Returns everything that is received until the connection is closed.
+async fn read_until_closed(stream: &mut TcpStream) -> String {
     let mut response = Vec::new();
-    let _ = timeout(LIMIT, stream.read_to_end(&mut response)).await.expect("it ends");
+    let _ = timeout(TIME_LIMIT, stream.read_to_end(&mut response))
+        .await
+        .expect("the connection is closed in time");
     String::from_utf8_lossy(&response).into_owned()
 }
 
-fn assert_last_answer(response: &str) {
-    assert_eq!(status(response), 200, "{response:?}");
+/// Asserts a successful response that announces the end of the connection.
+fn assert_closing_response(response: &str) {
+    assert_eq!(status_code(response), 200, "{response:?}");
     assert!(response.to_ascii_lowercase().contains("connection: close\r\n"), "{response:?}");
 }
 
-/// Guards against requests in flight being cut when the proxy ends.
+/// Guards against requests in flight being aborted at shutdown.
 #[test]
 fn requests_in_flight_are_answered_and_idle_connections_closed() {
     run(async {
-        let (slow, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(400))).await;
-        let fixture = start(&[slow], |_| {}).await;
+        let (slow, _) = start_endpoint(Behavior::AnswersAfter(Duration::from_millis(400))).await;
+        let fixture = start_proxy(&[slow], |_| {}).await;
         let mut streams = Vec::new();
         for _ in 0..3 {
             let mut stream = connect(&fixture).await;
@@ -44,29 +47,29 @@
         let mut idle = connect(&fixture).await;
         sleep(Duration::from_millis(50)).await;
         let drained = async {
-            let cut = fixture.proxy.drain(LIMIT).await;
-            assert_eq!(cut, 0);
+            let open_connections = fixture.proxy.drain(TIME_LIMIT).await;
+            assert_eq!(open_connections, 0);
         };
         let clients = async {
             for stream in &mut streams {
-                assert_last_answer(&rest(stream).await);
+                assert_closing_response(&read_until_closed(stream).await);
             }
-            assert_eq!(rest(&mut idle).await, "");
+            assert_eq!(read_until_closed(&mut idle).await, "");
             assert!(
                 TcpStream::connect(fixture.proxy.request_address).await.is_err(),
-                "none are accepted any more"
+                "no new connections are accepted"
             );
         };
         tokio::join!(drained, clients);
     });
 }
 
-/// Guards against a request that is on its way, or in pieces, meeting a closed connection.
+/// Guards against a connection being closed while a request on it is on its way or partly received.
 #[test]
-fn requests_that_come_on_open_connections_are_answered() {
+fn requests_that_arrive_on_open_connections_are_answered_while_draining() {
     run(async {
-        let (quick, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(1))).await;
-        let fixture = start(&[quick], |_| {}).await;
+        let (quick, _) = start_endpoint(Behavior::AnswersAfter(Duration::from_millis(1))).await;
+        let fixture = start_proxy(&[quick], |_| {}).await;
         let mut used_before = connect(&fixture).await;
         used_before.write_all(REQUEST).await.expect("sent");
         let mut bytes = [0; 512];
@@ -79,40 +82,42 @@
             sleep(Duration::from_millis(100)).await;
             used_before.write_all(REQUEST).await.expect("sent");
             fresh.write_all(REQUEST).await.expect("sent");
-            assert_last_answer(&rest(&mut used_before).await);
-            assert_last_answer(&rest(&mut fresh).await);
+            assert_closing_response(&read_until_closed(&mut used_before).await);
+            assert_closing_response(&read_until_closed(&mut fresh).await);
             sleep(Duration::from_millis(400)).await;
             in_pieces.write_all(&REQUEST[9..]).await.expect("sent");
-            assert_last_answer(&rest(&mut in_pieces).await);
+            assert_closing_response(&read_until_closed(&mut in_pieces).await);
         };
-        let (cut, ()) = tokio::join!(fixture.proxy.drain(LIMIT), clients);
-        assert_eq!(cut, 0);
+        let (open_connections, ()) = tokio::join!(fixture.proxy.drain(TIME_LIMIT), clients);
+        assert_eq!(open_connections, 0);
     });
 }
 
-/// Guards against a reset of connections that wait in the listener's queue.
+/// Guards against a reset of connections in the listener's backlog, which closing the listener would cause.
 #[test]
-fn requests_that_were_not_accepted_yet_are_answered() {
+fn requests_on_connections_in_the_backlog_are_answered() {
     run(async {
-        let (quick, _) = endpoint(Behavior::AnswersAfter(Duration::from_millis(1))).await;
-        let fixture = start(&[quick], |_| {}).await;
-        // The proxy has no turn in between, as all run on this thread.
-        let mut queued: Vec<_> = (0..5)
+        let (quick, _) = start_endpoint(Behavior::AnswersAfter(Duration::from_millis(1))).await;
+        let fixture = start_proxy(&[quick], |_| {}).await;
+        // These connections stay in the backlog: the proxy runs on this thread, which does not yield before
+        // `drain`.
+        let mut backlog: Vec<_> = (0..5)
             .map(|_| std::net::TcpStream::connect(fixture.proxy.request_address).expect("connected"))
             .collect();
-        queued.iter_mut().for_each(|stream| stream.write_all(REQUEST).expect("sent"));
-        assert_eq!(fixture.proxy.drain(LIMIT).await, 0);
-        for stream in &mut queued {
+        backlog.iter_mut().for_each(|stream| stream.write_all(REQUEST).expect("sent"));
+        assert_eq!(fixture.proxy.drain(TIME_LIMIT).await, 0);
+        for stream in &mut backlog {
             let mut response = String::new();
             stream.read_to_string(&mut response).expect("read");
-            assert_last_answer(&response);
+            assert_closing_response(&response);
         }
     });
 }
 
-/// Guards against a drain that holds the process for as long as a client or an endpoint likes.
+/// Guards against a drain without end, caused by an endpoint that keeps sending or a client that doesn't
+/// read.
 #[test]
-fn endless_responses_and_clients_that_read_nothing_are_cut_at_the_bound() {
+fn endless_responses_and_clients_that_read_nothing_are_cut_off_after_the_time_limit() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let endless = listener.local_addr().expect("bound");
@@ -127,9 +132,9 @@
                 });
             }
         });
-        let fixture = start(&[endless], |_| {}).await;
-        let mut unread = connect(&fixture).await;
-        unread.write_all(REQUEST).await.expect("sent");
+        let fixture = start_proxy(&[endless], |_| {}).await;
+        let mut not_reading = connect(&fixture).await;
+        not_reading.write_all(REQUEST).await.expect("sent");
         let mut reading = connect(&fixture).await;
         reading.write_all(REQUEST).await.expect("sent");
         sleep(Duration::from_millis(50)).await;
@@ -137,6 +142,6 @@
         assert_eq!(fixture.proxy.drain(Duration::from_millis(600)).await, 2);
         assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
         fixture.proxy.stop().await;
-        assert!(rest(&mut reading).await.starts_with("HTTP/1.1 200"));
+        assert!(read_until_closed(&mut reading).await.starts_with("HTTP/1.1 200"));
     });
 }
