--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use lockcroft::{EndpointStatus, HealthCheckOutcome};
-use lockcroft_proxy::CommandQueue;
+use lockcroft_proxy::ControlSession;
 use lockcroft_runtime_api::AccessLevel;
 
 use crate::simulation::{Simulation, ms};
@@ -125,7 +125,7 @@
     simulation.disconnect(0);
     let mut out = String::new();
     let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
-    CommandQueue::new(AccessLevel::Admin).execute_line(
+    ControlSession::new(AccessLevel::Admin).execute_line(
         &by_hand,
         &mut simulation.proxies[0].routing,
         &mut out,
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -10,7 +10,7 @@
 use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
 use lockcroft_fleet::{AppliedReport, AppliedVersion, Effect, FleetController, Publication, PublishError};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, CommandQueue, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
+    AttemptOutcome, Choice, ControlSession, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
 };
 use lockcroft_runtime_api::{AccessLevel, CommandReader, ResponseReader};
@@ -86,7 +86,7 @@
 pub struct FakeProxy {
     pub routing: RoutingState,
     reader: CommandReader,
-    queue: CommandQueue,
+    queue: ControlSession,
     pub connection: Option<u64>,
     /// Commands are read and carried out, but no response goes back.
     pub is_silent: bool,
@@ -113,7 +113,7 @@
         FakeProxy {
             routing: RoutingState::new(&format!("r{proxy}"), &classes, standing, limits, proxy as u64),
             reader: CommandReader::default(),
-            queue: CommandQueue::new(AccessLevel::Admin),
+            queue: ControlSession::new(AccessLevel::Admin),
             connection: None,
             is_silent: false,
             is_unreachable: false,
@@ -366,7 +366,7 @@
         }
         fake.connection = Some(connection);
         fake.reader = CommandReader::default();
-        fake.queue = CommandQueue::new(AccessLevel::Admin);
+        fake.queue = ControlSession::new(AccessLevel::Admin);
         self.fleet.connected(self.now, proxy, connection);
     }
 
--- a/crates/proxy/benches/choose.rs
+++ b/crates/proxy/benches/choose.rs
@@ -147,7 +147,7 @@
             };
             time(name, entries, &mut choose, |round| {
                 let (index, weight) = other(round);
-                chooser.borrow_mut().set(index, weight);
+                chooser.borrow_mut().set_weight(index, weight);
             });
         }
         let plain = std::cell::RefCell::new(weights.clone());
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -18,7 +18,7 @@
 impl AttemptOutcome {
     /// Whether there is proof that the endpoint did not execute the request.
     #[must_use]
-    pub fn not_executed(self) -> bool {
+    pub fn is_not_executed(self) -> bool {
         matches!(self, AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
     }
 
@@ -36,5 +36,5 @@
 /// set for the class.
 #[must_use]
 pub fn may_retry(attempts: u32, outcome: AttemptOutcome, enabled: bool) -> bool {
-    enabled && attempts == 1 && outcome.not_executed()
+    enabled && attempts == 1 && outcome.is_not_executed()
 }
--- a/crates/proxy/src/choose/mod.rs
+++ b/crates/proxy/src/choose/mod.rs
@@ -73,11 +73,11 @@
     }
 
     /// Changes the weight of one entry.
-    pub fn set(&mut self, index: usize, weight: u32) {
+    pub fn set_weight(&mut self, index: usize, weight: u32) {
         match self {
-            Chooser::SmoothWeightedRoundRobin(schedule) => schedule.set(index, weight),
+            Chooser::SmoothWeightedRoundRobin(schedule) => schedule.set_weight(index, weight),
             Chooser::WeightedRandom(weights) | Chooser::PowerOfTwoChoices(weights) => {
-                weights.set(index, weight);
+                weights.set_weight(index, weight);
             }
         }
     }
@@ -105,11 +105,11 @@
 
 /// Draws an entry by weight among the open ones.
 fn draw_open(weights: &WeightedRandom, rng: &mut WyRand, is_open: &impl Fn(usize) -> bool) -> Option<usize> {
-    if weights.total() == 0 {
+    if weights.total_weight() == 0 {
         return None;
     }
     for _ in 0..MAX_DRAWS {
-        let index = weights.at(rng.generate_range(0..weights.total().max(1)));
+        let index = weights.index_at(rng.generate_range(0..weights.total_weight().max(1)));
         if is_open(index) {
             return Some(index);
         }
--- a/crates/proxy/src/choose/smooth_weighted_round_robin.rs
+++ b/crates/proxy/src/choose/smooth_weighted_round_robin.rs
@@ -41,14 +41,14 @@
             ..SmoothWeightedRoundRobin::default()
         };
         for (index, weight) in weights.iter().enumerate() {
-            schedule.set(index, *weight);
+            schedule.set_weight(index, *weight);
         }
         schedule
     }
 
     /// Changes the weight of one entry. It is then due after half of its new interval: if it were due at once,
     /// each change would bring it a request, and after the whole interval it would come late.
-    pub fn set(&mut self, index: usize, weight: u32) {
+    pub fn set_weight(&mut self, index: usize, weight: u32) {
         if self.weights[index] == weight {
             return;
         }
--- a/crates/proxy/src/choose/weighted_random.rs
+++ b/crates/proxy/src/choose/weighted_random.rs
@@ -42,7 +42,7 @@
 
     /// Sum of all weights.
     #[must_use]
-    pub fn total(&self) -> u64 {
+    pub fn total_weight(&self) -> u64 {
         self.total
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Changes the weight of one entry.
-    pub fn set(&mut self, index: usize, weight: u32) {
+    pub fn set_weight(&mut self, index: usize, weight: u32) {
         let previous = std::mem::replace(&mut self.weights[index], weight);
         self.total = self.total - u64::from(previous) + u64::from(weight);
         let mut node = index + 1;
@@ -65,7 +65,7 @@
 
     /// The index of the entry whose range contains this point of `0..total`.
     #[must_use]
-    pub fn at(&self, point: u64) -> usize {
+    pub fn index_at(&self, point: u64) -> usize {
         debug_assert!(point < self.total);
         let mut node = 0;
         let mut remaining = point;
--- a/crates/proxy/src/commands/show.rs
+++ b/crates/proxy/src/commands/show.rs
@@ -5,7 +5,7 @@
 };
 
 use super::error::{CommandError, CommandOutput};
-use crate::routing::{Frontend, RoutingState, TableEntry};
+use crate::routing::{ClassCounters, RoutingState, TableEntry};
 
 impl RoutingState {
     pub(super) fn show_servers_state(&self, backend: Option<&str>) -> CommandOutput {
@@ -20,16 +20,16 @@
     }
 
     pub(super) fn show_stat(&self) -> String {
-        let frontends = self.frontends.iter().map(|(class, frontend)| frontend_row(class, frontend));
+        let class_counters = self.class_counters.iter().map(|(class, counters)| class_row(class, counters));
         let entries = self
             .backends
             .iter()
             .flat_map(|(name, backend)| backend.entries().iter().map(|entry| entry_row(name, entry)));
-        write_stat(&frontends.chain(entries).collect::<Vec<_>>())
+        write_stat(&class_counters.chain(entries).collect::<Vec<_>>())
     }
 
     pub(super) fn show_info(&self) -> String {
-        let requests: u64 = self.frontends.values().map(|frontend| frontend.requests).sum();
+        let requests: u64 = self.class_counters.values().map(|counters| counters.requests).sum();
         format!(
             "Name: lockcroft\nVersion: {}\nnode: {}\nCumReq: {requests}\nCurrQueue: {}\n",
             env!("CARGO_PKG_VERSION"),
@@ -62,13 +62,13 @@
     }
 }
 
-fn frontend_row(class: &str, frontend: &Frontend) -> StatRow {
+fn class_row(class: &str, counters: &ClassCounters) -> StatRow {
     StatRow {
         name: class.to_string(),
         endpoint: "FRONTEND".into(),
         status: "OPEN".into(),
-        total: frontend.requests,
-        shed: frontend.shed,
+        total: counters.requests,
+        shed: counters.shed,
         ..StatRow::default()
     }
 }
--- a/crates/proxy/src/command_queue.rs
+++ b/crates/proxy/src/control_session.rs
@@ -14,7 +14,7 @@
 const MAX_COMMANDS_PER_STEP: usize = 4;
 
 /// The state of one control connection.
-pub struct CommandQueue {
+pub struct ControlSession {
     session: Session,
     /// The epoch that the controller on this connection named.
     epoch: Option<i64>,
@@ -29,11 +29,11 @@
     commands: Vec<Command>,
 }
 
-impl CommandQueue {
+impl ControlSession {
     /// A connection on which commands of this level are allowed.
     #[must_use]
     pub fn new(level: AccessLevel) -> Self {
-        CommandQueue { session: Session::new(level), epoch: None, prepared: None }
+        ControlSession { session: Session::new(level), epoch: None, prepared: None }
     }
 
     /// Carries out a line of commands at once. If one of them is refused, none takes effect, and each says so.
@@ -48,7 +48,7 @@
         self.finish(transaction, state, out)
     }
 
-    /// Begins a line of commands. Until [`CommandQueue::finish`] no other line may take effect.
+    /// Begins a line of commands. Until [`ControlSession::finish`] no other line may take effect.
     #[must_use]
     pub fn begin(&self, commands: Vec<Command>, state: &RoutingState) -> TableTransaction {
         TableTransaction::new(commands, state)
--- a/crates/proxy/src/framing_validator.rs
+++ b/crates/proxy/src/framing_validator.rs
@@ -40,7 +40,7 @@
     UnsupportedEncoding,
     /// `Content-Length` stands beside `Transfer-Encoding`.
     #[error("a length beside chunks")]
-    LengthBesideChunks,
+    ContentLengthWithTransferEncoding,
     /// The line with the size of a chunk is malformed.
     #[error("a bad chunk")]
     InvalidChunk,
@@ -178,7 +178,7 @@
         }
     }
     match (length, chunked) {
-        (Some(_), true) => Err(FramingError::LengthBesideChunks),
+        (Some(_), true) => Err(FramingError::ContentLengthWithTransferEncoding),
         (None, true) => Ok(FramingState::NEW_CHUNK),
         (Some(length), false) if length > 0 => Ok(FramingState::Body(length)),
         _ => Ok(FramingState::NEW_HEAD),
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 
 use super::worker::Worker;
-use crate::command_queue::CommandQueue;
+use crate::control_session::ControlSession;
 
 /// A command about latencies rather than tables, known only where it stands alone on its line.
 const SHOW_LATENCIES: &str = "show times";
@@ -29,7 +29,7 @@
 
 async fn converse(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
     let mut reader = CommandReader::default();
-    let mut queue = CommandQueue::new(AccessLevel::Admin);
+    let mut queue = ControlSession::new(AccessLevel::Admin);
     loop {
         loop {
             let commands = match reader.next_line() {
@@ -54,7 +54,7 @@
 
 async fn execute(
     commands: Vec<Command>,
-    queue: &mut CommandQueue,
+    queue: &mut ControlSession,
     worker: &Worker,
     out: &mut String,
 ) -> SessionState {
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -16,8 +16,8 @@
 use super::blocking_pool::{Priority, run_blocking};
 use super::folder_watch::FolderWatch;
 use super::worker::Worker;
-use crate::command_queue::CommandQueue;
 use crate::config::TableFilesConfig;
+use crate::control_session::ControlSession;
 use crate::snapshot_commands::SnapshotCommands;
 
 /// Applied snapshots that the status file lists.
@@ -81,7 +81,7 @@
     worker: Rc<Worker>,
     folder: PathBuf,
     commands: SnapshotCommands,
-    queue: CommandQueue,
+    queue: ControlSession,
     status: proto::Status,
     /// The error that was logged last, so that it is not logged at each scan.
     logged_error: String,
@@ -94,7 +94,7 @@
             worker,
             folder: config.folder.clone(),
             commands: SnapshotCommands::default(),
-            queue: CommandQueue::new(AccessLevel::Admin),
+            queue: ControlSession::new(AccessLevel::Admin),
             logged_error: String::new(),
         }
     }
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -9,9 +9,9 @@
 
 use super::connection_pool::ConnectionPool;
 use super::latencies::Latencies;
-use crate::command_queue::CommandQueue;
 use crate::commands::changes_state;
 use crate::config::ProxyConfig;
+use crate::control_session::ControlSession;
 use crate::retry_budget::RetryBudget;
 use crate::routing::RoutingState;
 
@@ -107,7 +107,7 @@
     pub async fn execute(
         &self,
         commands: Vec<Command>,
-        queue: &mut CommandQueue,
+        queue: &mut ControlSession,
         out: &mut String,
     ) -> SessionState {
         let count = commands.len();
--- a/crates/proxy/src/routing/backend.rs
+++ b/crates/proxy/src/routing/backend.rs
@@ -62,7 +62,7 @@
         let Some(index) = self.index.get(endpoint).copied() else { return };
         change(&mut self.entries[index]);
         if !self.chooser_outdated {
-            self.chooser.set(index, self.entries[index].effective_weight());
+            self.chooser.set_weight(index, self.entries[index].effective_weight());
         }
     }
 
@@ -121,7 +121,7 @@
             let previous = entry.effective_weight();
             entry.copy_configuration(staged);
             if entry.effective_weight() != previous && !self.chooser_outdated {
-                self.chooser.set(index, entry.effective_weight());
+                self.chooser.set_weight(index, entry.effective_weight());
             }
         }
     }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -14,4 +14,4 @@
 pub use limits::{DEFAULT_TABLE, LoadBalancingLimits, MAX_WEIGHT};
 pub(crate) use requests::{ADMISSION_VARIABLE, RETRY_VARIABLE};
 pub use requests::{Choice, ChosenEndpoint};
-pub use state::{Frontend, RoutingState, TableSet};
+pub use state::{ClassCounters, RoutingState, TableSet};
--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -61,9 +61,9 @@
     pub fn admit(&mut self, class: &str, draw: f64) -> bool {
         let rate = self.class_variable(ADMISSION_VARIABLE, class).unwrap_or(ADMIT_ALL);
         let admitted = draw * 1000.0 < rate as f64;
-        if let Some(frontend) = self.frontends.get_mut(class) {
-            frontend.requests += 1;
-            frontend.shed += u64::from(!admitted);
+        if let Some(counters) = self.class_counters.get_mut(class) {
+            counters.requests += 1;
+            counters.shed += u64::from(!admitted);
         }
         admitted
     }
--- a/crates/proxy/src/routing/state.rs
+++ b/crates/proxy/src/routing/state.rs
@@ -14,7 +14,7 @@
 
 /// Counters of one class of requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Frontend {
+pub struct ClassCounters {
     /// Requests that came.
     pub requests: u64,
     /// Requests shed by the admission rate.
@@ -39,7 +39,7 @@
     /// Variables of the scope `proc`, by their whole names.
     pub variables: BTreeMap<String, i64>,
     /// Counters by class.
-    pub frontends: BTreeMap<String, Frontend>,
+    pub class_counters: BTreeMap<String, ClassCounters>,
     /// Requests that wait for an endpoint with capacity. Shared by all copies, as requests count while commands are
     /// staged.
     pub queued_requests: Rc<Cell<usize>>,
@@ -81,7 +81,7 @@
             prepared_maps: BTreeMap::new(),
             last_prepared_version: 0,
             variables: BTreeMap::new(),
-            frontends: classes.iter().map(|class| (class.clone(), Frontend::default())).collect(),
+            class_counters: classes.iter().map(|class| (class.clone(), ClassCounters::default())).collect(),
             queued_requests: Rc::default(),
             rng: WyRand::new_seed(seed),
             version: 0,
--- a/crates/proxy/tests/attempt_counts.rs
+++ b/crates/proxy/tests/attempt_counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, ChosenEndpoint, CommandQueue, LoadBalancingLimits, LoadBalancingPolicy,
+    AttemptOutcome, Choice, ChosenEndpoint, ControlSession, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState,
 };
 use lockcroft_runtime_api::{AccessLevel, CommandReader};
@@ -44,7 +44,7 @@
 
 struct Model {
     state: RoutingState,
-    queue: CommandQueue,
+    queue: ControlSession,
     attempts: Vec<Attempt>,
     /// Which entry of each name there is now: a number for each time that one was added.
     entries: [Option<usize>; ENDPOINTS],
@@ -68,7 +68,7 @@
         let state = RoutingState::new("p", &[CLASS.to_string()], &table, limits, 1);
         Model {
             state,
-            queue: CommandQueue::new(AccessLevel::Admin),
+            queue: ControlSession::new(AccessLevel::Admin),
             attempts: Vec::new(),
             entries: [Some(0); ENDPOINTS],
             last_entry: 0,
--- a/crates/proxy/tests/choose.rs
+++ b/crates/proxy/tests/choose.rs
@@ -15,14 +15,14 @@
         let (mut tree, mut plain) = (WeightedRandom::new(&weights), weights);
         for (index, weight) in changes {
             let index = index % plain.len();
-            tree.set(index, weight);
+            tree.set_weight(index, weight);
             plain[index] = weight;
         }
         let owners = plain.iter().enumerate().flat_map(|(index, weight)| vec![index; *weight as usize]);
         let owners: Vec<usize> = owners.collect();
-        prop_assert_eq!(tree.total(), owners.len() as u64);
+        prop_assert_eq!(tree.total_weight(), owners.len() as u64);
         for (point, owner) in owners.iter().enumerate() {
-            prop_assert_eq!(tree.at(point as u64), *owner);
+            prop_assert_eq!(tree.index_at(point as u64), *owner);
         }
     }
 
@@ -64,7 +64,7 @@
 fn weight_changes_do_not_accumulate_in_the_queue() {
     let mut schedule = SmoothWeightedRoundRobin::new(&[5; 100]);
     for change in 0..100_000 {
-        schedule.set(change % 100, 1 + (change / 100 % 7) as u32);
+        schedule.set_weight(change % 100, 1 + (change / 100 % 7) as u32);
     }
     assert!(schedule.queue_len() <= 216, "{}", schedule.queue_len());
 }
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -23,7 +23,7 @@
         let (mut attempts, mut may_have_run) = (0, 0);
         for outcome in history {
             attempts += 1;
-            may_have_run += u32::from(!outcome.not_executed());
+            may_have_run += u32::from(!outcome.is_not_executed());
             if !may_retry(attempts, outcome, enabled) {
                 break;
             }
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -6,7 +6,7 @@
 
 use expect_test::{Expect, expect};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, ChosenEndpoint, CommandQueue, LoadBalancingLimits, LoadBalancingPolicy,
+    AttemptOutcome, Choice, ChosenEndpoint, ControlSession, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
 };
 use lockcroft_runtime_api::{AccessLevel, split};
@@ -179,7 +179,7 @@
     }
 
     /// Carries out a line of commands, with requests between its steps.
-    fn commands(&mut self, queue: &mut CommandQueue) {
+    fn commands(&mut self, queue: &mut ControlSession) {
         let count = self.rng.generate_range(1..8_u8);
         let line: Vec<String> = (0..count).map(|_| command(&mut self.rng)).collect();
         let line = line.join("; ");
@@ -219,9 +219,9 @@
         transcript: String::new(),
     };
     let mut queues = [
-        CommandQueue::new(AccessLevel::Admin),
-        CommandQueue::new(AccessLevel::Admin),
-        CommandQueue::new(AccessLevel::User),
+        ControlSession::new(AccessLevel::Admin),
+        ControlSession::new(AccessLevel::Admin),
+        ControlSession::new(AccessLevel::User),
     ];
     let mut snapshots = SnapshotCommands::default();
     for step in 0..400 {
