--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -62,7 +62,7 @@
     if path.as_os_str().is_empty() {
         return Err(CliError::NoPlatformConfig);
     }
-    io::open(path).map_err(CliError::other)
+    io::read_config(path).map_err(CliError::other)
 }
 
 fn start_logs(levels: String) -> Result<(), CliError> {
--- a/crates/fleet/src/endpoint_list.rs
+++ b/crates/fleet/src/endpoint_list.rs
@@ -58,7 +58,7 @@
         let mut previous = std::mem::take(&mut self.listed);
         self.version = list.version;
         for entry in list.entries {
-            let endpoint = self.names.index(&entry.name);
+            let endpoint = self.names.intern(&entry.name);
             let same_start =
                 previous.remove(&endpoint).filter(|listed| listed.entry.started_at == entry.started_at);
             let observed_age = match same_start {
@@ -117,7 +117,7 @@
 
     /// The id of a name that was met at a proxy; such an endpoint need not be on the list.
     pub fn intern(&mut self, name: &str) -> EndpointId {
-        self.names.index(name)
+        self.names.intern(name)
     }
 
     /// The id of an endpoint of the list.
--- a/crates/host/src/names.rs
+++ b/crates/host/src/names.rs
@@ -14,7 +14,7 @@
 
 impl NameInterner {
     /// The index of a name; a new one if the name was not seen before.
-    pub fn index(&mut self, name: &str) -> EndpointId {
+    pub fn intern(&mut self, name: &str) -> EndpointId {
         if let Some(index) = self.indices.get(name) {
             return *index;
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -20,7 +20,7 @@
     /// How many descriptors this process may hold.
     pub max_descriptors: usize,
     /// The endpoint list as this controller last held it, in the form of discovery's messages.
-    pub last_known_list: Option<Value>,
+    pub last_known_endpoint_list: Option<Value>,
     /// The settings of the decisions.
     pub settings: Settings,
 }
@@ -64,7 +64,7 @@
             discovery: address(&value, "discovery")?,
             seed,
             max_descriptors,
-            last_known_list: value.get("known").filter(|known| !known.is_null()).cloned(),
+            last_known_endpoint_list: value.get("known").filter(|known| !known.is_null()).cloned(),
             settings,
         })
     }
--- a/crates/platform/src/connection_admission.rs
+++ b/crates/platform/src/connection_admission.rs
@@ -34,7 +34,7 @@
 
 /// What to do about the next connection in the listener's queue.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Acceptance {
+pub enum AcceptDecision {
     /// Accept it.
     Accept,
     /// Close this connection, which has not attached, before asking again.
@@ -60,22 +60,22 @@
     }
 
     /// What to do before a connection is accepted.
-    pub fn acceptance(&self, now: Duration, endpoints: usize) -> Acceptance {
+    pub fn accept_decision(&self, now: Duration, endpoints: usize) -> AcceptDecision {
         if self.has_capacity(endpoints) {
-            return Acceptance::Accept;
+            return AcceptDecision::Accept;
         }
         if !self.closing.is_empty() {
-            return Acceptance::Wait(CLOSING_POLL_INTERVAL);
+            return AcceptDecision::Wait(CLOSING_POLL_INTERVAL);
         }
         let Some((connection, accepted_at)) = self.unattached.first_key_value() else {
             // All connections are attached: one descriptor too many is better than a proxy without a controller.
-            return Acceptance::Accept;
+            return AcceptDecision::Accept;
         };
         let evictable_at = *accepted_at + ATTACH_TIMEOUT_WHEN_FULL;
         if evictable_at <= now {
-            Acceptance::Evict(*connection)
+            AcceptDecision::Evict(*connection)
         } else {
-            Acceptance::Wait(evictable_at - now)
+            AcceptDecision::Wait(evictable_at - now)
         }
     }
 
--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -44,7 +44,7 @@
         /// Which connection to close.
         connection: ConnectionId,
     },
-    /// Read what has come on the connection, then call [`ControlPlane::final_read_done`].
+    /// Read what has come on the connection, then call [`ControlPlane::final_read_completed`].
     FinalRead {
         /// Which connection to read.
         connection: ConnectionId,
--- a/crates/platform/src/control_plane/sessions.rs
+++ b/crates/platform/src/control_plane/sessions.rs
@@ -6,7 +6,7 @@
 use tracing::{debug, info};
 
 use super::{ControlPlane, Effect};
-use crate::connection_admission::{Acceptance, ConnectionId, MAX_COLLECTORS_PER_ZONE};
+use crate::connection_admission::{AcceptDecision, ConnectionId, MAX_COLLECTORS_PER_ZONE};
 use crate::inbound::ProxyAttach;
 use crate::outbound::encode_reject;
 use crate::proxy_stream::ProxyStream;
@@ -25,8 +25,8 @@
 impl ControlPlane {
     /// What to do about the next connection in the listener's queue.
     #[must_use]
-    pub fn acceptance(&self, now: Duration) -> Acceptance {
-        self.admission.acceptance(now, self.endpoints.len())
+    pub fn accept_decision(&self, now: Duration) -> AcceptDecision {
+        self.admission.accept_decision(now, self.endpoints.len())
     }
 
     /// Whether descriptors are left for more connections.
@@ -48,7 +48,7 @@
     }
 
     /// What the connection had sent before its final read was handled.
-    pub fn final_read_done(&mut self, connection: ConnectionId) {
+    pub fn final_read_completed(&mut self, connection: ConnectionId) {
         if self.roles.get(&connection) == Some(&Role::Unattached) {
             self.reject(connection, "no joining in time");
         }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -99,7 +99,7 @@
         let update = self.read_entries(now, &message, names);
         // A list of which nothing can be used must not take away all that is held.
         if update.is_complete && update.records.is_empty() && !self.listed.is_empty() {
-            return Err(ListError::NothingUsable { rejected: update.errors.len() });
+            return Err(ListError::NoUsableEntry { rejected: update.errors.len() });
         }
         if update.is_complete {
             self.remove_unlisted(&update.records);
@@ -114,12 +114,12 @@
         let version = message.version;
         let held = self.version;
         if !message.is_complete && held.is_none_or(|held| version < held) {
-            return Err(ListError::ChangesWithoutBase { version, held });
+            return Err(ListError::ChangesWithoutBase { version, current: held });
         }
         if held.is_some_and(|held| version < held) {
             let stale_since = *self.stale_since.get_or_insert(now.elapsed);
             if now.elapsed < stale_since + MAX_DISCOVERY_DELAY {
-                return Err(ListError::Stale { version, held });
+                return Err(ListError::Stale { version, current: held });
             }
         }
         Ok(())
@@ -142,7 +142,7 @@
     }
 
     fn record(&mut self, now: Now, entry: &ListEntry) -> EndpointRecord {
-        let endpoint = self.names.index(entry.name);
+        let endpoint = self.names.intern(entry.name);
         self.addresses.insert(endpoint, entry.address);
         let age = entry.started_unix_ms.map(|started_unix_ms| self.age(now, endpoint, started_unix_ms));
         EndpointRecord {
--- a/crates/platform/src/io/connection.rs
+++ b/crates/platform/src/io/connection.rs
@@ -78,7 +78,7 @@
             }
             if self.handle.final_read.take() {
                 self.read_what_came().await?;
-                self.shared.control_plane.borrow_mut().final_read_done(self.connection);
+                self.shared.control_plane.borrow_mut().final_read_completed(self.connection);
                 self.shared.after_input();
                 continue;
             }
--- a/crates/platform/src/io/listener.rs
+++ b/crates/platform/src/io/listener.rs
@@ -13,7 +13,7 @@
 use super::error::ServeError;
 use super::shared::{AcceptedConnection, Shared};
 use crate::config::Config;
-use crate::connection_admission::Acceptance;
+use crate::connection_admission::AcceptDecision;
 
 /// How long the address may still be held by the process of before a restart.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
@@ -51,15 +51,15 @@
 pub async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         // Asked before a connection is accepted, as one that is accepted holds a descriptor.
-        let acceptance = shared.control_plane.borrow().acceptance(shared.now());
-        match acceptance {
-            Acceptance::Accept => accept_next(&listener, &shared).await,
-            Acceptance::Evict(connection) => {
+        let accept_decision = shared.control_plane.borrow().accept_decision(shared.now());
+        match accept_decision {
+            AcceptDecision::Accept => accept_next(&listener, &shared).await,
+            AcceptDecision::Evict(connection) => {
                 let effect = shared.control_plane.borrow_mut().request_final_read(connection);
                 shared.carry_out(vec![effect]);
                 yield_now().await;
             }
-            Acceptance::Wait(wait) => sleep(wait).await,
+            AcceptDecision::Wait(wait) => sleep(wait).await,
         }
     }
 }
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -20,7 +20,7 @@
 use crate::config::Config;
 
 pub use self::error::{ConfigFileError, ServeError};
-pub use self::reload::open;
+pub use self::reload::read_config;
 
 /// Runs the controller until SIGTERM; proxies keep their tables then. SIGHUP reads the file at `path` again.
 ///
--- a/crates/platform/src/io/reload.rs
+++ b/crates/platform/src/io/reload.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// The file can't be read or used.
-pub fn open(path: &Path) -> Result<Config, ConfigFileError> {
+pub fn read_config(path: &Path) -> Result<Config, ConfigFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigFileError::Read { path: path.to_path_buf(), source })?;
     Config::parse(&text).map_err(|source| ConfigFileError::Invalid { path: path.to_path_buf(), source })
@@ -29,7 +29,7 @@
 /// end. A file that can't be used changes nothing; as it may be half written, it is read a few times more.
 pub async fn reload(path: PathBuf, discovery_address: watch::Sender<SocketAddr>) {
     for _ in 0..RELOAD_ATTEMPTS {
-        match open(&path) {
+        match read_config(&path) {
             Ok(config) => {
                 let new = config.discovery;
                 let changed = discovery_address.send_if_modified(|held| std::mem::replace(held, new) != new);
--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -27,7 +27,7 @@
 /// Serves on the listener until SIGTERM.
 pub async fn run(path: &Path, config: Config, listener: TcpListener, mut signals: Signals) {
     let shared = Shared::new(&config);
-    apply_last_known_list(&shared, &config);
+    apply_last_known_endpoint_list(&shared, &config);
     let accepting = spawn_local(listener::accept(listener, shared.clone()));
     let (discovery_address, discovery_changes) = watch::channel(config.discovery);
     spawn_local(discovery::follow(discovery_changes, shared.clone()));
@@ -59,8 +59,8 @@
 }
 
 /// Starts from the list that the platform kept of this controller's last run.
-fn apply_last_known_list(shared: &Shared, config: &Config) {
-    let Some(list) = &config.last_known_list else { return };
+fn apply_last_known_endpoint_list(shared: &Shared, config: &Config) {
+    let Some(list) = &config.last_known_endpoint_list else { return };
     let applied = shared.control_plane.borrow_mut().update_endpoints(shared.now(), unix_ms(), list);
     if let Err(error) = applied {
         warn!(target: "lockcroft::endpoints", %error, "the list of before can't be used");
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -21,7 +21,7 @@
 mod proxy_stream;
 
 pub use config::{Config, ConfigError};
-pub use connection_admission::{Acceptance, ConnectionId};
+pub use connection_admission::{AcceptDecision, ConnectionId};
 pub use control_plane::{ControlPlane, Counters, Effect};
 pub use list_message::{EntryError, ListError};
 pub use load_report::parse_load_report;
--- a/crates/platform/src/list_message.rs
+++ b/crates/platform/src/list_message.rs
@@ -13,32 +13,32 @@
 pub enum ListError {
     /// The version is missing.
     #[error("index: not a whole number")]
-    NoVersion,
+    MissingVersion,
     /// It does not say whether it is the whole list.
     #[error("snapshot: neither true nor false")]
-    NoForm,
+    MissingSnapshotFlag,
     /// There is no list of entries.
     #[error("endpoints: not a list")]
-    NoEntries,
+    MissingEntries,
     /// Changes that do not continue the list that is held.
-    #[error("changes to version {version} on top of {held:?}")]
+    #[error("changes to version {version} on top of {current:?}")]
     ChangesWithoutBase {
         /// The version of the changes.
         version: u64,
         /// The version that is held.
-        held: Option<u64>,
+        current: Option<u64>,
     },
     /// A whole list that is older than the one that is held.
-    #[error("a whole list of version {version}, older than {held:?}")]
+    #[error("a whole list of version {version}, older than {current:?}")]
     Stale {
         /// The version of the whole list.
         version: u64,
         /// The version that is held.
-        held: Option<u64>,
+        current: Option<u64>,
     },
     /// A whole list of which nothing can be used, while endpoints are held.
     #[error("a whole list without a usable entry, {rejected} faults")]
-    NothingUsable {
+    NoUsableEntry {
         /// How many entries could not be used.
         rejected: usize,
     },
@@ -96,9 +96,9 @@
     /// # Errors
     /// The message as a whole can't be used.
     pub fn parse(message: &'a Value) -> Result<Self, ListError> {
-        let version = message["index"].as_u64().ok_or(ListError::NoVersion)?;
-        let is_complete = message["snapshot"].as_bool().ok_or(ListError::NoForm)?;
-        let entries = message["endpoints"].as_array().ok_or(ListError::NoEntries)?;
+        let version = message["index"].as_u64().ok_or(ListError::MissingVersion)?;
+        let is_complete = message["snapshot"].as_bool().ok_or(ListError::MissingSnapshotFlag)?;
+        let entries = message["endpoints"].as_array().ok_or(ListError::MissingEntries)?;
         Ok(ListMessage { version, is_complete, entries })
     }
 }
--- a/crates/platform/tests/controller/harness.rs
+++ b/crates/platform/tests/controller/harness.rs
@@ -121,7 +121,7 @@
                     let _ = writeln!(self.trace, "{at:.1} {connection} ends");
                 }
                 Effect::FinalRead { connection } => {
-                    self.control_plane.final_read_done(connection);
+                    self.control_plane.final_read_completed(connection);
                     let effects = self.control_plane.take_effects();
                     self.carry_out(effects);
                 }
--- a/crates/platform/tests/controller/sessions.rs
+++ b/crates/platform/tests/controller/sessions.rs
@@ -123,17 +123,18 @@
     (2..25).for_each(|connection| {
         harness.accept(connection);
     });
-    let acceptance = |harness: &Harness| format!("{:?}", harness.control_plane.acceptance(harness.now));
-    assert_eq!(acceptance(&harness), "Wait(300ms)");
+    let accept_decision =
+        |harness: &Harness| format!("{:?}", harness.control_plane.accept_decision(harness.now));
+    assert_eq!(accept_decision(&harness), "Wait(300ms)");
     harness.run_to(0.3);
-    assert_eq!(acceptance(&harness), "Evict(2)");
+    assert_eq!(accept_decision(&harness), "Evict(2)");
     let effect = harness.control_plane.request_final_read(2);
     assert_eq!(effect, Effect::FinalRead { connection: 2 });
     // One is closed at a time, and counts until its descriptor is free.
-    harness.control_plane.final_read_done(2);
-    assert_eq!(acceptance(&harness), "Wait(2ms)");
+    harness.control_plane.final_read_completed(2);
+    assert_eq!(accept_decision(&harness), "Wait(2ms)");
     harness.control_plane.connection_closed(2);
-    assert_eq!(acceptance(&harness), "Accept");
+    assert_eq!(accept_decision(&harness), "Accept");
 }
 
 #[test]
@@ -145,7 +146,7 @@
     // What the first one had sent is read now.
     let attachment = r#"{"t":"attach","node":3,"locality":"a","w":5,"cold":true}"#;
     harness.control_plane.line_received(harness.now, 1, attachment.as_bytes());
-    [1, 2].into_iter().for_each(|connection| harness.control_plane.final_read_done(connection));
+    [1, 2].into_iter().for_each(|connection| harness.control_plane.final_read_completed(connection));
     let trace = harness.run_to(6.0);
     assert!(trace.contains("1 < {\"t\":\"assign\",\"full\":true"), "{trace}");
     assert!(trace.contains("2 ends") && !trace.contains("1 ends"), "{trace}");
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -75,7 +75,7 @@
         let failed = event.number("failed tries")?;
         event.word("zone")?;
         event.time("period")?;
-        let endpoint = self.endpoints.index(event.word("server")?);
+        let endpoint = self.endpoints.intern(event.word("server")?);
         event.word("load report")?;
         let now = self.now(clock);
         self.guard(|controller| controller.record_attempts(now, endpoint, attempts, failed, mean_latency));
@@ -99,7 +99,7 @@
         clock: Duration,
         event: &mut EventReader,
     ) -> Result<(), EventError> {
-        let endpoint = self.endpoints.index(event.word("server")?);
+        let endpoint = self.endpoints.intern(event.word("server")?);
         let verdict = event.word("verdict")?;
         let duration = event.time("time")?;
         let load = event.load("load report")?;
@@ -143,7 +143,7 @@
         clock: Duration,
         event: &mut EventReader,
     ) -> Result<EndpointRecord, EventError> {
-        let endpoint = self.endpoints.index(event.word("server")?);
+        let endpoint = self.endpoints.intern(event.word("server")?);
         let zone = self.names.zone(event.word("zone")?)?;
         let machine_type = self.names.machine_type(event.word("kind")?)?;
         event.number::<i64>("cell")?;
