--- a/crates/cli/src/snapshot_rows.rs
+++ b/crates/cli/src/snapshot_rows.rs
@@ -27,7 +27,7 @@
         for (class, assignment) in &group.assignments {
             let table = assignment.table;
             let admission_rate = f64::from(assignment.admission_per_mille) / 1e3;
-            let retries = if assignment.retries { ", second tries" } else { "" };
+            let retries = if assignment.allows_retries { ", second tries" } else { "" };
             rows.push(format!("{class} t{table} let in {admission_rate}{retries} at {proxies}"));
         }
     }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -6,7 +6,8 @@
 
 use clap::Subcommand;
 use lockcroft_state_store::{
-    DirectoryStorage, EntryValue, Key, LoadedState, RecoveryError, Store, StoreIdentity, load, read_identity,
+    DirectoryStorage, EntryKey, EntryValue, LoadedState, RecoveryError, Store, StoreIdentity, load,
+    read_identity,
 };
 use serde_json::{Value, json};
 
@@ -68,17 +69,17 @@
 }
 
 /// One learned value with the time of its entry, in milliseconds since the Unix epoch.
-fn entry_json(key: &Key, at_ms: u64, value: &EntryValue) -> Value {
+fn entry_json(key: &EntryKey, at_ms: u64, value: &EntryValue) -> Value {
     match (key, value) {
-        (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => json!({
+        (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => json!({
             "at_ms": at_ms, "server": name, "zone": endpoint.zone, "kind": endpoint.machine_type, "gone": endpoint.removed,
             "draining": endpoint.draining, "counter": endpoint.health_counter, "relief": endpoint.weight_factor,
             "warm_ms": endpoint.slow_start_until_ms, "doubted_until_ms": endpoint.outlier_until_ms,
         }),
-        (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
+        (EntryKey::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
             json!({"at_ms": at_ms, "class": class, "table": table, "level": rate})
         }
-        (Key::Capacity(endpoint), EntryValue::Capacity(cores)) => {
+        (EntryKey::Capacity(endpoint), EntryValue::Capacity(cores)) => {
             json!({"at_ms": at_ms, "server": endpoint, "cores": cores})
         }
         (key, value) => json!({"at_ms": at_ms, "key": format!("{key:?}"), "what": format!("{value:?}")}),
--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -120,8 +120,11 @@
             weight,
         };
         let table = lockcroft_table_format::Table { entries: [("e1".to_string(), line)].into() };
-        let bound =
-            lockcroft_table_format::ProxyAssignment { table: 3, admission_per_mille: 500, retries: true };
+        let bound = lockcroft_table_format::ProxyAssignment {
+            table: 3,
+            admission_per_mille: 500,
+            allows_retries: true,
+        };
         let group = lockcroft_table_format::ProxyGroup {
             proxies: ["r1".to_string(), "r2".to_string()].into(),
             assignments: [("look-up".to_string(), bound)].into(),
--- a/crates/daemon/src/state_writer.rs
+++ b/crates/daemon/src/state_writer.rs
@@ -9,8 +9,8 @@
 use lockcroft_config::DaemonConfig;
 use lockcroft_fleet::StateStoreStatus;
 use lockcroft_state_store::{
-    AgeingRules, DirectoryStorage, Entry, LoadedState, RecoveredState, RecoveryError, Store, StoreIdentity,
-    age,
+    DirectoryStorage, Entry, LoadedState, RecoveredState, RecoveryError, RecoverySettings, Store,
+    StoreIdentity, recover_state,
 };
 use tracing::{info, warn};
 
@@ -80,7 +80,7 @@
         warn!(target: "lockcroft::state_store", "{remark}");
     }
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let recovered = age(&state, now.as_millis() as u64, &ageing_rules(settings));
+    let recovered = recover_state(&state, now.as_millis() as u64, &ageing_rules(settings));
     // These field names stand in the page on the state store.
     info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recovered.endpoints.len(),
         levels = recovered.admission_rates.len(), ahead = recovered.future_entries, us = started.elapsed().as_micros() as u64, "recalled");
@@ -95,8 +95,8 @@
     StoreIdentity::from_names(&config.name, names)
 }
 
-fn ageing_rules(settings: &Settings) -> AgeingRules {
-    AgeingRules {
+fn ageing_rules(settings: &Settings) -> RecoverySettings {
+    RecoverySettings {
         report_period: settings.fleet.report_period.max(MIN_REPORT_PERIOD),
         slow_start_window: settings.rules.slow_start_window,
     }
--- a/crates/fleet/src/snapshot_content.rs
+++ b/crates/fleet/src/snapshot_content.rs
@@ -57,6 +57,6 @@
     ProxyAssignment {
         table: table as u32,
         admission_per_mille: (admission.fraction * 1000.0).round() as u32,
-        retries: admission.retry,
+        allows_retries: admission.retry,
     }
 }
--- a/crates/fleet/src/state_recorder.rs
+++ b/crates/fleet/src/state_recorder.rs
@@ -8,7 +8,7 @@
 
 use lockcroft::{ClassAdmission, EndpointId, EndpointState, EndpointStatus};
 use lockcroft_host::NameIndex;
-use lockcroft_state_store::{Entry, EntryValue, Key, RecordedEndpoint};
+use lockcroft_state_store::{Entry, EntryKey, EntryValue, RecordedEndpoint};
 
 use crate::endpoint_list::EndpointList;
 
@@ -21,7 +21,7 @@
 
 pub struct StateRecorder {
     /// What was given out last.
-    recorded: BTreeMap<Key, EntryValue>,
+    recorded: BTreeMap<EntryKey, EntryValue>,
     /// The endpoint behind which the next slice begins; admission comes with the first slice.
     resume_after: Option<EndpointId>,
     due: Duration,
@@ -77,14 +77,14 @@
         let mut entries = Vec::new();
         if self.resume_after.is_none() {
             for admission in admissions {
-                let key = Key::AdmissionRate(admission.name.clone(), admission.table as u32);
+                let key = EntryKey::AdmissionRate(admission.name.clone(), admission.table as u32);
                 self.record(now, key, EntryValue::AdmissionRate(round_to_step(admission.rate)), &mut entries);
             }
         }
         let start = self.resume_after.map_or(Unbounded, Excluded);
         let mut last = None;
         for (endpoint, state) in endpoints.range((start, Unbounded)).take(MAX_SLICE_ENDPOINTS) {
-            let key = Key::Endpoint(list.name(*endpoint).into());
+            let key = EntryKey::Endpoint(list.name(*endpoint).into());
             let value = EntryValue::Endpoint(self.endpoint_note(now, state, names));
             self.record(now, key, value, &mut entries);
             last = Some(*endpoint);
@@ -105,13 +105,13 @@
         let mut entries = Vec::new();
         for (endpoint, cores) in capacities {
             let cores = (cores * STEPS).round().max(1.0) / STEPS;
-            let key = Key::Capacity(list.name(endpoint).into());
+            let key = EntryKey::Capacity(list.name(endpoint).into());
             self.record(now, key, EntryValue::Capacity(cores), &mut entries);
         }
         entries
     }
 
-    fn record(&mut self, now: Duration, key: Key, value: EntryValue, entries: &mut Vec<Entry>) {
+    fn record(&mut self, now: Duration, key: EntryKey, value: EntryValue, entries: &mut Vec<Entry>) {
         if self.recorded.get(&key) != Some(&value) {
             self.recorded.insert(key.clone(), value.clone());
             entries.push(Entry { at_ms: self.wall_clock_ms(now), key, value });
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -16,7 +16,7 @@
 use lockcroft_runtime_api::{AccessLevel, CommandReader, ResponseReader};
 use lockcroft_state_store::Entry;
 use lockcroft_table_format::ProxyAssignment;
-use lockcroft_table_store::{AppliedSnapshot, WrittenSnapshot};
+use lockcroft_table_store::{ProxySnapshot, WrittenSnapshot};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -416,14 +416,14 @@
                 continue;
             }
             let name = format!("r{number}");
-            let group = content.group_of(&name).map(|number| content.groups[&number].clone());
+            let group = content.group_number_of(&name).map(|number| content.groups[&number].clone());
             let bound = group.unwrap_or_default().assignments;
             let table =
                 |assignment: &ProxyAssignment| (assignment.table, content.tables[&assignment.table].clone());
             let tables = bound.values().map(table).collect();
             let withdrawn = content.ejected.clone();
             let snapshot =
-                AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+                ProxySnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
             for command in proxy.file_commands.commands(&proxy.routing, &snapshot) {
                 proxy.routing.execute(&command).expect("a command that can be carried out");
                 writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.joined_words())
--- a/crates/fleet/tests/updates/state_recovery.rs
+++ b/crates/fleet/tests/updates/state_recovery.rs
@@ -1,7 +1,7 @@
 //! A controller that is restarted: what was given out to be persisted, aged, is what the next one begins with.
 
 use lockcroft::{EndpointStatus, HealthCheckOutcome};
-use lockcroft_state_store::{AgeingRules, EntryValue, Key, RecoveredState, State, age};
+use lockcroft_state_store::{EntryKey, EntryValue, RecoveredState, RecoverySettings, State, recover_state};
 
 use crate::simulation::{Simulation, ms};
 
@@ -15,7 +15,7 @@
 }
 
 fn recovered(state: &State, at_ms: u64) -> RecoveredState {
-    age(state, at_ms, &AgeingRules { report_period: ms(1000), slow_start_window: ms(10_000) })
+    recover_state(state, at_ms, &RecoverySettings { report_period: ms(1000), slow_start_window: ms(10_000) })
 }
 
 /// A controller that recovers its state, and then sees the list.
@@ -30,7 +30,7 @@
     let mut simulation = restarted(Simulation::without_list(3, 1), RecoveredState::default());
     simulation.run_to(8000);
     let given_out = simulation.saved_state.len();
-    assert!(simulation.saved_state.iter().any(|entry| entry.key == Key::Endpoint("e1".into())));
+    assert!(simulation.saved_state.iter().any(|entry| entry.key == EntryKey::Endpoint("e1".into())));
     simulation.run_to(20_000);
     assert_eq!(
         simulation.saved_state.len(),
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -9,7 +9,7 @@
 use lockcroft_runtime_api::AccessLevel;
 use lockcroft_table_format::proto;
 use lockcroft_table_store::{
-    AppliedSnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, read_keys, write_status,
+    ProxySnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, read_keys, write_status,
 };
 use tracing::{info, warn};
 
@@ -139,7 +139,7 @@
         true
     }
 
-    fn record_applied(&mut self, snapshot: &AppliedSnapshot, batch_version: u64) {
+    fn record_applied(&mut self, snapshot: &ProxySnapshot, batch_version: u64) {
         let (epoch, version, assigned) = (snapshot.epoch, snapshot.version, !snapshot.assignments.is_empty());
         info!(target: "lockcroft::table_files", epoch, version, batch = batch_version, assigned, "applied");
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -160,7 +160,7 @@
     }
 
     /// Applies a snapshot; the version of the batch that came of it, 0 if nothing changed.
-    async fn apply(&mut self, snapshot: &AppliedSnapshot) -> u64 {
+    async fn apply(&mut self, snapshot: &ProxySnapshot) -> u64 {
         let commands = self.commands.commands(&self.worker.state(), snapshot);
         if commands.is_empty() {
             return 0;
--- a/crates/proxy/src/snapshot_commands.rs
+++ b/crates/proxy/src/snapshot_commands.rs
@@ -6,7 +6,7 @@
 use lockcroft_runtime_api::Command;
 use lockcroft_runtime_api::tables::class_variable_name;
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry as SnapshotEntry};
-use lockcroft_table_store::AppliedSnapshot;
+use lockcroft_table_store::ProxySnapshot;
 
 use crate::routing::{ADMISSION_VARIABLE, Backend, RETRY_VARIABLE, RoutingState, TableEntry};
 
@@ -20,7 +20,7 @@
 
 impl SnapshotCommands {
     /// The commands from the current state to a snapshot; none where nothing differs.
-    pub fn commands(&mut self, state: &RoutingState, snapshot: &AppliedSnapshot) -> Vec<Command> {
+    pub fn commands(&mut self, state: &RoutingState, snapshot: &ProxySnapshot) -> Vec<Command> {
         let ejected = self.ejected(snapshot);
         let mut commands = CommandWriter { commands: Vec::new(), ejected: &ejected };
         for (number, table) in &snapshot.tables {
@@ -43,7 +43,7 @@
     }
 
     /// The endpoints that are ejected by this snapshot, and by the one that the tables come from.
-    fn ejected(&mut self, snapshot: &AppliedSnapshot) -> BTreeSet<String> {
+    fn ejected(&mut self, snapshot: &ProxySnapshot) -> BTreeSet<String> {
         if snapshot.assignments.is_empty() {
             return self.ejected_with_tables.union(&snapshot.ejected).cloned().collect();
         }
@@ -136,7 +136,7 @@
             class,
             i64::from(assignment.admission_per_mille),
         );
-        self.write_class_variable(state, RETRY_VARIABLE, class, i64::from(assignment.retries));
+        self.write_class_variable(state, RETRY_VARIABLE, class, i64::from(assignment.allows_retries));
         let table = table_name(assignment.table);
         if state.class_map.get(class) != Some(&table) {
             let action = if state.class_map.contains_key(class) { "set" } else { "add" };
--- a/crates/proxy/tests/table_files.rs
+++ b/crates/proxy/tests/table_files.rs
@@ -80,7 +80,7 @@
             let (name, address) = self.endpoints[*i];
             (name.to_string(), TableEntry { address, weight: 256 })
         };
-        let assignment = ProxyAssignment { table: 0, admission_per_mille: 1000, retries: false };
+        let assignment = ProxyAssignment { table: 0, admission_per_mille: 1000, allows_retries: false };
         SnapshotContent {
             tables: BTreeMap::from([(0, Table { entries: endpoints.iter().map(entry).collect() })]),
             groups: BTreeMap::from([(
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -11,7 +11,7 @@
 };
 use lockcroft_runtime_api::{AccessLevel, split};
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry};
-use lockcroft_table_store::AppliedSnapshot;
+use lockcroft_table_store::ProxySnapshot;
 use nanorand::{Rng, WyRand};
 
 const CLASSES: [&str; 2] = ["look-up", "search"];
@@ -195,14 +195,17 @@
 
     fn snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
         let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
-        let assignment =
-            |table: u32| ProxyAssignment { table, admission_per_mille: 900 + table, retries: table == 0 };
+        let assignment = |table: u32| ProxyAssignment {
+            table,
+            admission_per_mille: 900 + table,
+            allows_retries: table == 0,
+        };
         let all =
             BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
         let bound = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
         let withdrawn = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
         let tables = if bound.is_empty() { BTreeMap::new() } else { tables };
-        let snapshot = AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+        let snapshot = ProxySnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
         for command in commands.commands(&self.state, &snapshot) {
             let answer = self.state.execute(&command).map_err(|error| error.to_string());
             self.transcript += &format!("{}: {answer:?}\n", command.joined_words());
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -114,7 +114,7 @@
 
 /// What a snapshot holds for this proxy.
 fn applied_event(proxy: &str, applied: &proto::Laid, content: &SnapshotContent) -> TrafficEvent {
-    let group = content.group_of(proxy).map(|number| &content.groups[&number]);
+    let group = content.group_number_of(proxy).map(|number| &content.groups[&number]);
     let assignments: Vec<_> = group.into_iter().flat_map(|group| &group.assignments).collect();
     let tables: BTreeSet<u32> = assignments.iter().map(|(_, assignment)| assignment.table).collect();
     let entries = |number: &u32| {
--- a/crates/state-store/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_state_store::{
-    AgeingRules, DirectoryStorage, Entry, EntryValue, Key, RecordedEndpoint, Store, StoreIdentity, age, load,
+    DirectoryStorage, Entry, EntryKey, EntryValue, RecordedEndpoint, RecoverySettings, Store, StoreIdentity,
+    load, recover_state,
 };
 use serde_json::{Value, json};
 
@@ -32,16 +33,20 @@
         [
             Entry {
                 at_ms: 1_800_000_000_000,
-                key: Key::Endpoint(name.clone()),
+                key: EntryKey::Endpoint(name.clone()),
                 value: EntryValue::Endpoint(value),
             },
-            Entry { at_ms: 1_800_000_000_000, key: Key::Capacity(name), value: EntryValue::Capacity(2.05) },
+            Entry {
+                at_ms: 1_800_000_000_000,
+                key: EntryKey::Capacity(name),
+                value: EntryValue::Capacity(2.05),
+            },
         ]
     };
     let admission = |table: u32| {
         ["look", "book"].map(|class| Entry {
             at_ms: 1_800_000_000_000,
-            key: Key::AdmissionRate(class.into(), table),
+            key: EntryKey::AdmissionRate(class.into(), table),
             value: EntryValue::AdmissionRate(1.0),
         })
     };
@@ -51,8 +56,11 @@
 /// A busy second: a tenth of the endpoints change.
 fn second(round: usize) -> Vec<Entry> {
     let all = fleet();
-    let some =
-        all.into_iter().filter(|entry| matches!(entry.key, Key::Endpoint(_))).skip(round % 10).step_by(10);
+    let some = all
+        .into_iter()
+        .filter(|entry| matches!(entry.key, EntryKey::Endpoint(_)))
+        .skip(round % 10)
+        .step_by(10);
     some.map(|entry| Entry { at_ms: entry.at_ms + round as u64, ..entry }).collect()
 }
 
@@ -91,8 +99,10 @@
     print_times("and flushed", flushed, 0);
     drop(store);
     let (mut loaded, mut aged) = (vec![], vec![]);
-    let rules =
-        AgeingRules { report_period: Duration::from_secs(2), slow_start_window: Duration::from_secs(10) };
+    let rules = RecoverySettings {
+        report_period: Duration::from_secs(2),
+        slow_start_window: Duration::from_secs(10),
+    };
     let mut bytes = 0;
     for _ in 0..ROUNDS {
         let mut state = None;
@@ -102,7 +112,7 @@
         });
         let state = state.expect("loaded");
         bytes = state.bytes;
-        timed(&mut aged, || drop(age(&state.state, 1_800_000_060_000, &rules)));
+        timed(&mut aged, || drop(recover_state(&state.state, 1_800_000_060_000, &rules)));
     }
     print_times("640 servers, 84 levels, 640 sizes loaded", loaded, bytes);
     print_times("and aged", aged, 0);
--- a/crates/state-store/src/ageing.rs
+++ b/crates/state-store/src/ageing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::entry::{EntryValue, Key, RecordedEndpoint, State};
+use crate::entry::{EntryKey, EntryValue, RecordedEndpoint, State};
 
 /// Half of the weight that an endpoint lacked is given back after this many report periods, which is about as quick as
 /// a running controller would have restored it.
@@ -25,7 +25,7 @@
 
 /// The settings that the rules rest on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AgeingRules {
+pub struct RecoverySettings {
     /// The interval between two load reports of a proxy.
     pub report_period: Duration,
     /// The longest time for which an endpoint is in slow start.
@@ -66,20 +66,20 @@
 
 /// What is valid of a state at `now_ms`, in milliseconds of the wall clock.
 #[must_use]
-pub fn age(state: &State, now_ms: u64, rules: &AgeingRules) -> RecoveredState {
+pub fn recover_state(state: &State, now_ms: u64, rules: &RecoverySettings) -> RecoveredState {
     let mut recovered = RecoveredState::default();
     for (key, (at_ms, value)) in state {
         let age = EntryAge::new(*at_ms, now_ms, rules);
         recovered.future_entries += usize::from(age.is_from_future);
         match (key, value) {
-            (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
+            (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
                 recovered.endpoints.extend(age.recover_endpoint(name, endpoint));
             }
-            (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
+            (EntryKey::AdmissionRate(class, table), EntryValue::AdmissionRate(rate)) => {
                 let rate = age.recover_admission_rate(*rate);
                 recovered.admission_rates.extend(rate.map(|rate| (class.clone(), *table, rate)));
             }
-            (Key::Capacity(name), EntryValue::Capacity(cores)) if age.is_capacity_valid() => {
+            (EntryKey::Capacity(name), EntryValue::Capacity(cores)) if age.is_capacity_valid() => {
                 recovered.capacities.push((name.clone(), *cores));
             }
             _ => {}
@@ -90,7 +90,7 @@
 
 /// The age of one entry, with the rules that apply to it.
 struct EntryAge<'a> {
-    rules: &'a AgeingRules,
+    rules: &'a RecoverySettings,
     now_ms: u64,
     since: Duration,
     /// The age in report periods.
@@ -101,7 +101,7 @@
 }
 
 impl<'a> EntryAge<'a> {
-    fn new(at_ms: u64, now_ms: u64, rules: &'a AgeingRules) -> Self {
+    fn new(at_ms: u64, now_ms: u64, rules: &'a RecoverySettings) -> Self {
         let since = Duration::from_millis(now_ms.saturating_sub(at_ms));
         let period_secs = rules.report_period.as_secs_f64().max(1e-3);
         EntryAge {
--- a/crates/state-store/src/codec.rs
+++ b/crates/state-store/src/codec.rs
@@ -2,8 +2,8 @@
 
 use protobuf::Message;
 
-use crate::entry::{Entry, EntryValue, Key, RecordedEndpoint};
-use crate::frame::{FORMAT, FrameKind};
+use crate::entry::{Entry, EntryKey, EntryValue, RecordedEndpoint};
+use crate::frame::{FORMAT_VERSION, FrameKind};
 use crate::identity::StoreIdentity;
 use crate::proto;
 
@@ -16,7 +16,7 @@
 /// The message of a file's first frame.
 pub(crate) fn encode_header(identity: &StoreIdentity, number: u64) -> proto::Header {
     proto::Header {
-        format: FORMAT,
+        format: FORMAT_VERSION,
         pilot: identity.controller.clone(),
         fleet: identity.fleet_digest,
         number,
@@ -47,10 +47,10 @@
 /// The message of an entry.
 pub(crate) fn encode_entry(entry: &Entry) -> proto::Entry {
     let what = match (&entry.key, &entry.value) {
-        (Key::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
+        (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
             proto::entry::What::Server(encode_endpoint(name, endpoint))
         }
-        (Key::AdmissionRate(class, table), EntryValue::AdmissionRate(admission_rate)) => {
+        (EntryKey::AdmissionRate(class, table), EntryValue::AdmissionRate(admission_rate)) => {
             proto::entry::What::Level(proto::Level {
                 class: class.clone(),
                 table: *table,
@@ -58,11 +58,13 @@
                 ..Default::default()
             })
         }
-        (Key::Capacity(endpoint), EntryValue::Capacity(cores)) => proto::entry::What::Size(proto::Size {
-            server: endpoint.clone(),
-            cores: *cores,
-            ..Default::default()
-        }),
+        (EntryKey::Capacity(endpoint), EntryValue::Capacity(cores)) => {
+            proto::entry::What::Size(proto::Size {
+                server: endpoint.clone(),
+                cores: *cores,
+                ..Default::default()
+            })
+        }
         (key, value) => unreachable!("{key:?} is not {value:?}"),
     };
     proto::Entry { at_ms: entry.at_ms, what: Some(what), ..Default::default() }
@@ -95,17 +97,20 @@
         proto::entry::What::Server(endpoint) => decode_endpoint(endpoint)?,
         proto::entry::What::Level(admission) => {
             let admission_rate = fraction(admission.level)?;
-            (Key::AdmissionRate(admission.class, admission.table), EntryValue::AdmissionRate(admission_rate))
+            (
+                EntryKey::AdmissionRate(admission.class, admission.table),
+                EntryValue::AdmissionRate(admission_rate),
+            )
         }
         proto::entry::What::Size(capacity) => {
             let cores = Some(capacity.cores).filter(|cores| cores.is_finite() && *cores > 0.0)?;
-            (Key::Capacity(capacity.server), EntryValue::Capacity(cores))
+            (EntryKey::Capacity(capacity.server), EntryValue::Capacity(cores))
         }
     };
     Some(Entry { at_ms: message.at_ms, key, value: what })
 }
 
-fn decode_endpoint(endpoint: proto::Server) -> Option<(Key, EntryValue)> {
+fn decode_endpoint(endpoint: proto::Server) -> Option<(EntryKey, EntryValue)> {
     let value = RecordedEndpoint {
         zone: endpoint.zone,
         machine_type: endpoint.kind,
@@ -117,7 +122,7 @@
         slow_start_until_ms: endpoint.warm_ms,
         weight_factor: fraction(endpoint.relief)?,
     };
-    Some((Key::Endpoint(endpoint.name), EntryValue::Endpoint(value)))
+    Some((EntryKey::Endpoint(endpoint.name), EntryValue::Endpoint(value)))
 }
 
 fn fraction(value: f64) -> Option<f64> {
--- a/crates/state-store/src/entry.rs
+++ b/crates/state-store/src/entry.rs
@@ -4,7 +4,7 @@
 
 /// What an entry is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Key {
+pub enum EntryKey {
     /// An endpoint, by name.
     Endpoint(String),
     /// The admission rate of a class at a routing table.
@@ -36,7 +36,7 @@
     pub weight_factor: f64,
 }
 
-/// What was learned; its variant is that of the entry's [`Key`].
+/// What was learned; its variant is that of the entry's [`EntryKey`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryValue {
     /// Figures of an endpoint.
@@ -53,13 +53,13 @@
     /// When it was so, in milliseconds of the wall clock.
     pub at_ms: u64,
     /// What it is about.
-    pub key: Key,
+    pub key: EntryKey,
     /// What was learned.
     pub value: EntryValue,
 }
 
 /// The last entry of each key: its time in milliseconds of the wall clock, and its value.
-pub type State = BTreeMap<Key, (u64, EntryValue)>;
+pub type State = BTreeMap<EntryKey, (u64, EntryValue)>;
 
 /// Replaces what the state had for the entry's key.
 pub(crate) fn apply(state: &mut State, entry: Entry) {
--- a/crates/state-store/src/error.rs
+++ b/crates/state-store/src/error.rs
@@ -2,13 +2,13 @@
 
 use std::io;
 
-use crate::frame::FORMAT;
+use crate::frame::FORMAT_VERSION;
 
 /// Why a stored state is refused and left untouched.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
     /// A later program wrote the file.
-    #[error("{file}: format {format}, up to {FORMAT} is read here")]
+    #[error("{file}: format {format}, up to {FORMAT_VERSION} is read here")]
     UnsupportedFormat {
         /// Name of the file.
         file: String,
@@ -17,7 +17,7 @@
     },
     /// The file belongs to another controller.
     #[error("{file}: the memory of pilot {controller:?}")]
-    ForeignController {
+    OtherController {
         /// Name of the file.
         file: String,
         /// The controller that its header names.
@@ -25,7 +25,7 @@
     },
     /// The file belongs to a fleet with other zones, machine types or classes.
     #[error("{file}: of a fleet with other zones, kinds or classes")]
-    ForeignFleet {
+    OtherFleet {
         /// Name of the file.
         file: String,
     },
--- a/crates/state-store/src/frame.rs
+++ b/crates/state-store/src/frame.rs
@@ -4,7 +4,7 @@
 use protobuf::Message;
 
 /// The format that is written, and the newest that is read.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Bytes before a payload: length (4, little-endian), kind (1), CRC-32 of kind and payload (4).
 const FRAME_HEADER_BYTES: usize = 9;
--- a/crates/state-store/src/lib.rs
+++ b/crates/state-store/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Store`] is a write-ahead journal of entries with snapshots in one directory, as databases keep it: entries that
 //! were flushed survive any crash, a torn end of a journal is cut at the last whole entry, and a broken snapshot falls
-//! back to the one before it. [`age`] decides how much of the loaded [`State`] is still valid, without I/O or clock.
+//! back to the one before it. [`recover_state`] decides how much of the loaded [`State`] is still valid, without I/O or clock.
 //!
 //! The protobuf messages on disk keep their own field names; `codec` is the only module that maps them.
 
@@ -26,10 +26,10 @@
     pub use memory::*;
 }
 
-pub use ageing::{AgeingRules, RecoveredEndpoint, RecoveredState, age};
-pub use entry::{Entry, EntryValue, Key, RecordedEndpoint, State};
+pub use ageing::{RecoveredEndpoint, RecoveredState, RecoverySettings, recover_state};
+pub use entry::{Entry, EntryKey, EntryValue, RecordedEndpoint, State};
 pub use error::{OpenError, RecoveryError};
-pub use frame::FORMAT;
+pub use frame::FORMAT_VERSION;
 pub use identity::StoreIdentity;
 pub use recovery::{LoadedState, load, read_identity};
 pub use storage::{DirectoryStorage, Storage};
--- a/crates/state-store/src/recovery.rs
+++ b/crates/state-store/src/recovery.rs
@@ -6,7 +6,7 @@
 use crate::entry::{State, apply};
 use crate::error::{OpenError, RecoveryError};
 use crate::file_name::{FileRole, snapshot_or_journal_number};
-use crate::frame::{FORMAT, FrameKind, FrameReader};
+use crate::frame::{FORMAT_VERSION, FrameKind, FrameReader};
 use crate::identity::StoreIdentity;
 use crate::storage::Storage;
 
@@ -43,14 +43,14 @@
     let header = frames.next().and_then(|frame| decode_header(frame.kind, frame.payload));
     let Some(header) = header else { return Ok(HeaderCheck::Unreadable) };
     let file = file.to_string();
-    if header.format > FORMAT {
+    if header.format > FORMAT_VERSION {
         return Err(OpenError::UnsupportedFormat { file, format: header.format });
     }
     if header.identity.controller != identity.controller {
-        return Err(OpenError::ForeignController { file, controller: header.identity.controller });
+        return Err(OpenError::OtherController { file, controller: header.identity.controller });
     }
     if header.identity.fleet_digest != identity.fleet_digest {
-        return Err(OpenError::ForeignFleet { file });
+        return Err(OpenError::OtherFleet { file });
     }
     Ok(HeaderCheck::Accepted)
 }
--- a/crates/state-store/tests/ageing.rs
+++ b/crates/state-store/tests/ageing.rs
@@ -3,11 +3,13 @@
 
 use std::time::Duration;
 
-use lockcroft_state_store::{AgeingRules, EntryValue, Key, RecordedEndpoint, RecoveredEndpoint, State, age};
+use lockcroft_state_store::{
+    EntryKey, EntryValue, RecordedEndpoint, RecoveredEndpoint, RecoverySettings, State, recover_state,
+};
 use proptest::prelude::*;
 
-const RULES: AgeingRules =
-    AgeingRules { report_period: Duration::from_secs(2), slow_start_window: Duration::from_secs(30) };
+const RULES: RecoverySettings =
+    RecoverySettings { report_period: Duration::from_secs(2), slow_start_window: Duration::from_secs(30) };
 const NOW: u64 = 1_800_000_000_000;
 
 fn any_endpoint() -> impl Strategy<Value = RecordedEndpoint> {
@@ -26,8 +28,9 @@
 }
 
 fn recover(at_ms: u64, recorded: &RecordedEndpoint, now_ms: u64) -> Option<RecoveredEndpoint> {
-    let state = State::from([(Key::Endpoint("e1".into()), (at_ms, EntryValue::Endpoint(recorded.clone())))]);
-    age(&state, now_ms, &RULES).endpoints.pop()
+    let state =
+        State::from([(EntryKey::Endpoint("e1".into()), (at_ms, EntryValue::Endpoint(recorded.clone())))]);
+    recover_state(&state, now_ms, &RULES).endpoints.pop()
 }
 
 proptest! {
@@ -55,8 +58,8 @@
 
     #[test]
     fn admission_rates_only_rise_with_age(rate in 0.0..=1.0_f64, ago in 0..100_000_u64, later in 0..100_000_u64) {
-        let state = State::from([(Key::AdmissionRate("look".into(), 3), (NOW - ago, EntryValue::AdmissionRate(rate)))]);
-        let rate_at = |now| age(&state, now, &RULES).admission_rates.first().map_or(1.0, |(_, _, rate)| *rate);
+        let state = State::from([(EntryKey::AdmissionRate("look".into(), 3), (NOW - ago, EntryValue::AdmissionRate(rate)))]);
+        let rate_at = |now| recover_state(&state, now, &RULES).admission_rates.first().map_or(1.0, |(_, _, rate)| *rate);
         prop_assert!(rate_at(NOW) >= rate - 1e-9 && rate_at(NOW + later) >= rate_at(NOW) - 1e-9);
     }
 }
--- a/crates/state-store/tests/crash_model.rs
+++ b/crates/state-store/tests/crash_model.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_state_store::{Entry, EntryValue, Key, State, Storage, Store, StoreIdentity, load};
+use lockcroft_state_store::{Entry, EntryKey, EntryValue, State, Storage, Store, StoreIdentity, load};
 
 /// A file: its bytes, and how many of them were flushed.
 #[derive(Clone, Default)]
@@ -183,7 +183,7 @@
 
 /// An entry of the run, for one of three keys.
 fn entry(number: u64) -> Entry {
-    let key = Key::AdmissionRate(format!("class-{}", number % 3), 0);
+    let key = EntryKey::AdmissionRate(format!("class-{}", number % 3), 0);
     Entry { at_ms: number, key, value: EntryValue::AdmissionRate(1.0 / (1.0 + number as f64)) }
 }
 
--- a/crates/state-store/tests/directory.rs
+++ b/crates/state-store/tests/directory.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use lockcroft_state_store::{
-    DirectoryStorage, Entry, EntryValue, Key, LoadedState, OpenError, RecordedEndpoint, RecoveryError, Store,
-    StoreIdentity, load,
+    DirectoryStorage, Entry, EntryKey, EntryValue, LoadedState, OpenError, RecordedEndpoint, RecoveryError,
+    Store, StoreIdentity, load,
 };
 
 /// In CI; `LOCKCROFT_KILLS=1000` for the figure in docs/measured.md.
@@ -30,7 +30,7 @@
     };
     Entry {
         at_ms: number,
-        key: Key::Endpoint(format!("e{}", number % 10)),
+        key: EntryKey::Endpoint(format!("e{}", number % 10)),
         value: EntryValue::Endpoint(endpoint),
     }
 }
@@ -177,11 +177,11 @@
     let other_controller = refusal_of(StoreIdentity::from_names("q", ["north", "std", "look"].into_iter()));
     assert_eq!(
         other_controller,
-        OpenError::ForeignController { file: "snapshot-2".into(), controller: "p".into() }
+        OpenError::OtherController { file: "snapshot-2".into(), controller: "p".into() }
     );
     assert_eq!(
         refusal_of(StoreIdentity::from_names("p", ["south"].into_iter())),
-        OpenError::ForeignFleet { file: "snapshot-2".into() }
+        OpenError::OtherFleet { file: "snapshot-2".into() }
     );
     // A file of a later program states its format in the header.
     let mut later = fs::read(directory.path().join("snapshot-2")).expect("there");
@@ -237,8 +237,8 @@
 #[ignore = "writes the fixture of the current format"]
 fn write_the_fixture_of_the_current_format() {
     let directory = directory_of_two_numbers();
-    let fixture =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/format-{}", lockcroft_state_store::FORMAT));
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join(format!("tests/format-{}", lockcroft_state_store::FORMAT_VERSION));
     fs::create_dir_all(&fixture).expect("made");
     for entry in fs::read_dir(directory.path()).expect("there") {
         let entry = entry.expect("there");
--- a/crates/table-format/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -58,7 +58,7 @@
         });
         rate("file: checked, read", lines, file.len() + snapshot.manifest.len(), || {
             let opened = open_manifest(&snapshot.manifest, &keys).expect("sound");
-            opened.check("table-0", &file).expect("sound");
+            opened.verify_member("table-0", &file).expect("sound");
             black_box(decode_table("table-0", &file)).expect("sound");
         });
         let all: Vec<JsonEntry> = table
--- a/crates/table-format/src/codec.rs
+++ b/crates/table-format/src/codec.rs
@@ -33,7 +33,7 @@
         class: class.clone(),
         table: assignment.table,
         level: assignment.admission_per_mille,
-        again: assignment.retries,
+        again: assignment.allows_retries,
         ..Default::default()
     };
     encode(&proto::Group {
@@ -89,8 +89,11 @@
                 limit: "0 to 1000".into(),
             });
         }
-        let assignment =
-            ProxyAssignment { table: bound.table, admission_per_mille: bound.level, retries: bound.again };
+        let assignment = ProxyAssignment {
+            table: bound.table,
+            admission_per_mille: bound.level,
+            allows_retries: bound.again,
+        };
         assignments.insert(bound.class, assignment);
     }
     Ok(ProxyGroup { proxies: message.proxies.into_iter().collect(), assignments })
--- a/crates/table-format/src/content.rs
+++ b/crates/table-format/src/content.rs
@@ -47,13 +47,13 @@
     /// Admission rate in thousandths.
     pub admission_per_mille: u32,
     /// Whether the proxies may retry after proof of non-execution.
-    pub retries: bool,
+    pub allows_retries: bool,
 }
 
 impl SnapshotContent {
     /// The number of the group that has a proxy.
     #[must_use]
-    pub fn group_of(&self, proxy: &str) -> Option<u32> {
+    pub fn group_number_of(&self, proxy: &str) -> Option<u32> {
         self.groups.iter().find(|(_, group)| group.proxies.contains(proxy)).map(|(number, _)| *number)
     }
 
--- a/crates/table-format/src/error.rs
+++ b/crates/table-format/src/error.rs
@@ -1,6 +1,6 @@
 //! The errors of reading untrusted bytes and key files.
 
-use crate::{FORMAT, MAX_KEYS, MIN_KEY_BYTES};
+use crate::{FORMAT_VERSION, MAX_KEYS, MIN_KEY_BYTES};
 
 /// Why bytes are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -25,9 +25,9 @@
     },
     /// No seal by a known key, or one that is wrong.
     #[error("manifest: no seal of a key that is known here")]
-    Unsealed,
+    NoValidSeal,
     /// A format that this program does not read.
-    #[error("manifest: format {0}, {FORMAT} is read here")]
+    #[error("manifest: format {0}, {FORMAT_VERSION} is read here")]
     UnsupportedFormat(u32),
     /// A name that no member may have, or that is listed twice.
     #[error("manifest: member {0:?}: no such name may stand here")]
--- a/crates/table-format/src/lib.rs
+++ b/crates/table-format/src/lib.rs
@@ -34,7 +34,7 @@
 pub use status::{decode_status, encode_status};
 
 /// The format that is written, and the only one that is read.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The longest manifest file that is read, in bytes.
 pub const MAX_MANIFEST_BYTES: u64 = 4 << 20;
 /// The longest member file that is read, in bytes.
@@ -59,13 +59,13 @@
 
 /// The name of the member with this table.
 #[must_use]
-pub fn table_member(number: u32) -> String {
+pub fn table_member_name(number: u32) -> String {
     format!("{TABLE_MEMBER_PREFIX}{number}")
 }
 
 /// The name of the member with this proxy group.
 #[must_use]
-pub fn group_member(number: u32) -> String {
+pub fn group_member_name(number: u32) -> String {
     format!("{GROUP_MEMBER_PREFIX}{number}")
 }
 
--- a/crates/table-format/src/manifest.rs
+++ b/crates/table-format/src/manifest.rs
@@ -7,7 +7,9 @@
 use crate::codec::{decode, encode};
 use crate::error::FormatError;
 use crate::keys::{Key, KeyRing};
-use crate::{FORMAT, MANIFEST_FILE, MAX_MANIFEST_BYTES, MAX_MEMBER_BYTES, MAX_MEMBERS, Sha256Digest, proto};
+use crate::{
+    FORMAT_VERSION, MANIFEST_FILE, MAX_MANIFEST_BYTES, MAX_MEMBER_BYTES, MAX_MEMBERS, Sha256Digest, proto,
+};
 
 /// The longest name of a member, in bytes.
 const MAX_MEMBER_NAME_BYTES: usize = 64;
@@ -50,7 +52,7 @@
     check_envelope(&sealed, bytes)?;
     let key = verify_seals(&sealed, keys)?;
     let manifest: proto::Manifest = decode(MANIFEST_FILE, &sealed.manifest)?;
-    if manifest.format != FORMAT {
+    if manifest.format != FORMAT_VERSION {
         return Err(FormatError::UnsupportedFormat(manifest.format));
     }
     Ok(OpenedManifest {
@@ -86,11 +88,11 @@
     for seal in &sealed.seals {
         let Some(key) = keys.get(&seal.key) else { continue };
         if !key.verify(&sealed.manifest, &seal.mac) {
-            return Err(FormatError::Unsealed);
+            return Err(FormatError::NoValidSeal);
         }
         first_key.get_or_insert(key);
     }
-    first_key.ok_or(FormatError::Unsealed)
+    first_key.ok_or(FormatError::NoValidSeal)
 }
 
 fn read_members(listed: Vec<proto::Member>) -> Result<BTreeMap<String, MemberInfo>, FormatError> {
@@ -129,7 +131,7 @@
     ///
     /// # Errors
     /// They differ, or the manifest does not list the member.
-    pub fn check(&self, member: &str, bytes: &[u8]) -> Result<(), FormatError> {
+    pub fn verify_member(&self, member: &str, bytes: &[u8]) -> Result<(), FormatError> {
         let Some(info) = self.members.get(member) else {
             return Err(FormatError::InvalidMemberName(member.into()));
         };
--- a/crates/table-format/src/seal.rs
+++ b/crates/table-format/src/seal.rs
@@ -8,7 +8,7 @@
 use crate::content::SnapshotContent;
 use crate::keys::KeyRing;
 use crate::manifest::encode_seal;
-use crate::{EJECTED_MEMBER, FORMAT, Sha256Digest, group_member, proto, table_member};
+use crate::{EJECTED_MEMBER, FORMAT_VERSION, Sha256Digest, group_member_name, proto, table_member_name};
 
 /// A member file of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
         ..Default::default()
     });
     let manifest = encode(&proto::Manifest {
-        format: FORMAT,
+        format: FORMAT_VERSION,
         epoch,
         version,
         pilot: controller.into(),
@@ -70,10 +70,10 @@
 fn encode_members(content: &SnapshotContent) -> BTreeMap<String, Member> {
     let mut members = BTreeMap::new();
     for (number, table) in &content.tables {
-        members.insert(table_member(*number), Member::new(encode_table(*number, table)));
+        members.insert(table_member_name(*number), Member::new(encode_table(*number, table)));
     }
     for (number, group) in &content.groups {
-        members.insert(group_member(*number), Member::new(encode_group(group)));
+        members.insert(group_member_name(*number), Member::new(encode_group(group)));
     }
     members.insert(EJECTED_MEMBER.into(), Member::new(encode_ejected(&content.ejected)));
     members
--- a/crates/table-format/tests/bytes.rs
+++ b/crates/table-format/tests/bytes.rs
@@ -29,7 +29,7 @@
     let assignment = assignment.prop_map(|(table, level, again)| ProxyAssignment {
         table,
         admission_per_mille: level,
-        retries: again,
+        allows_retries: again,
     });
     let group = (
         proptest::collection::btree_set(any_name(), 0..4),
@@ -57,7 +57,7 @@
     let mut content = SnapshotContent::default();
     for name in opened.members.keys() {
         let bytes = &snapshot.members[name].bytes;
-        opened.check(name, bytes)?;
+        opened.verify_member(name, bytes)?;
         if name == EJECTED_MEMBER {
             content.ejected = decode_ejected(bytes)?;
         } else if let Some(number) = name.strip_prefix(GROUP_MEMBER_PREFIX) {
@@ -103,7 +103,7 @@
         let opened = open_manifest(&sound.manifest, &keys()).expect("sound");
         for (name, member) in &sound.members {
             let bytes = change(&member.bytes);
-            prop_assert!(bytes == member.bytes || opened.check(name, &bytes).is_err());
+            prop_assert!(bytes == member.bytes || opened.verify_member(name, &bytes).is_err());
             // Somebody with a key may have made the digest, so the limits still have to be checked.
             let table = decode_table(name, &bytes);
             prop_assert!(table.is_err() || table.is_ok_and(|numbered| numbered.table.entries.values().all(|entry| (1..=256).contains(&entry.weight))));
@@ -235,7 +235,7 @@
 fn the_worked_example_is_encoded_byte_for_byte() {
     let key = Key::new("k1", &(0..32).collect::<Vec<u8>>()).expect("long enough");
     let line = TableEntry { address: "127.0.0.1:8101".parse().expect("an address"), weight: 256 };
-    let bound = ProxyAssignment { table: 3, admission_per_mille: 500, retries: true };
+    let bound = ProxyAssignment { table: 3, admission_per_mille: 500, allows_retries: true };
     let content = SnapshotContent {
         tables: BTreeMap::from([(3, Table { entries: BTreeMap::from([("e1".into(), line)]) })]),
         groups: BTreeMap::from([(
--- a/crates/table-store/benches/folder.rs
+++ b/crates/table-store/benches/folder.rs
@@ -23,7 +23,7 @@
     };
     let table = |number: u32| (number, Table { entries: (0..entries).map(entry(number)).collect() });
     let group = |number: u32| {
-        let bound = ProxyAssignment { table: number, admission_per_mille: 1000, retries: true };
+        let bound = ProxyAssignment { table: number, admission_per_mille: 1000, allows_retries: true };
         let bound = ["look", "book"].map(|class| (class.to_string(), bound)).into();
         let names: BTreeSet<String> = (0..proxies).map(|i| format!("r-{number}-{i}")).collect();
         (number, ProxyGroup { proxies: names, assignments: bound })
--- a/crates/table-store/src/key_file.rs
+++ b/crates/table-store/src/key_file.rs
@@ -27,7 +27,7 @@
     },
     /// The path is no regular file, or the file is too long.
     #[error("{}: no file of {MAX_KEY_FILE_BYTES} bytes at most", .path.display())]
-    NoShortFile {
+    NotRegularOrTooLong {
         /// Path of the key file.
         path: PathBuf,
     },
@@ -59,7 +59,7 @@
     // The metadata of the open file: the path may be replaced between two look-ups.
     let metadata = file.metadata().map_err(io_error)?;
     if !metadata.is_file() || metadata.len() > MAX_KEY_FILE_BYTES {
-        return Err(KeyFileError::NoShortFile { path: path.into() });
+        return Err(KeyFileError::NotRegularOrTooLong { path: path.into() });
     }
     if metadata.mode() & GROUP_AND_OTHERS_MODE != 0 {
         let mode = metadata.mode() & PERMISSIONS_MODE;
--- a/crates/table-store/src/lib.rs
+++ b/crates/table-store/src/lib.rs
@@ -36,7 +36,7 @@
 pub use key_file::{KeyFileError, read_keys};
 pub use layout::{Epoch, SnapshotId, StoreLayout, Version};
 pub use loaded_snapshot::{LoadedSnapshot, load_snapshot};
-pub use proxy_view::AppliedSnapshot;
+pub use proxy_view::ProxySnapshot;
 pub use reader::{RejectedSnapshot, ScanResult, SnapshotReader};
 pub use retention::{OutdatedSnapshots, RetentionPolicy};
 pub use snapshot_selector::{SnapshotDecision, SnapshotSelector};
--- a/crates/table-store/src/proxy_view.rs
+++ b/crates/table-store/src/proxy_view.rs
@@ -5,7 +5,7 @@
 
 use lockcroft_table_format::{
     EJECTED_MEMBER, GROUP_MEMBER_PREFIX, OpenedManifest, ProxyAssignment, ProxyGroup, Sha256Digest, Table,
-    decode_ejected, decode_group, decode_table, table_member,
+    decode_ejected, decode_group, decode_table, table_member_name,
 };
 
 use crate::error::ReadError;
@@ -14,7 +14,7 @@
 
 /// What a snapshot says to one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AppliedSnapshot {
+pub struct ProxySnapshot {
     /// Epoch of its writer.
     pub epoch: Epoch,
     /// Its number within the epoch.
@@ -28,7 +28,7 @@
     pub ejected: BTreeSet<String>,
 }
 
-impl AppliedSnapshot {
+impl ProxySnapshot {
     pub(crate) fn id(&self) -> SnapshotId {
         SnapshotId { epoch: self.epoch, version: self.version }
     }
@@ -53,13 +53,13 @@
     }
 
     /// What a snapshot says to the proxy.
-    pub fn read(&mut self, files: &SnapshotFiles) -> Result<AppliedSnapshot, ReadError> {
+    pub fn read(&mut self, files: &SnapshotFiles) -> Result<ProxySnapshot, ReadError> {
         let manifest = &files.manifest;
-        let mut snapshot = AppliedSnapshot {
+        let mut snapshot = ProxySnapshot {
             epoch: manifest.epoch,
             version: manifest.version,
             ejected: decode_ejected(&files.read_member(EJECTED_MEMBER)?)?,
-            ..AppliedSnapshot::default()
+            ..ProxySnapshot::default()
         };
         let Some(group) = self.find_group(files)? else { return Ok(snapshot) };
         for assignment in group.assignments.values() {
@@ -97,7 +97,7 @@
     }
 
     fn read_table(&mut self, files: &SnapshotFiles, number: u32) -> Result<Table, ReadError> {
-        let name = table_member(number);
+        let name = table_member_name(number);
         let Some(info) = files.manifest.members.get(&name) else {
             return Err(ReadError::MissingTable { member: name });
         };
--- a/crates/table-store/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -7,7 +7,7 @@
 
 use crate::error::ReadError;
 use crate::layout::{Epoch, SnapshotId, StoreLayout, Version};
-use crate::proxy_view::{AppliedSnapshot, ProxyView};
+use crate::proxy_view::{ProxySnapshot, ProxyView};
 use crate::snapshot_files::SnapshotFiles;
 use crate::snapshot_selector::{SnapshotDecision, SnapshotSelector};
 
@@ -33,14 +33,14 @@
 pub struct ScanResult {
     /// The snapshots to apply, in this order: after a start, tables of an earlier epoch may come before the ejections of
     /// the current one.
-    pub to_apply: Vec<AppliedSnapshot>,
+    pub to_apply: Vec<ProxySnapshot>,
     /// The snapshots that were rejected on the way.
     pub rejected: Vec<RejectedSnapshot>,
 }
 
 /// A sound snapshot, and what to do with it.
 struct Candidate {
-    snapshot: AppliedSnapshot,
+    snapshot: ProxySnapshot,
     decision: SnapshotDecision,
 }
 
@@ -62,7 +62,7 @@
         SnapshotReader {
             layout: StoreLayout::new(directory),
             keys,
-            selector: SnapshotSelector::starting_at(floor.map(SnapshotId::from)),
+            selector: SnapshotSelector::with_min_snapshot(floor.map(SnapshotId::from)),
             last_applied: None,
             view: ProxyView::new(proxy),
         }
@@ -165,13 +165,13 @@
         Ok(Candidate { snapshot, decision: self.selector.decide(id) })
     }
 
-    fn read(&mut self, id: SnapshotId) -> Result<AppliedSnapshot, ReadError> {
+    fn read(&mut self, id: SnapshotId) -> Result<ProxySnapshot, ReadError> {
         let files = SnapshotFiles::open(&self.layout, id, &self.keys)?;
         self.view.read(&files)
     }
 
     /// Adds the first snapshot after a start. If it assigns no table to the proxy, those of an earlier epoch come first.
-    fn apply_first(&mut self, snapshot: AppliedSnapshot, result: &mut ScanResult) {
+    fn apply_first(&mut self, snapshot: ProxySnapshot, result: &mut ScanResult) {
         if snapshot.assignments.is_empty() {
             result.to_apply.extend(self.find_earlier_tables(&snapshot));
         }
@@ -180,7 +180,7 @@
 
     /// The current snapshot of the highest earlier epoch that assigns tables to the proxy, with the newer ejections
     /// added: the controller that took over has not assigned any yet.
-    fn find_earlier_tables(&mut self, newer: &AppliedSnapshot) -> Option<AppliedSnapshot> {
+    fn find_earlier_tables(&mut self, newer: &ProxySnapshot) -> Option<ProxySnapshot> {
         let epochs = self.layout.epochs().unwrap_or_default();
         for epoch in epochs.into_iter().filter(|epoch| *epoch < newer.epoch) {
             let Some(version) = self.layout.current_version(epoch) else { continue };
--- a/crates/table-store/src/snapshot_files.rs
+++ b/crates/table-store/src/snapshot_files.rs
@@ -34,7 +34,7 @@
     /// Reads a member and checks its length and digest.
     pub fn read_member(&self, name: &str) -> Result<Vec<u8>, ReadError> {
         let bytes = read_bounded(&self.directory.join(name), MAX_MEMBER_BYTES)?;
-        self.manifest.check(name, &bytes)?;
+        self.manifest.verify_member(name, &bytes)?;
         Ok(bytes)
     }
 }
--- a/crates/table-store/src/snapshot_selector.rs
+++ b/crates/table-store/src/snapshot_selector.rs
@@ -30,7 +30,7 @@
 impl SnapshotSelector {
     /// The selector after a start: nothing is applied yet, and nothing older than the floor is to be.
     #[must_use]
-    pub fn starting_at(floor: Option<SnapshotId>) -> Self {
+    pub fn with_min_snapshot(floor: Option<SnapshotId>) -> Self {
         SnapshotSelector { floor: floor.unwrap_or_default(), has_applied: false }
     }
 
--- a/crates/table-store/tests/directory/support.rs
+++ b/crates/table-store/tests/directory/support.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use lockcroft_table_format::{Key, KeyRing, ProxyAssignment, ProxyGroup, SnapshotContent, Table, TableEntry};
-use lockcroft_table_store::{AppliedSnapshot, RetentionPolicy, SnapshotReader, SnapshotWriter};
+use lockcroft_table_store::{ProxySnapshot, RetentionPolicy, SnapshotReader, SnapshotWriter};
 
 pub const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 4, keep_earlier_epochs: false };
 
@@ -23,7 +23,7 @@
         proxies: BTreeSet::from([format!("r{number}")]),
         assignments: BTreeMap::from([(
             "look".into(),
-            ProxyAssignment { table: number, admission_per_mille: stamp % 1001, retries: true },
+            ProxyAssignment { table: number, admission_per_mille: stamp % 1001, allows_retries: true },
         )]),
     };
     SnapshotContent {
@@ -42,7 +42,7 @@
 }
 
 /// The stamp of a snapshot; everything in it has to be derived from it.
-pub fn stamp(snapshot: &AppliedSnapshot) -> u32 {
+pub fn stamp(snapshot: &ProxySnapshot) -> u32 {
     let withdrawn = snapshot.ejected.first().expect("one endpoint is ejected");
     let stamp: u32 = withdrawn[1..].parse().expect("a stamp");
     let assignment = &snapshot.assignments["look"];
