--- a/src/controller/applying.rs
+++ b/src/controller/applying.rs
@@ -91,7 +91,7 @@
         if admission.published.replace(fraction).is_some_and(|before| before != fraction) {
             let percent = fraction * 100.0;
             let name = &admission.name;
-            let text = format!("{name}: {percent:.0}% in, late by {latency_ratio:.1} contract times");
+            let text = format!("{name}: admission rate {percent:.0}%, latency ratio {latency_ratio:.1}");
             self.raise_event(None, text);
         }
         Ok(Action::SetAdmission { table, class, fraction, retry: fraction >= 1.0 })
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -38,7 +38,10 @@
     ) -> Option<String> {
         if self.is_outlier(seen, subset) {
             self.mark_outlier(criteria);
-            return Some(format!("fails {:.0} of {:.0} tries", seen.failed, seen.attempts));
+            return Some(format!(
+                "detected as an outlier: {:.0} of {:.0} attempts failed",
+                seen.failed, seen.attempts
+            ));
         }
         let healthy = seen.attempts >= f64::from(RISE) && seen.failure_ratio() < HEALTHY_FAILURE_RATIO;
         let try_again = !criteria.health_checks_allowed && criteria.now >= self.outlier_until;
--- a/src/startup_hold.rs
+++ b/src/startup_hold.rs
@@ -47,11 +47,11 @@
     ) -> Option<&'static str> {
         let min_hold = MIN_HOLD.min(self.max_hold);
         if self.now >= min_hold && endpoints.all(|state| state.health.is_known()) {
-            Some("all its servers have a result")
+            Some("all endpoints have a health check result")
         } else if self.now >= self.max_hold {
-            Some("the hold is over")
+            Some("the maximum start-up hold has passed")
         } else if self.unusable >= MIN_DEFAULT_TABLE {
-            Some("standing tables may hold nothing but withdrawn servers")
+            Some("tables in use may contain only ejected endpoints")
         } else {
             None
         }
--- a/tests/controller/mass_attachment.rs
+++ b/tests/controller/mass_attachment.rs
@@ -32,13 +32,13 @@
     let slow: Vec<String> = bound
         .into_iter()
         .filter_map(|(proxy, attached)| {
-            let line = trace.lines().find(|line| line.ends_with(&format!("bind proxy {proxy}")))?;
+            let line = trace.lines().find(|line| line.ends_with(&format!("assign to proxy {proxy}")))?;
             let at: f64 = line.split(' ').next()?.parse().ok()?;
             (at > (attached + ms(1000)).as_secs_f64()).then(|| line.to_string())
         })
         .collect();
     assert!(slow.is_empty(), "{slow:?}");
-    assert_eq!(trace.matches("bind proxy").count(), 60);
+    assert_eq!(trace.matches("assign to proxy").count(), 60);
 }
 
 /// An ejection is sent again to proxies that attached since, and to nobody else.
--- a/tests/controller/ordinary_path.rs
+++ b/tests/controller/ordinary_path.rs
@@ -10,17 +10,17 @@
     fleet.attach(0).run_until(6000).clear_trace().print_health_checks = true;
     fleet.health[1] = HealthCheckOutcome::Refused;
     fleet.run_until(10_000).health[1] = HealthCheckOutcome::Passed(None);
-    let trace = fleet.run_until(12_500).lines_with(&["probe 1", "table 0: server 1"]);
+    let trace = fleet.run_until(12_500).lines_with(&["check endpoint 1", "table 0: endpoint 1"]);
     expect![[r#"
-        6.6 probe 1
-        7.1 probe 1
-        7.6 probe 1
-        7.6 table 0: server 1 0
-        8.0 probe 1
-        9.9 probe 1
-        11.8 probe 1
-        12.3 probe 1
-        12.4 table 0: server 1 1
+        6.6 check endpoint 1
+        7.1 check endpoint 1
+        7.6 check endpoint 1
+        7.6 table 0: endpoint 1 0
+        8.0 check endpoint 1
+        9.9 check endpoint 1
+        11.8 check endpoint 1
+        12.3 check endpoint 1
+        12.4 table 0: endpoint 1 1
     "#]]
     .assert_eq(&trace);
 }
@@ -31,12 +31,12 @@
     fleet.health[1] = HealthCheckOutcome::Failed;
     let trace = fleet.attach(0).attach(1).run_until(5200).lines_with(&[""]);
     expect![[r#"
-        5.0 class 1: admit 1 twice
-        5.0 class 0: admit 1 twice
-        5.0 table 0: server 0 1
-        5.0 table 0: bind proxy 0
-        5.0 table 0: bind proxy 1
-        5.0 # book, look: table released, all its servers have a result
+        5.0 class 1: admit 1 with retry
+        5.0 class 0: admit 1 with retry
+        5.0 table 0: endpoint 0 1
+        5.0 table 0: assign to proxy 0
+        5.0 table 0: assign to proxy 1
+        5.0 # book, look: table released, all endpoints have a health check result
     "#]]
     .assert_eq(&trace);
 }
@@ -45,10 +45,10 @@
 fn reattachments_do_not_renew_the_hold() {
     let mut fleet = TestFleet::new(2);
     fleet.attach(0).run_until(4000).controller.detach_proxy(0);
-    let trace = fleet.run_until(4900).attach(0).run_until(5300).lines_with(&["bind", "released"]);
+    let trace = fleet.run_until(4900).attach(0).run_until(5300).lines_with(&["assign", "released"]);
     expect![[r#"
-        5.0 table 0: bind proxy 0
-        5.0 # book, look: table released, all its servers have a result
+        5.0 table 0: assign to proxy 0
+        5.0 # book, look: table released, all endpoints have a health check result
     "#]]
     .assert_eq(&trace);
 }
@@ -58,10 +58,10 @@
 fn drain_in_the_hold_ejects_at_default_tables_and_late_attachments() {
     let mut fleet = TestFleet::new(4);
     fleet.attach(0).run_until(1000).update_list(&[state(2, EndpointStatus::Draining)]).run_until(2000);
-    let trace = fleet.attach(1).run_until(3000).lines_with(&["withdraw", "released"]);
+    let trace = fleet.attach(1).run_until(3000).lines_with(&["eject", "restore", "released"]);
     expect![[r#"
-        1.0 withdraw 2 true
-        2.0 withdraw 2 true
+        1.0 eject 2
+        2.0 eject 2
     "#]]
     .assert_eq(&trace);
 }
@@ -74,15 +74,15 @@
         .attach(0)
         .run_until(1000)
         .update_list(&[0, 2, 4].map(|endpoint| state(endpoint, EndpointStatus::Removed)));
-    let trace = fleet.run_until(1100).lines_with(&["withdraw", "released", "table 0"]);
+    let trace = fleet.run_until(1100).lines_with(&["eject", "restore", "released", "table 0"]);
     expect![[r#"
-        1.0 table 0: server 1 1
-        1.0 table 0: server 3 1
-        1.0 table 0: server 5 1
-        1.0 table 0: server 6 1
-        1.0 table 0: server 7 1
-        1.0 table 0: bind proxy 0
-        1.0 # book, look: table released, standing tables may hold nothing but withdrawn servers
+        1.0 table 0: endpoint 1 1
+        1.0 table 0: endpoint 3 1
+        1.0 table 0: endpoint 5 1
+        1.0 table 0: endpoint 6 1
+        1.0 table 0: endpoint 7 1
+        1.0 table 0: assign to proxy 0
+        1.0 # book, look: table released, tables in use may contain only ejected endpoints
     "#]]
     .assert_eq(&trace);
 }
@@ -91,9 +91,9 @@
 fn last_table_stays_when_all_endpoints_look_down() {
     let mut fleet = TestFleet::new(2);
     fleet.attach(0).run_until(6000).clear_trace().health.fill(HealthCheckOutcome::Refused);
-    let trace = fleet.run_until(12_000).lines_with(&["table 0: server", "withdraw"]);
+    let trace = fleet.run_until(12_000).lines_with(&["table 0: endpoint", "eject", "restore"]);
     expect![[r#"
-        7.6 table 0: server 1 0
+        7.6 table 0: endpoint 1 0
     "#]]
     .assert_eq(&trace);
 }
@@ -124,8 +124,8 @@
     fleet.health = vec![HealthCheckOutcome::Passed(None)];
     let trace = fleet.attach(0).run_until(2000).lines_with(&["table 0"]);
     expect![[r#"
-        0.6 table 0: server 0 1
-        0.6 table 0: bind proxy 0
+        0.6 table 0: endpoint 0 1
+        0.6 table 0: assign to proxy 0
     "#]]
     .assert_eq(&trace);
 }
--- a/tests/controller/planned_weights.rs
+++ b/tests/controller/planned_weights.rs
@@ -17,16 +17,16 @@
 
 #[test]
 fn without_a_plan_each_zone_has_a_table_of_its_own_endpoints() {
-    let trace = by_zone().lines_with(&["server", "bind"]);
+    let trace = by_zone().lines_with(&["endpoint", "assign"]);
     expect![[r#"
-        5.0 table 0: server 0 1
-        5.0 table 0: server 2 1
-        5.0 table 1: server 1 1
-        5.0 table 1: server 3 1
-        5.0 table 0: bind proxy 0
-        5.0 table 1: bind proxy 1
-        5.0 # book, look: table released, all its servers have a result
-        5.0 # book, look: table released, all its servers have a result
+        5.0 table 0: endpoint 0 1
+        5.0 table 0: endpoint 2 1
+        5.0 table 1: endpoint 1 1
+        5.0 table 1: endpoint 3 1
+        5.0 table 0: assign to proxy 0
+        5.0 table 1: assign to proxy 1
+        5.0 # book, look: table released, all endpoints have a health check result
+        5.0 # book, look: table released, all endpoints have a health check result
     "#]]
     .assert_eq(&trace);
 }
@@ -37,7 +37,7 @@
     fleet.clear_trace().controller.set_planned_weights(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
     let trace = fleet.run_until(7000).lines_with(&["table"]);
     expect![[r#"
-        6.2 table 0: server 1 0.25
+        6.2 table 0: endpoint 1 0.25
     "#]]
     .assert_eq(&trace);
 }
@@ -52,19 +52,19 @@
     (fleet.health[0], fleet.health[2]) = (HealthCheckOutcome::Refused, HealthCheckOutcome::Refused);
     let trace = fleet.run_until(10_000).lines_with(&["table 0"]);
     expect![[r#"
-        8.8 table 0: server 3 1
-        8.8 table 0: server 1 1
-        8.8 table 0: server 0 0
-        8.8 table 0: server 2 0
+        8.8 table 0: endpoint 3 1
+        8.8 table 0: endpoint 1 1
+        8.8 table 0: endpoint 0 0
+        8.8 table 0: endpoint 2 0
     "#]]
     .assert_eq(&trace);
     (fleet.health[0], fleet.health[2]) = (HealthCheckOutcome::Passed(None), HealthCheckOutcome::Passed(None));
     let trace = fleet.clear_trace().run_until(16_000).lines_with(&["table 0"]);
     expect![[r#"
-        11.6 table 0: server 2 1
-        11.6 table 0: server 3 0
-        11.6 table 0: server 1 0.25
-        11.8 table 0: server 0 1
+        11.6 table 0: endpoint 2 1
+        11.6 table 0: endpoint 3 0
+        11.6 table 0: endpoint 1 0.25
+        11.8 table 0: endpoint 0 1
     "#]]
     .assert_eq(&trace);
 }
@@ -78,10 +78,10 @@
     fleet.health[0] = HealthCheckOutcome::Refused;
     let trace = fleet.run_until(10_000).lines_with(&["table 0"]);
     expect![[r#"
-        8.8 table 0: server 1 1
-        8.8 table 0: server 2 1
-        8.8 table 0: server 3 1
-        8.8 table 0: server 0 0
+        8.8 table 0: endpoint 1 1
+        8.8 table 0: endpoint 2 1
+        8.8 table 0: endpoint 3 1
+        8.8 table 0: endpoint 0 0
     "#]]
     .assert_eq(&trace);
 }
@@ -92,7 +92,7 @@
     let weights = |fixed: bool| {
         let mut fleet = TestFleet::with(4, |settings| settings.rules.fixed_weights = fixed);
         fleet.attach(0).run_until(6000).clear_trace();
-        fleet.report_until(10_000, &slow).lines_with(&["server 0"])
+        fleet.report_until(10_000, &slow).lines_with(&["endpoint 0"])
     };
     assert_eq!(weights(true), "");
     assert!(!weights(false).is_empty(), "relief answers unless the terms fix weights");
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -11,11 +11,11 @@
 fn restarted_endpoint_loses_its_weight_at_once_and_regains_it_slowly() {
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace().update_list(&[started(1, 1000)]);
-    let trace = fleet.report_until(8_900, &[HEALTHY; 3]).lines_with(&["table 0: server 1"]);
+    let trace = fleet.report_until(8_900, &[HEALTHY; 3]).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
-        8.0 table 0: server 1 0
-        8.2 table 0: server 1 0.3
-        8.6 table 0: server 1 0.35
+        8.0 table 0: endpoint 1 0
+        8.2 table 0: endpoint 1 0.3
+        8.6 table 0: endpoint 1 0.35
     "#]]
     .assert_eq(&trace);
 }
@@ -30,7 +30,8 @@
         .clear_trace()
         .update_list(&[started(1, 500)]);
     let overloaded = [(20, 9, 900), (0, 0, 0), (20, 9, 900)];
-    let trace = fleet.report_until(18_000, &overloaded).lines_with(&["table 0: server 1", "withdraw"]);
+    let trace =
+        fleet.report_until(18_000, &overloaded).lines_with(&["table 0: endpoint 1", "eject", "restore"]);
     expect![""].assert_eq(&trace);
 }
 
@@ -45,11 +46,12 @@
         .update_list(&[state(1, EndpointStatus::Removed)])
         .run_until(2000)
         .update_list(&[started(1, 500)]);
-    let trace = fleet.run_until(5400).lines_with(&["withdraw", "table 0: bind", "table 0: server 1"]);
+    let trace =
+        fleet.run_until(5400).lines_with(&["eject", "restore", "table 0: assign", "table 0: endpoint 1"]);
     expect![[r#"
-        1.0 withdraw 1 true
-        5.0 table 0: bind proxy 0
-        5.2 withdraw 1 false
+        1.0 eject 1
+        5.0 table 0: assign to proxy 0
+        5.2 restore 1
     "#]]
     .assert_eq(&trace);
 }
@@ -66,11 +68,11 @@
         .fill(HealthCheckOutcome::Failed);
     let trace = fleet.run_until(100).lines_with(&["table 0"]);
     expect![[r#"
-        0.0 table 0: server 1 1
-        0.0 table 0: server 3 1
-        0.0 table 0: server 5 1
-        0.0 table 0: server 7 1
-        0.0 table 0: bind proxy 0
+        0.0 table 0: endpoint 1 1
+        0.0 table 0: endpoint 3 1
+        0.0 table 0: endpoint 5 1
+        0.0 table 0: endpoint 7 1
+        0.0 table 0: assign to proxy 0
     "#]]
     .assert_eq(&trace);
 }
@@ -80,12 +82,12 @@
 fn endpoint_that_answers_proxies_stays_up_though_health_checks_fail() {
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace().health[1] = HealthCheckOutcome::Failed;
-    let trace = fleet.report_until(14_000, &[HEALTHY; 3]).lines_with(&["server 1"]);
+    let trace = fleet.report_until(14_000, &[HEALTHY; 3]).lines_with(&["endpoint 1"]);
     expect![[""]].assert_eq(&trace);
     // Once reports stop, health checks decide.
-    let trace = fleet.run_until(17_000).lines_with(&["server 1"]);
+    let trace = fleet.run_until(17_000).lines_with(&["endpoint 1"]);
     expect![[r#"
-        16.4 table 0: server 1 0
+        16.4 table 0: endpoint 1 0
     "#]]
     .assert_eq(&trace);
 }
@@ -97,13 +99,13 @@
     fleet.attach(0).report_until(8000, &[HEALTHY; 4]).clear_trace();
     let trace = fleet
         .report_until(18_000, &[HEALTHY, HEALTHY, (10, 10, 0), HEALTHY])
-        .lines_with(&["table 0: server", "#"]);
+        .lines_with(&["table 0: endpoint", "#"]);
     expect![[r#"
-        10.0 table 0: server 2 0
-        10.0 # 2 fails 10 of 10 tries
-        15.4 table 0: server 2 0.3
-        18.0 table 0: server 2 0
-        18.0 # 2 fails 10 of 10 tries
+        10.0 table 0: endpoint 2 0
+        10.0 # 2 detected as an outlier: 10 of 10 attempts failed
+        15.4 table 0: endpoint 2 0.3
+        18.0 table 0: endpoint 2 0
+        18.0 # 2 detected as an outlier: 10 of 10 attempts failed
     "#]]
     .assert_eq(&trace);
 }
@@ -114,14 +116,14 @@
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace();
     fleet.report_until(13_000, &[(20, 18, 1400); 3]);
-    let trace = fleet.report_until(22_000, &[(20, 0, 150); 3]).lines_with(&["server", "admit"]);
+    let trace = fleet.report_until(22_000, &[(20, 0, 150); 3]).lines_with(&["endpoint", "admit"]);
     expect![[r#"
         10.0 class 1: admit 0.4
         12.0 class 0: admit 0.4
         16.0 class 1: admit 0.8
         16.0 class 0: admit 0.8
-        18.0 class 1: admit 1 twice
-        18.0 class 0: admit 1 twice
+        18.0 class 1: admit 1 with retry
+        18.0 class 0: admit 1 with retry
     "#]]
     .assert_eq(&trace);
 }
@@ -134,11 +136,11 @@
     fleet.report_until(13_000, &[HEALTHY, HEALTHY, (8, 2, 2500), HEALTHY]);
     let trace = fleet.report_until(16_500, &[HEALTHY; 4]).lines_with(&["table 0"]);
     expect![[r#"
-        10.0 table 0: server 2 0.7
-        11.0 table 0: server 2 0.5
-        12.0 table 0: server 2 0.35
-        13.0 table 0: server 2 0.3
-        16.0 table 0: server 2 0.35
+        10.0 table 0: endpoint 2 0.7
+        11.0 table 0: endpoint 2 0.5
+        12.0 table 0: endpoint 2 0.35
+        13.0 table 0: endpoint 2 0.3
+        16.0 table 0: endpoint 2 0.35
     "#]]
     .assert_eq(&trace);
 }
@@ -158,16 +160,16 @@
         fleet.attach(proxy);
     }
     let trace = fleet.run_until(6500).update_list(&[state(3, EndpointStatus::Draining)]).run_until(12_000);
-    let trace = trace.lines_with(&["bind", "with", "server 3"]);
+    let trace = trace.lines_with(&["assign", "eject", "restore", "endpoint 3"]);
     expect![[r#"
-        6.0 table 0: bind proxy 0
-        6.0 table 0: bind proxy 1
-        6.0 table 0: bind proxy 2
-        6.0 table 0: bind proxy 3
-        6.5 table 0: server 3 0
-        6.8 withdraw 3 true
-        9.2 table 0: bind proxy 4
-        10.0 table 0: bind proxy 5
+        6.0 table 0: assign to proxy 0
+        6.0 table 0: assign to proxy 1
+        6.0 table 0: assign to proxy 2
+        6.0 table 0: assign to proxy 3
+        6.5 table 0: endpoint 3 0
+        6.8 eject 3
+        9.2 table 0: assign to proxy 4
+        10.0 table 0: assign to proxy 5
     "#]]
     .assert_eq(&trace);
 }
@@ -184,10 +186,15 @@
         .run_until(6010)
         .controller
         .detach_proxy(0);
-    let trace = fleet.run_until(7000).attach(0).run_until(7500).lines_with(&["withdraw", "bind", "server 2"]);
+    let trace = fleet.run_until(7000).attach(0).run_until(7500).lines_with(&[
+        "eject",
+        "restore",
+        "assign",
+        "endpoint 2",
+    ]);
     expect![[r#"
-        6.0 table 0: server 2 0
-        7.0 table 0: bind proxy 0
+        6.0 table 0: endpoint 2 0
+        7.0 table 0: assign to proxy 0
     "#]]
     .assert_eq(&trace);
 }
@@ -224,12 +231,12 @@
     let mut fleet = TestFleet::with_restricted_class(4);
     fleet.attach(0).report_until(8000, &[HEALTHY; 4]).clear_trace();
     fleet.report_until(11_000, &[(20, 2, 900), HEALTHY, (20, 2, 900), HEALTHY]);
-    let trace = fleet.report_until(14_000, &[HEALTHY; 4]).lines_with(&["table 1: server"]);
+    let trace = fleet.report_until(14_000, &[HEALTHY; 4]).lines_with(&["table 1: endpoint"]);
     expect![[r#"
-        10.0 table 1: server 0 0.4
-        10.0 table 1: server 2 0.4
-        14.0 table 1: server 0 0.45
-        14.0 table 1: server 2 0.45
+        10.0 table 1: endpoint 0 0.4
+        10.0 table 1: endpoint 2 0.4
+        14.0 table 1: endpoint 0 0.45
+        14.0 table 1: endpoint 2 0.45
     "#]]
     .assert_eq(&trace);
 }
@@ -241,7 +248,7 @@
     fleet.check_duration_ms = 90;
     fleet.attach(0).run_until(6000).clear_trace().health[1] = HealthCheckOutcome::Refused;
     fleet.run_until(6800).health[1] = HealthCheckOutcome::Passed(None);
-    let trace = fleet.run_until(14_000).lines_with(&["table 0: server"]);
+    let trace = fleet.run_until(14_000).lines_with(&["table 0: endpoint"]);
     expect![[""]].assert_eq(&trace);
 }
 
@@ -252,14 +259,15 @@
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace().health[1] =
         HealthCheckOutcome::Passed(Some(0.99));
     fleet.report_until(10_100, &[HEALTHY; 3]).health.fill(HealthCheckOutcome::Passed(Some(0.99)));
-    let trace = fleet.report_until(11_100, &[HEALTHY; 3]).lines_with(&["table 0: server", "class 1: admit"]);
+    let trace =
+        fleet.report_until(11_100, &[HEALTHY; 3]).lines_with(&["table 0: endpoint", "class 1: admit"]);
     expect![[r#"
-        9.0 table 0: server 1 0.7
-        10.0 table 0: server 1 0.5
+        9.0 table 0: endpoint 1 0.7
+        10.0 table 0: endpoint 1 0.5
         11.0 class 1: admit 0.45
-        11.0 table 0: server 0 0.7
-        11.0 table 0: server 2 0.7
-        11.0 table 0: server 1 0.35
+        11.0 table 0: endpoint 0 0.7
+        11.0 table 0: endpoint 2 0.7
+        11.0 table 0: endpoint 1 0.35
     "#]]
     .assert_eq(&trace);
 }
@@ -284,11 +292,11 @@
 fn fleet_too_large_for_one_table_is_cut_into_subsets_by_zone() {
     let trace = large().run_until(5000).lines_with(&["table 0", "proxy 1"]);
     expect![[r#"
-        5.0 table 0: server 0 1
-        5.0 table 0: server 4 1
-        5.0 table 0: server 8 1
-        5.0 table 0: bind proxy 0
-        5.0 table 1: bind proxy 1
+        5.0 table 0: endpoint 0 1
+        5.0 table 0: endpoint 4 1
+        5.0 table 0: endpoint 8 1
+        5.0 table 0: assign to proxy 0
+        5.0 table 1: assign to proxy 1
     "#]]
     .assert_eq(&trace);
 }
@@ -303,12 +311,12 @@
         .update_list(&[0, 2, 4, 6, 8, 10].map(|endpoint| started(endpoint, 200)));
     let trace = fleet.run_until(6100).lines_with(&["table 0"]);
     expect![[r#"
-        6.0 table 0: server 0 0
-        6.0 table 0: server 4 0
-        6.0 table 0: server 8 0
-        6.0 table 0: server 1 1
-        6.0 table 0: server 5 1
-        6.0 table 0: server 9 1
+        6.0 table 0: endpoint 0 0
+        6.0 table 0: endpoint 4 0
+        6.0 table 0: endpoint 8 0
+        6.0 table 0: endpoint 1 1
+        6.0 table 0: endpoint 5 1
+        6.0 table 0: endpoint 9 1
     "#]]
     .assert_eq(&trace);
 }
@@ -359,7 +367,7 @@
     let trace = fleet
         .update_list(&[started(1, 0)])
         .report_until(12_700, &overloaded)
-        .lines_with(&["table 0: server 1"]);
+        .lines_with(&["table 0: endpoint 1"]);
     (fleet, trace)
 }
 
@@ -368,8 +376,8 @@
 #[test]
 fn warming_endpoint_with_headroom_is_used_in_an_unstable_subset() {
     for (load, trace) in [
-        (Some(0.1), "12.2 table 0: server 1 0.1\n"),
-        (Some(0.9), "12.2 table 0: server 1 0.1\n"),
+        (Some(0.1), "12.2 table 0: endpoint 1 0.1\n"),
+        (Some(0.9), "12.2 table 0: endpoint 1 0.1\n"),
         (Some(0.99), ""),
         (None, ""),
     ] {
@@ -383,17 +391,17 @@
 #[test]
 fn warming_endpoint_with_headroom_has_half_its_weight_while_its_subset_is_slow() {
     let (mut fleet, slow) = replaced(Some(0.1), 0);
-    assert_eq!(slow, "12.2 table 0: server 1 0.1\n");
+    assert_eq!(slow, "12.2 table 0: endpoint 1 0.1\n");
     fleet.health.fill(HealthCheckOutcome::Passed(Some(0.4)));
-    let uneasy = fleet.clear_trace().report_until(17_000, &[HEALTHY; 3]).lines_with(&["table 0: server 1"]);
+    let uneasy = fleet.clear_trace().report_until(17_000, &[HEALTHY; 3]).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
-        12.8 table 0: server 1 0.15
-        14.0 table 0: server 1 0.35
-        14.2 table 0: server 1 0.4
-        15.0 table 0: server 1 0.45
-        15.6 table 0: server 1 0.5
-        16.2 table 0: server 1 0.55
-        16.8 table 0: server 1 0.6
+        12.8 table 0: endpoint 1 0.15
+        14.0 table 0: endpoint 1 0.35
+        14.2 table 0: endpoint 1 0.4
+        15.0 table 0: endpoint 1 0.45
+        15.6 table 0: endpoint 1 0.5
+        16.2 table 0: endpoint 1 0.55
+        16.8 table 0: endpoint 1 0.6
     "#]]
     .assert_eq(&uneasy);
 }
@@ -404,12 +412,12 @@
     let mut fleet = TestFleet::new(3);
     fleet.health.fill(HealthCheckOutcome::Passed(Some(0.1)));
     fleet.attach(0).run_until(8000).clear_trace().update_list(&[started(1, 0)]);
-    let trace = fleet.run_until(15_000).lines_with(&["table 0: server 1"]);
+    let trace = fleet.run_until(15_000).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
-        8.0 table 0: server 1 0
-        13.0 table 0: server 1 0.3
-        13.8 table 0: server 1 0.35
-        15.0 table 0: server 1 0.4
+        8.0 table 0: endpoint 1 0
+        13.0 table 0: endpoint 1 0.3
+        13.8 table 0: endpoint 1 0.35
+        15.0 table 0: endpoint 1 0.4
     "#]]
     .assert_eq(&trace);
 }
@@ -422,10 +430,10 @@
     assert_eq!(replaced(Some(0.1), 10).1, "");
     let mut fleet = replaced(Some(0.1), 0).0;
     fleet.clear_trace().health[1] = HealthCheckOutcome::Rejected;
-    let trace = fleet.run_until(13_500).lines_with(&["table 0: server 1"]);
+    let trace = fleet.run_until(13_500).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
-        12.8 table 0: server 1 0.15
-        13.2 table 0: server 1 0
+        12.8 table 0: endpoint 1 0.15
+        13.2 table 0: endpoint 1 0
     "#]]
     .assert_eq(&trace);
 }
@@ -448,32 +456,32 @@
     }
     let trace = fleet.report_until(16_000, &[HEALTHY; 4]).lines_with(&["table"]);
     expect![[r#"
-        9.0 table 0: server 0 0.7
-        9.0 table 0: server 2 0.7
-        9.0 table 0: server 1 0.15
-        9.0 table 0: server 3 0.15
-        10.0 table 0: server 0 0.5
-        10.0 table 0: server 2 0.5
-        10.0 table 0: server 1 0.2
-        10.0 table 0: server 3 0.2
-        11.0 table 0: server 0 0.35
-        11.0 table 0: server 2 0.35
-        11.0 table 0: server 1 0.25
-        11.0 table 0: server 3 0.25
-        12.0 table 0: server 1 0.15
-        12.0 table 0: server 3 0.15
-        12.0 table 0: server 0 0.4
-        12.0 table 0: server 2 0.4
-        13.0 table 0: server 1 0.05
-        13.0 table 0: server 3 0.05
-        14.0 table 0: server 1 0
-        14.0 table 0: server 3 0
-        14.0 table 0: server 0 0.45
-        14.0 table 0: server 2 0.45
-        15.0 table 0: server 0 0.5
-        15.0 table 0: server 2 0.5
-        16.0 table 0: server 0 0.55
-        16.0 table 0: server 2 0.55
+        9.0 table 0: endpoint 0 0.7
+        9.0 table 0: endpoint 2 0.7
+        9.0 table 0: endpoint 1 0.15
+        9.0 table 0: endpoint 3 0.15
+        10.0 table 0: endpoint 0 0.5
+        10.0 table 0: endpoint 2 0.5
+        10.0 table 0: endpoint 1 0.2
+        10.0 table 0: endpoint 3 0.2
+        11.0 table 0: endpoint 0 0.35
+        11.0 table 0: endpoint 2 0.35
+        11.0 table 0: endpoint 1 0.25
+        11.0 table 0: endpoint 3 0.25
+        12.0 table 0: endpoint 1 0.15
+        12.0 table 0: endpoint 3 0.15
+        12.0 table 0: endpoint 0 0.4
+        12.0 table 0: endpoint 2 0.4
+        13.0 table 0: endpoint 1 0.05
+        13.0 table 0: endpoint 3 0.05
+        14.0 table 0: endpoint 1 0
+        14.0 table 0: endpoint 3 0
+        14.0 table 0: endpoint 0 0.45
+        14.0 table 0: endpoint 2 0.45
+        15.0 table 0: endpoint 0 0.5
+        15.0 table 0: endpoint 2 0.5
+        16.0 table 0: endpoint 0 0.55
+        16.0 table 0: endpoint 2 0.55
     "#]]
     .assert_eq(&trace);
     let mut mute = TestFleet::with(4, |settings| {
@@ -481,7 +489,10 @@
     });
     mute.attach(0).attach(1).report_until(8000, &[HEALTHY; 4]).clear_trace();
     let slow = [(20, 0, 900), HEALTHY, (20, 0, 900), HEALTHY];
-    assert_eq!(mute.report_until(14_000, &slow).lines_with(&["table 0: server 1", "table 0: server 3"]), "");
+    assert_eq!(
+        mute.report_until(14_000, &slow).lines_with(&["table 0: endpoint 1", "table 0: endpoint 3"]),
+        ""
+    );
 }
 
 /// No proxy without an endpoint: five subsets in groups of four zones left the fifth alone, and its
@@ -504,15 +515,15 @@
         .update_list(&[0, 2, 4, 6, 8, 10].map(|endpoint| state(endpoint, EndpointStatus::Removed)));
     let trace = fleet.run_until(8100).lines_with(&["table 2"]);
     expect![[r#"
-        8.0 table 2: server 2 0
-        8.0 table 2: server 6 0
-        8.0 table 2: server 10 0
-        8.0 table 2: server 1 1
-        8.0 table 2: server 3 1
-        8.0 table 2: server 5 1
-        8.0 table 2: server 7 1
-        8.0 table 2: server 9 1
-        8.0 table 2: server 11 1
+        8.0 table 2: endpoint 2 0
+        8.0 table 2: endpoint 6 0
+        8.0 table 2: endpoint 10 0
+        8.0 table 2: endpoint 1 1
+        8.0 table 2: endpoint 3 1
+        8.0 table 2: endpoint 5 1
+        8.0 table 2: endpoint 7 1
+        8.0 table 2: endpoint 9 1
+        8.0 table 2: endpoint 11 1
     "#]]
     .assert_eq(&trace);
 }
@@ -534,7 +545,7 @@
         (0..24).map(|endpoint| if endpoint % 2 == 0 { (20, 0, 900) } else { HEALTHY }).collect();
     fleet.report_until(16_000, &slow).clear_trace();
     let removed: Vec<_> = (12..24).map(|endpoint| state(endpoint, EndpointStatus::Removed)).collect();
-    let trace = fleet.update_list(&removed).run_until(16_300).lines_with(&["server"]);
+    let trace = fleet.update_list(&removed).run_until(16_300).lines_with(&["endpoint"]);
     assert_eq!(trace.lines().filter(|line| line.ends_with(" 0")).count(), 12, "{trace}");
 }
 
@@ -561,9 +572,9 @@
     }
     fleet.clear_trace();
     let slow = [(20, 0, 900), HEALTHY, HEALTHY, HEALTHY];
-    let trace = fleet.report_until(15_500, &slow).lines_with(&["table 0: server 0"]);
+    let trace = fleet.report_until(15_500, &slow).lines_with(&["table 0: endpoint 0"]);
     expect![[r#"
-        15.0 table 0: server 0 0.7
+        15.0 table 0: endpoint 0 0.7
     "#]]
     .assert_eq(&trace);
 }
@@ -579,15 +590,15 @@
         .update_list(&[0, 1, 2].map(|endpoint| state(endpoint, EndpointStatus::Draining)))
         .run_until(4100);
     fleet.clear_trace().update_list(&[0, 1, 2].map(ready));
-    let trace = fleet.run_until(6000).lines_with(&["table", "withdraw"]);
+    let trace = fleet.run_until(6000).lines_with(&["table", "eject", "restore"]);
     expect![[r#"
-        4.1 table 0: server 0 1
-        4.1 table 0: server 1 1
-        4.1 table 0: server 2 1
-        4.1 table 0: bind proxy 0
-        4.2 withdraw 0 false
-        4.2 withdraw 1 false
-        4.2 withdraw 2 false
+        4.1 table 0: endpoint 0 1
+        4.1 table 0: endpoint 1 1
+        4.1 table 0: endpoint 2 1
+        4.1 table 0: assign to proxy 0
+        4.2 restore 0
+        4.2 restore 1
+        4.2 restore 2
     "#]]
     .assert_eq(&trace);
 }
@@ -599,10 +610,10 @@
     let mut fleet = TestFleet::new(4);
     fleet.attach(0).run_until(1000).update_list(&[state(2, EndpointStatus::Draining)]).run_until(2000);
     fleet.attach(1).update_list(&[ready(2)]);
-    let trace = fleet.run_until(7000).lines_with(&["withdraw"]);
+    let trace = fleet.run_until(7000).lines_with(&["eject", "restore"]);
     expect![[r#"
-        1.0 withdraw 2 true
-        5.2 withdraw 2 false
+        1.0 eject 2
+        5.2 restore 2
     "#]]
     .assert_eq(&trace);
 }
--- a/tests/controller/test_fleet.rs
+++ b/tests/controller/test_fleet.rs
@@ -94,15 +94,15 @@
         while let Some(action) = self.controller.next_action(self.now) {
             let at = self.now.as_secs_f64();
             let text = match &action {
-                Action::CheckHealth(endpoint) => format!("probe {endpoint}"),
+                Action::CheckHealth(endpoint) => format!("check endpoint {endpoint}"),
                 Action::SetWeight { table, endpoint, weight } => {
-                    format!("table {table}: server {endpoint} {weight}")
+                    format!("table {table}: endpoint {endpoint} {weight}")
                 }
-                Action::AssignTable { table, proxy, .. } => format!("table {table}: bind proxy {proxy}"),
-                Action::Eject { endpoint } => format!("withdraw {endpoint} true"),
-                Action::Restore { endpoint } => format!("withdraw {endpoint} false"),
+                Action::AssignTable { table, proxy, .. } => format!("table {table}: assign to proxy {proxy}"),
+                Action::Eject { endpoint } => format!("eject {endpoint}"),
+                Action::Restore { endpoint } => format!("restore {endpoint}"),
                 Action::SetAdmission { class, fraction, retry, .. } => {
-                    format!("class {class}: admit {fraction}{}", if *retry { " twice" } else { "" })
+                    format!("class {class}: admit {fraction}{}", if *retry { " with retry" } else { "" })
                 }
                 Action::RaiseEvent { endpoint: Some(endpoint), text } => format!("# {endpoint} {text}"),
                 Action::RaiseEvent { endpoint: None, text } => format!("# {text}"),
