--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -39,7 +39,7 @@
         ("contract-time", settings.classes[0].latency_objective.as_secs_f64(), 0.6),
         ("earnings", settings.classes[0].value, 3.0),
         ("cold-share", settings.rules.initial_weight_fraction, 0.25),
-        ("unserved-most", settings.rules.max_unserved.as_secs_f64(), 2.0),
+        ("unserved-most", settings.rules.max_time_without_endpoints.as_secs_f64(), 2.0),
     ] {
         assert_eq!(setting, expected, "{name}");
     }
--- a/crates/fleet/src/fleet_controller.rs
+++ b/crates/fleet/src/fleet_controller.rs
@@ -171,7 +171,7 @@
     pub fn run_actions(&mut self, now: Duration) -> Vec<Effect> {
         self.now = now;
         self.expire_timers(now);
-        let endpoints = self.controller.snapshot().endpoints;
+        let endpoints = self.controller.state().endpoints;
         let task = self.planner.as_mut().and_then(|planner| planner.next_task(now, endpoints));
         self.effects.extend(task.map(Effect::Solve));
         // The decisions hold updates back while too much waits, so they get the true number first.
--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -67,9 +67,9 @@
         self.now = now;
         let attached = self.attached_total();
         let Some(planner) = &mut self.planner else { return };
-        let Plan { weights, tables } = planner.take_answer(answer, attached, self.controller.snapshot());
+        let Plan { weights, tables } = planner.take_answer(answer, attached, self.controller.state());
         for (class, fraction) in planner.planned_fractions().iter().enumerate() {
-            self.controller.set_planned_fraction(class, *fraction);
+            self.controller.set_planned_admission(class, *fraction);
         }
         for (endpoint, steps) in &weights {
             // Never 0, so that requests have somewhere to go if all others fail.
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockcroft::{ClassAdmission, ClassId, EndpointId, RoutingTable, Settings, Snapshot, TableId, ZoneId};
+use lockcroft::{
+    ClassAdmission, ClassId, ControllerState, EndpointId, RoutingTable, Settings, TableId, ZoneId,
+};
 use lockcroft_solver::{
     Answer, ChangePrice, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem,
     TableScope, TableStabilizer, WeightFractions,
@@ -192,7 +194,7 @@
     }
 
     /// Takes the answer to the task in flight, and gives what changes by it.
-    pub fn take_answer(&mut self, answer: Option<Answer>, proxies: usize, snapshot: Snapshot) -> Plan {
+    pub fn take_answer(&mut self, answer: Option<Answer>, proxies: usize, snapshot: ControllerState) -> Plan {
         let Some(task) = self.in_flight.take() else { return Plan::default() };
         let Some(mut answer) = answer else { return Plan::default() };
         // Where no endpoint is up that a class may use, to reject its requests would mend nothing: the decisions
--- a/crates/fleet/src/state_recovery.rs
+++ b/crates/fleet/src/state_recovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockcroft::{EndpointRecord, EndpointStatus, RecoveredSlowStart, Snapshot, TableId};
+use lockcroft::{ControllerState, EndpointRecord, EndpointStatus, RecoveredSlowStart, TableId};
 use lockcroft_state_store::{RecoveredEndpoint, RecoveredState};
 use tracing::info;
 
@@ -61,7 +61,7 @@
             record,
             weight_factor: recovered.weight_factor,
             slow_start,
-            outlier_for: recovered.outlier_remaining,
+            outlier_remaining: recovered.outlier_remaining,
         };
         self.controller.recover_endpoint(now, recovered);
     }
@@ -84,7 +84,7 @@
     /// Gives out what was learned since the last call.
     pub(crate) fn record_state(&mut self, now: Duration) {
         let Some(recorder) = &mut self.recorder else { return };
-        let Snapshot { endpoints, admissions, .. } = self.controller.snapshot();
+        let ControllerState { endpoints, admissions, .. } = self.controller.state();
         let mut entries = recorder.record_slice(now, endpoints, admissions, &self.endpoints, &self.names);
         if let Some(planner) = &mut self.planner {
             let capacities = planner.take_changed_capacities(now, endpoints);
--- a/crates/fleet/src/views/arguments.rs
+++ b/crates/fleet/src/views/arguments.rs
@@ -13,7 +13,7 @@
     /// The argument names no endpoint of the list, or no table.
     pub fn find_endpoint(&self, argument: &str) -> Result<EndpointId, OperatorError> {
         let (backend, endpoint) = argument.split_once('/').ok_or(OperatorError::MissingEndpoint)?;
-        let tables = self.controller.snapshot().tables.len();
+        let tables = self.controller.state().tables.len();
         let table = backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
         if backend != "servers" && table.is_none_or(|table| table >= tables) {
             return Err(OperatorError::NoSuchBackend);
--- a/crates/fleet/src/views/endpoints.rs
+++ b/crates/fleet/src/views/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use lockcroft::{EndpointId, EndpointState, EndpointStatus, Snapshot};
+use lockcroft::{ControllerState, EndpointId, EndpointState, EndpointStatus};
 use lockcroft_runtime_api::tables::{
     FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
 };
@@ -17,7 +17,7 @@
     /// Counters as the guide's `show stat`: a row for each class and for each endpoint of a table.
     #[must_use]
     pub fn show_stat(&self) -> String {
-        let Snapshot { endpoints, tables, .. } = self.controller.snapshot();
+        let ControllerState { endpoints, tables, .. } = self.controller.state();
         let classes = self.names.classes.iter().zip(&self.request_counts);
         let mut rows: Vec<StatRow> = classes.map(|(class, requests)| class_row(class, *requests)).collect();
         for (number, table) in tables.iter().enumerate() {
@@ -56,7 +56,7 @@
     /// # Errors
     /// There is no such table.
     pub fn show_endpoints(&self, backend: Option<&str>) -> Result<String, OperatorError> {
-        let Snapshot { endpoints, tables, .. } = self.controller.snapshot();
+        let ControllerState { endpoints, tables, .. } = self.controller.state();
         let is_wanted = |name: &str| backend.is_none_or(|wanted| wanted == name);
         let mut rows = Vec::new();
         if is_wanted(ALL_ENDPOINTS) {
--- a/crates/fleet/src/views/fleet.rs
+++ b/crates/fleet/src/views/fleet.rs
@@ -13,7 +13,7 @@
     #[must_use]
     pub fn show_tables(&self) -> String {
         let mut text = "# name part released proxies lines published wanted late kept\n".to_string();
-        for (number, table) in self.controller.snapshot().tables.iter().enumerate() {
+        for (number, table) in self.controller.state().tables.iter().enumerate() {
             let entries = table.published.values().filter(|weight| **weight > 0.0).count();
             let published: f64 = table.published.values().sum();
             let desired: f64 = table.desired.values().sum();
@@ -21,7 +21,7 @@
             let _ = writeln!(
                 text,
                 "t{number} {} {} {proxies} {entries} {published:.2} {desired:.2} {:.2} {:.2}",
-                table.subset, table.released, table.latency_ratio, table.flexible_fraction
+                table.subset, table.released, table.latency_ratio, table.unreserved_fraction
             );
         }
         text
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn show_admission(&self) -> String {
         let mut text = "# class table wanted published demand\n".to_string();
-        for admission in self.controller.snapshot().admissions {
+        for admission in self.controller.state().admissions {
             let published = admission.published.map_or("-".into(), |fraction| fraction.to_string());
             let _ = writeln!(
                 text,
--- a/crates/fleet/src/views/info.rs
+++ b/crates/fleet/src/views/info.rs
@@ -1,6 +1,6 @@
 //! `show info` and `show memory`: one `Name: value` a line.
 
-use lockcroft::Snapshot;
+use lockcroft::ControllerState;
 
 use crate::file_distribution::FileDistribution;
 use crate::fleet_controller::FleetController;
@@ -33,7 +33,7 @@
     }
 
     fn fleet_lines(&self) -> Vec<InfoLine> {
-        let Snapshot { endpoints, tables, .. } = self.controller.snapshot();
+        let ControllerState { endpoints, tables, .. } = self.controller.state();
         let up = endpoints.values().filter(|state| state.is_up()).count();
         let held = tables.iter().filter(|table| !table.released).count();
         vec![
--- a/crates/host/src/setting_values.rs
+++ b/crates/host/src/setting_values.rs
@@ -80,9 +80,9 @@
     fn rules(&self) -> RuleSettings {
         let default = RuleSettings::default();
         RuleSettings {
-            max_unserved: self.duration("rules.unserved_most_us"),
+            max_time_without_endpoints: self.duration("rules.unserved_most_us"),
             drain_grace: self.time("rules.drain_grace_us"),
-            only_draining_binds: self.flag("rules.only_draining_binds"),
+            ignore_removals: self.flag("rules.only_draining_binds"),
             initial_weight_fraction: self
                 .number("rules.cold_share")
                 .unwrap_or(default.initial_weight_fraction),
--- a/crates/host/tests/settings.rs
+++ b/crates/host/tests/settings.rs
@@ -72,9 +72,9 @@
     assert_eq!(fleet.keeps_ejections, values.flag("fleet.keeps_withdrawals"));
     assert_eq!(fleet.max_weight, values.number("fleet.weight_most").unwrap_or(1.0));
     assert_eq!(fleet.key_ranges, values.number("fleet.slices").unwrap_or(0.0));
-    assert_eq!(rules.max_unserved, values.duration("rules.unserved_most_us"));
+    assert_eq!(rules.max_time_without_endpoints, values.duration("rules.unserved_most_us"));
     assert_eq!(rules.drain_grace, values.time("rules.drain_grace_us"));
-    assert_eq!(rules.only_draining_binds, values.flag("rules.only_draining_binds"));
+    assert_eq!(rules.ignore_removals, values.flag("rules.only_draining_binds"));
     assert_eq!(rules.initial_weight_fraction, values.number("rules.cold_share").unwrap_or(1.0));
     assert_eq!(rules.slow_start_window, values.duration("rules.warm_within_us"));
     let factor = values.number("rules.cold_multiple").unwrap_or(f64::INFINITY);
@@ -125,7 +125,7 @@
     assert_eq!(settings.fleet.key_ranges, 256.0);
     assert_eq!(settings.rules.slow_start_window, Duration::from_secs(10));
     assert_eq!(settings.rules.warming_overload_factor, 4.0);
-    assert!(settings.rules.only_draining_binds && settings.rules.fixed_weights);
+    assert!(settings.rules.ignore_removals && settings.rules.fixed_weights);
     assert_eq!(settings.classes[0].only_zones, Some(vec![2, 0]));
     assert_eq!(settings.classes[1].only_machine_types, Some(vec![1]));
     assert_eq!(settings.classes[0].late_value_fraction, 0.2);
--- a/crates/scenario/src/rules/limits.rs
+++ b/crates/scenario/src/rules/limits.rs
@@ -40,9 +40,9 @@
         Limits {
             execute_once: unsafe_classes.filter_map(|class| class.name.clone()).collect(),
             classes: classes.filter_map(|class| class.name.clone()).collect(),
-            max_unserved: settings.rules.max_unserved,
+            max_unserved: settings.rules.max_time_without_endpoints,
             drain_grace: settings.rules.drain_grace.unwrap_or_default(),
-            only_draining_binds: settings.rules.only_draining_binds,
+            only_draining_binds: settings.rules.ignore_removals,
             slow_start: SlowStart {
                 initial_fraction: settings.rules.initial_weight_fraction,
                 window: settings.rules.slow_start_window,
--- a/src/controller/applying.rs
+++ b/src/controller/applying.rs
@@ -127,7 +127,7 @@
     fn changed_entries(&self, table: TableId) -> usize {
         let published = self.tables[table].published.iter().filter(|(_, weight)| **weight > 0.0);
         let endpoints = published.filter_map(|(endpoint, _)| self.endpoints.get(endpoint));
-        endpoints.filter(|state| state.changed_at.is_some()).count()
+        endpoints.filter(|state| state.list_changed_at.is_some()).count()
     }
 
     /// Whether proxies eject endpoints on their own.
--- a/src/controller/evaluation.rs
+++ b/src/controller/evaluation.rs
@@ -51,8 +51,8 @@
         let subsets = self.unevaluated_by_subset();
         self.admissions.iter_mut().for_each(|admission| admission.demand *= DEMAND_KEPT);
         for (endpoint, state) in &mut self.endpoints {
-            let seen = std::mem::take(&mut state.unevaluated);
-            state.recent = seen.plus(state.recent, ATTEMPTS_KEPT);
+            let seen = std::mem::take(&mut state.unevaluated_attempts);
+            state.recent_attempts = seen.plus(state.recent_attempts, ATTEMPTS_KEPT);
             let subset = subsets[state.subset];
             if let Some(text) = state.evaluate_attempts(seen, subset, &criteria) {
                 self.ready.push_back(Action::RaiseEvent { endpoint: Some(*endpoint), text });
@@ -65,7 +65,7 @@
     fn unevaluated_by_subset(&self) -> Vec<AttemptStats> {
         let mut subsets = vec![AttemptStats::default(); self.layout.subsets];
         for state in self.endpoints.values().filter(|state| state.is_up()) {
-            subsets[state.subset] = state.unevaluated.plus(subsets[state.subset], 1.0);
+            subsets[state.subset] = state.unevaluated_attempts.plus(subsets[state.subset], 1.0);
         }
         subsets
     }
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -38,14 +38,14 @@
 
     /// Where only draining forbids requests, a list that calls endpoints removed takes nothing from them.
     fn removal_binds(&self) -> bool {
-        !self.settings.rules.only_draining_binds
+        !self.settings.rules.ignore_removals
     }
 
     fn remove_unlisted(&mut self, now: Duration, records: &[EndpointRecord]) {
         let listed: BTreeSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
         for (_, state) in self.endpoints.iter_mut().filter(|(endpoint, _)| !listed.contains(endpoint)) {
             if !state.is_not_ready() {
-                state.changed_at = Some(now);
+                state.list_changed_at = Some(now);
             }
             state.record.status = EndpointStatus::Removed;
         }
@@ -79,17 +79,17 @@
         let window = self.settings.rules.slow_start_window;
         let Some(state) = self.endpoints.get_mut(&record.endpoint) else { return };
         let was_not_ready = state.is_not_ready();
-        let was_out = state.check.is_new() || was_not_ready;
+        let was_out = state.health_check.is_new() || was_not_ready;
         state.record = *record;
         let started = state.record_start(now, record.age.unwrap_or(window), window);
         if started || state.is_not_ready() && !was_not_ready {
-            state.changed_at = Some(now);
+            state.list_changed_at = Some(now);
         }
         if started || was_out && !state.is_not_ready() {
             // A new process has a health of its own. Where health checks are not allowed, all have passed
             // them.
             state.reset_health(now + settle_time, !allowed);
-            let timer = &mut state.check;
+            let timer = &mut state.health_check;
             self.health_checks.plan_first(now, record.endpoint, timer, allowed, &mut self.random);
         }
     }
@@ -121,8 +121,8 @@
     ) {
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
         if now >= state.reports_valid_from {
-            state.unevaluated =
-                AttemptStats::new(attempts, failed, mean_latency).plus(state.unevaluated, 1.0);
+            state.unevaluated_attempts =
+                AttemptStats::new(attempts, failed, mean_latency).plus(state.unevaluated_attempts, 1.0);
         }
     }
 
@@ -182,7 +182,7 @@
 impl Controller {
     /// A plan made ahead has capacity for this fraction of a class's requests; no more is admitted, however
     /// fast its endpoints are.
-    pub fn set_planned_fraction(&mut self, class: ClassId, fraction: f64) {
+    pub fn set_planned_admission(&mut self, class: ClassId, fraction: f64) {
         let of_class = self.admissions.iter_mut().filter(|admission| admission.class == class);
         of_class.for_each(|admission| admission.planned_rate = fraction);
     }
@@ -198,7 +198,7 @@
     /// Takes in what was known of an endpoint before this start and is still valid. An endpoint that was
     /// removed since is named here, as proxies may still use it.
     pub fn recover_endpoint(&mut self, now: Duration, recovered: RecoveredEndpoint) {
-        let RecoveredEndpoint { record, weight_factor, slow_start, outlier_for } = recovered;
+        let RecoveredEndpoint { record, weight_factor, slow_start, outlier_remaining } = recovered;
         let subset = self.layout.first_for_zone(record.zone);
         let Some(state) = self.endpoints.get_mut(&record.endpoint) else {
             if record.status == EndpointStatus::Removed && self.layout.subsets > 0 {
@@ -208,7 +208,7 @@
             return;
         };
         state.weight_factor = state.weight_factor.min(weight_factor.max(MIN_WEIGHT_FACTOR));
-        state.outlier_until = state.outlier_until.max(now + outlier_for);
+        state.outlier_until = state.outlier_until.max(now + outlier_remaining);
         if let Some(slow_start) = slow_start
             && now + slow_start.remaining > state.warmed_up_at
         {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -29,7 +29,7 @@
 
 /// What the controller believes, wants and has published, to be shown and persisted.
 #[derive(Clone, Copy)]
-pub struct Snapshot<'a> {
+pub struct ControllerState<'a> {
     /// Every endpoint that was ever listed.
     pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
     /// All tables; a [`crate::TableId`] is an index into them.
@@ -101,8 +101,8 @@
 
     /// What is believed of each endpoint, the tables as desired and published, and what is admitted.
     #[must_use]
-    pub fn snapshot(&self) -> Snapshot<'_> {
-        Snapshot { endpoints: &self.endpoints, tables: &self.tables, admissions: &self.admissions }
+    pub fn state(&self) -> ControllerState<'_> {
+        ControllerState { endpoints: &self.endpoints, tables: &self.tables, admissions: &self.admissions }
     }
 }
 
--- a/src/health.rs
+++ b/src/health.rs
@@ -57,13 +57,13 @@
         while let Some((time, endpoint)) = self.due.first().copied().filter(|(time, _)| *time <= now) {
             self.due.remove(&(time, endpoint));
             let Some(state) = endpoints.get_mut(&endpoint) else { continue };
-            if state.check.timed_out_at(time) {
+            if state.health_check.timed_out_at(time) {
                 self.finish(now, state, -1, random);
                 continue;
             }
-            let is_due = state.check.started_at.is_none() && state.check.next_at == time;
+            let is_due = state.health_check.started_at.is_none() && state.health_check.next_at == time;
             if is_due && !state.is_not_ready() {
-                state.check.started_at = Some(now);
+                state.health_check.started_at = Some(now);
                 self.due.insert((now + HEALTH_CHECK_TIMEOUT, endpoint));
                 started.push(endpoint);
             }
@@ -81,18 +81,18 @@
         random: &mut Random,
     ) {
         let results = state.take_outcome(now, outcome);
-        if state.check.accepts(now, elapsed) {
+        if state.health_check.accepts(now, elapsed) {
             self.finish(now, state, results, random);
         }
     }
 
     /// Ends the check under way, if there is one: its results count, and the next check is planned.
     fn finish(&mut self, now: Duration, state: &mut EndpointState, results: i32, random: &mut Random) {
-        let Some(started) = state.check.started_at.take() else { return };
+        let Some(started) = state.health_check.started_at.take() else { return };
         state.health.record(results);
         let interval = state.health.check_interval().mul_f64(1.0 - INTERVAL_JITTER * random.fraction());
-        state.check.next_at = now.max(started + interval);
-        self.due.insert((state.check.next_at, state.record.endpoint));
+        state.health_check.next_at = now.max(started + interval);
+        self.due.insert((state.health_check.next_at, state.record.endpoint));
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -37,7 +37,7 @@
 mod weight_reduction;
 mod weights;
 
-pub use controller::{Controller, Snapshot};
+pub use controller::{Controller, ControllerState};
 pub use health_state::{HEALTH_CHECK_TIMEOUT, HealthCheckTimer, HealthCounter};
 pub use load_shedding::ClassAdmission;
 pub use settings::{ClassSettings, FleetSettings, RuleSettings, Settings, SolverSettings};
@@ -113,7 +113,7 @@
     /// Its slow start, if that is not over.
     pub slow_start: Option<RecoveredSlowStart>,
     /// It stays an outlier for this time.
-    pub outlier_for: Duration,
+    pub outlier_remaining: Duration,
 }
 
 /// A slow start that was under way before a start of the controller.
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -104,10 +104,10 @@
         let mut failures = 0.0;
         for (endpoint, weight) in &table.published {
             let state = &endpoints[endpoint];
-            if state.recent.attempts >= 1.0 && !state.ejected {
+            if state.recent_attempts.attempts >= 1.0 && !state.ejected {
                 weights += weight;
                 latency += weight * attributable_latency_ratio(state, latency_objective);
-                failures += weight * state.recent.failure_ratio();
+                failures += weight * state.recent_attempts.failure_ratio();
             }
         }
         table.latency_ratio = latency / weights;
@@ -162,7 +162,7 @@
     let recovery = if slowest_restricted < LOW_LATENCY_RATIO { WEIGHT_RECOVERY_STEP } else { 0.0 };
     for table in tables {
         let makes_room = slowest_restricted > HIGH_LATENCY_RATIO.max(table.latency_ratio);
-        table.flexible_fraction =
-            if makes_room { MIN_ADMISSION } else { (table.flexible_fraction + recovery).min(1.0) };
+        table.unreserved_fraction =
+            if makes_room { MIN_ADMISSION } else { (table.unreserved_fraction + recovery).min(1.0) };
     }
 }
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -213,7 +213,7 @@
         let update = |(endpoint, state): (&EndpointId, &EndpointState)| {
             if self.must_be_ejected(state) {
                 let attached_at = unassigned.first_attached_after(state.ejected_up_to_generation)?;
-                let owed_since = attached_at.max(state.changed_at.unwrap_or_default());
+                let owed_since = attached_at.max(state.list_changed_at.unwrap_or_default());
                 return Some(PendingUpdate::urgent(owed_since, Update::Eject(*endpoint)));
             }
             let is_due = state.ejected && unassigned.is_empty() && !self.is_overweight(*endpoint);
@@ -253,8 +253,8 @@
     /// endpoint that is warming up and has little weight already is no worse off for a while.
     fn owed_since(&self, now: Duration) -> Duration {
         let has_little = self.published <= CAUTIOUS_FRACTION * self.state.record.weight;
-        match self.state.changed_at {
-            Some(changed_at) if self.state.is_not_ready() || !has_little => changed_at,
+        match self.state.list_changed_at {
+            Some(list_changed_at) if self.state.is_not_ready() || !has_little => list_changed_at,
             _ => now,
         }
     }
@@ -318,7 +318,7 @@
     if !(1..=MAX_ENTRIES_PER_EJECTION * owed_ejections).contains(&table.published_entries()) {
         return PendingUpdate::deferrable(Priority::Assignment, update);
     }
-    let first_change = endpoints.values().filter(is_owed).filter_map(|state| state.changed_at).min();
+    let first_change = endpoints.values().filter(is_owed).filter_map(|state| state.list_changed_at).min();
     PendingUpdate::urgent(first_change.unwrap_or_default().max(proxy.attached_at), update)
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -144,11 +144,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSettings {
     /// A proxy may be without any endpoint for so long.
-    pub max_unserved: Duration,
+    pub max_time_without_endpoints: Duration,
     /// A draining endpoint may get requests for so long.
     pub drain_grace: Option<Duration>,
     /// Whether only draining, and not removal from the list, forbids requests to an endpoint.
-    pub only_draining_binds: bool,
+    pub ignore_removals: bool,
     /// The fraction of its weight that a process can do when it has just started.
     pub initial_weight_fraction: f64,
     /// The time after which a started process can do all of its weight.
@@ -164,9 +164,9 @@
 impl Default for RuleSettings {
     fn default() -> Self {
         RuleSettings {
-            max_unserved: Duration::ZERO,
+            max_time_without_endpoints: Duration::ZERO,
             drain_grace: None,
-            only_draining_binds: false,
+            ignore_removals: false,
             initial_weight_fraction: 1.0,
             slow_start_window: Duration::ZERO,
             warming_overload_factor: f64::INFINITY,
--- a/src/state.rs
+++ b/src/state.rs
@@ -16,7 +16,7 @@
     /// Whether it is up, by health checks and reports.
     pub health: HealthCounter,
     /// Its current and next health check.
-    pub check: HealthCheckTimer,
+    pub health_check: HealthCheckTimer,
     /// When its process started.
     pub started_at: Duration,
     /// When its process can do all of its weight.
@@ -28,14 +28,14 @@
     /// Detected as an outlier: passed health checks do not count before this time.
     pub outlier_until: Duration,
     /// What reports told since the last evaluation.
-    pub unevaluated: AttemptStats,
+    pub unevaluated_attempts: AttemptStats,
     /// What reports told of late, fading.
-    pub recent: AttemptStats,
+    pub recent_attempts: AttemptStats,
     /// The fraction of its cores in use, where it reports one.
     pub load: Option<f64>,
     /// When the endpoint list last said that it drains, is removed or was started, if it ever did: from then on its
     /// grace runs.
-    pub changed_at: Option<Duration>,
+    pub list_changed_at: Option<Duration>,
     /// Whether proxies were told not to use it, whatever their tables say.
     pub ejected: bool,
     /// The ejection reached the proxies up to this attachment generation.
@@ -50,16 +50,16 @@
             record,
             subset,
             health: HealthCounter::default(),
-            check: HealthCheckTimer::default(),
+            health_check: HealthCheckTimer::default(),
             started_at: Duration::ZERO,
             warmed_up_at: Duration::ZERO,
             weight_factor: 1.0,
             reports_valid_from: Duration::ZERO,
             outlier_until: Duration::ZERO,
-            unevaluated: AttemptStats::default(),
-            recent: AttemptStats::default(),
+            unevaluated_attempts: AttemptStats::default(),
+            recent_attempts: AttemptStats::default(),
             load: None,
-            changed_at: None,
+            list_changed_at: None,
             ejected: false,
             ejected_up_to_generation: 0,
         }
@@ -68,8 +68,8 @@
     /// Forgets what was known of an earlier process. Reports count from `reports_valid_from` on.
     pub(crate) fn reset_health(&mut self, reports_valid_from: Duration, assume_healthy: bool) {
         self.health = if assume_healthy { HealthCounter::saturated() } else { HealthCounter::default() };
-        self.unevaluated = AttemptStats::default();
-        self.recent = AttemptStats::default();
+        self.unevaluated_attempts = AttemptStats::default();
+        self.recent_attempts = AttemptStats::default();
         self.reports_valid_from = reports_valid_from;
         self.outlier_until = Duration::ZERO;
     }
@@ -139,7 +139,7 @@
     /// subset.
     pub planned_weights: BTreeMap<EndpointId, f64>,
     /// The fraction of its weight that an unrestricted table keeps at endpoints that restricted classes need.
-    pub flexible_fraction: f64,
+    pub unreserved_fraction: f64,
 }
 
 impl RoutingTable {
@@ -155,7 +155,7 @@
             latency_ratio: 0.0,
             failure_ratio: None,
             planned_weights: BTreeMap::new(),
-            flexible_fraction: 1.0,
+            unreserved_fraction: 1.0,
         }
     }
 
--- a/src/weight_reduction.rs
+++ b/src/weight_reduction.rs
@@ -21,14 +21,14 @@
     pub(crate) fn latency_ratio(&self, latency_objective: f64) -> f64 {
         let saturated = self.load.is_some_and(|load| load > SATURATED_LOAD);
         let at_least = if saturated { SLOWER_THAN_SUBSET * HIGH_LATENCY_RATIO } else { 0.0 };
-        self.recent.latency_ratio(latency_objective).max(at_least)
+        self.recent_attempts.latency_ratio(latency_objective).max(at_least)
     }
 
     /// Moves the weight factor by what the endpoint and its subset showed.
     pub(crate) fn adjust_weight_factor(&mut self, subset: AttemptStats, latency_objective: f64) {
         let bearable = HIGH_LATENCY_RATIO.max(SLOWER_THAN_SUBSET * subset.latency_ratio(latency_objective));
         let measured = self.latency_ratio(latency_objective);
-        let has_reports = self.recent.attempts >= f64::from(FALL);
+        let has_reports = self.recent_attempts.attempts >= f64::from(FALL);
         if has_reports && measured > bearable {
             let step = (bearable / measured).max(MAX_REDUCTION_STEP);
             self.weight_factor = (self.weight_factor * step).max(MIN_WEIGHT_FACTOR);
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -150,7 +150,7 @@
             return 1.0;
         }
         let makes_room = !self.table.restriction.is_restricted() && self.is_needed_by_restricted(state);
-        state.weight_factor * if makes_room { self.table.flexible_fraction } else { 1.0 }
+        state.weight_factor * if makes_room { self.table.unreserved_fraction } else { 1.0 }
     }
 
     fn is_needed_by_restricted(&self, state: &EndpointState) -> bool {
--- a/tests/controller/health_checks.rs
+++ b/tests/controller/health_checks.rs
@@ -19,11 +19,11 @@
 
 /// When the check that is under way started.
 fn out(fleet: &TestFleet) -> Option<std::time::Duration> {
-    fleet.controller.snapshot().endpoints[&(0 as EndpointId)].check.started_at
+    fleet.controller.state().endpoints[&(0 as EndpointId)].health_check.started_at
 }
 
 fn counter(fleet: &TestFleet) -> Option<u32> {
-    fleet.controller.snapshot().endpoints[&(0 as EndpointId)].health.value()
+    fleet.controller.state().endpoints[&(0 as EndpointId)].health.value()
 }
 
 /// A check that timed out may be followed by the next at once. An answer to the first that comes then, in time
--- a/tests/controller/recorded.rs
+++ b/tests/controller/recorded.rs
@@ -91,9 +91,9 @@
                 .into_iter()
                 .for_each(|(sent, lines)| fleet.controller.record_acknowledged(sent, lines)),
             2 => fleet.controller.set_queued_entries(script.below(40) as usize),
-            3 => {
-                fleet.controller.set_planned_fraction(script.endpoint(2), 0.5 + script.below(6) as f64 / 10.0)
-            }
+            3 => fleet
+                .controller
+                .set_planned_admission(script.endpoint(2), 0.5 + script.below(6) as f64 / 10.0),
             _ => {}
         }
     }
