--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -10,13 +10,13 @@
 use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
 use lockcroft_fleet::{AppliedReport, AppliedVersion, Effect, FleetController, Publication, PublishError};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, CommandQueue, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
+    AttemptOutcome, Choice, ControlSession, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
 };
 use lockcroft_runtime_api::{AccessLevel, CommandReader, ResponseReader};
 use lockcroft_state_store::Entry;
 use lockcroft_table_format::ProxyAssignment;
-use lockcroft_table_store::{AppliedSnapshot, WrittenSnapshot};
+use lockcroft_table_store::{ProxySnapshot, WrittenSnapshot};
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -86,7 +86,7 @@
 pub struct FakeProxy {
     pub routing: RoutingState,
     reader: CommandReader,
-    queue: CommandQueue,
+    queue: ControlSession,
     pub connection: Option<u64>,
     /// Commands are read and carried out, but no response goes back.
     pub is_silent: bool,
@@ -113,7 +113,7 @@
         FakeProxy {
             routing: RoutingState::new(&format!("r{proxy}"), &classes, standing, limits, proxy as u64),
             reader: CommandReader::default(),
-            queue: CommandQueue::new(AccessLevel::Admin),
+            queue: ControlSession::new(AccessLevel::Admin),
             connection: None,
             is_silent: false,
             is_unreachable: false,
@@ -366,7 +366,7 @@
         }
         fake.connection = Some(connection);
         fake.reader = CommandReader::default();
-        fake.queue = CommandQueue::new(AccessLevel::Admin);
+        fake.queue = ControlSession::new(AccessLevel::Admin);
         self.fleet.connected(self.now, proxy, connection);
     }
 
@@ -416,14 +416,14 @@
                 continue;
             }
             let name = format!("r{number}");
-            let group = content.group_of(&name).map(|number| content.groups[&number].clone());
+            let group = content.group_number_of(&name).map(|number| content.groups[&number].clone());
             let bound = group.unwrap_or_default().assignments;
             let table =
                 |assignment: &ProxyAssignment| (assignment.table, content.tables[&assignment.table].clone());
             let tables = bound.values().map(table).collect();
             let withdrawn = content.ejected.clone();
             let snapshot =
-                AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+                ProxySnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
             for command in proxy.file_commands.commands(&proxy.routing, &snapshot) {
                 proxy.routing.execute(&command).expect("a command that can be carried out");
                 writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.joined_words())
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 
 use super::worker::Worker;
-use crate::command_queue::CommandQueue;
+use crate::control_session::ControlSession;
 
 /// A command about latencies rather than tables. It is recognized only if it is the only command of its line.
 const SHOW_LATENCIES: &str = "show times";
@@ -33,7 +33,7 @@
 /// it.
 async fn serve_connection(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
     let mut reader = CommandReader::default();
-    let mut queue = CommandQueue::new(AccessLevel::Admin);
+    let mut queue = ControlSession::new(AccessLevel::Admin);
     loop {
         loop {
             let commands = match reader.next_line() {
@@ -58,7 +58,7 @@
 
 async fn execute_line(
     commands: Vec<Command>,
-    queue: &mut CommandQueue,
+    queue: &mut ControlSession,
     worker: &Worker,
     out: &mut String,
 ) -> SessionState {
