--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -33,7 +33,7 @@
 /// it.
 async fn serve_connection(mut stream: Box<dyn Stream>, worker: &Worker) -> io::Result<()> {
     let mut reader = CommandReader::default();
-    let mut queue = ControlSession::new(AccessLevel::Admin);
+    let mut session = ControlSession::new(AccessLevel::Admin);
     loop {
         loop {
             let commands = match reader.next_line() {
@@ -43,7 +43,7 @@
             };
             worker.inject_stall(&commands);
             let mut out = String::new();
-            let session_state = execute_line(commands, &mut queue, worker, &mut out).await;
+            let session_state = execute_line(commands, &mut session, worker, &mut out).await;
             stream.write_all(out.as_bytes()).await?;
             worker.capacity_changed.notify_waiters();
             if session_state == SessionState::Close {
@@ -58,7 +58,7 @@
 
 async fn execute_line(
     commands: Vec<Command>,
-    queue: &mut ControlSession,
+    session: &mut ControlSession,
     worker: &Worker,
     out: &mut String,
 ) -> SessionState {
@@ -66,7 +66,7 @@
         && command.joined_words() == SHOW_LATENCIES
     {
         out.push_str(&worker.latencies.borrow().answer_text());
-        return queue.end_line(out);
+        return session.end_line(out);
     }
-    worker.execute(commands, queue, out).await
+    worker.execute(commands, session, out).await
 }
--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -86,7 +86,7 @@
     worker: Rc<Worker>,
     folder: PathBuf,
     commands: SnapshotCommands,
-    queue: ControlSession,
+    session: ControlSession,
     status: proto::Status,
     /// The last logged error of a scan, so that it is not logged at each scan; empty after a successful scan.
     last_logged_error: String,
@@ -99,7 +99,7 @@
             worker,
             folder: config.folder.clone(),
             commands: SnapshotCommands::default(),
-            queue: ControlSession::new(AccessLevel::Admin),
+            session: ControlSession::new(AccessLevel::Admin),
             last_logged_error: String::new(),
         }
     }
@@ -181,7 +181,7 @@
         let previous_version = self.worker.state().version;
         let mut answers = String::new();
         self.worker.inject_stall(&commands);
-        self.worker.execute(commands, &mut self.queue, &mut answers).await;
+        self.worker.execute(commands, &mut self.session, &mut answers).await;
         self.worker.capacity_changed.notify_waiters();
         let version = self.worker.state().version;
         if version == previous_version {
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -115,17 +115,17 @@
     pub async fn execute(
         &self,
         commands: Vec<Command>,
-        queue: &mut ControlSession,
+        session: &mut ControlSession,
         out: &mut String,
     ) -> SessionState {
         let count = commands.len();
         let has_changes = commands.iter().any(changes_state);
         let _staging_guard = if has_changes { Some(self.staging.lock().await) } else { None };
-        let mut transaction = queue.begin(commands, &self.state());
-        while !queue.step(&mut transaction) {
+        let mut transaction = session.begin(commands, &self.state());
+        while !session.step(&mut transaction) {
             tokio::task::yield_now().await;
         }
-        let session_state = queue.finish(transaction, &mut self.state(), out);
+        let session_state = session.finish(transaction, &mut self.state(), out);
         tracing::debug!(target: "lockcroft::command", commands = count, "executed line of commands");
         session_state
     }
