--- a/crates/proxy/src/choose/mod.rs
+++ b/crates/proxy/src/choose/mod.rs
@@ -1,6 +1,6 @@
-//! Load balancing: choosing an entry of a table. Each policy has a data structure of its own, rebuilt when
-//! entries come or go and updated when the weight of one changes. `benches/choose.rs` compares them with a
-//! plain scan.
+//! Load balancing policies, which choose an entry of a table. Each policy has its own data structure, which is
+//! rebuilt when entries are added or removed and updated in place when a weight changes. `benches/choose.rs`
+//! compares them with a linear scan.
 
 mod smooth_weighted_round_robin;
 mod weighted_random;
@@ -12,24 +12,24 @@
 pub use smooth_weighted_round_robin::SmoothWeightedRoundRobin;
 pub use weighted_random::WeightedRandom;
 
-/// How a proxy chooses among the entries of a table.
+/// The policy by which a proxy chooses among the entries of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadBalancingPolicy {
-    /// Evenly by weight, without bursts.
+    /// In proportion to weights, with the requests to each entry spread evenly.
     #[default]
     SmoothWeightedRoundRobin,
-    /// At random, by weight.
+    /// At random, with probabilities proportional to weights.
     WeightedRandom,
-    /// Of two entries drawn at random by weight, the one with fewer requests in flight.
+    /// Two entries are drawn at random by weight; the one with fewer requests in flight is chosen.
     PowerOfTwoChoices,
 }
 
-/// A policy's name that is not one of those in the schema.
+/// The error for a policy name that the schema of the configuration file does not define.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is none of wheel, lottery, pair")]
+#[error("unknown load balancing policy {0:?}, expected wheel, lottery or pair")]
 pub struct UnknownPolicy(pub String);
 
-/// By the names of the configuration file.
+/// Parses the names that the configuration file uses.
 impl FromStr for LoadBalancingPolicy {
     type Err = UnknownPolicy;
 
@@ -43,10 +43,11 @@
     }
 }
 
-/// Random draws before all entries are scanned. Where few entries are open, draws alone would take long.
+/// Maximum number of random draws before falling back to a scan over all entries. If few entries are open, most
+/// draws hit closed ones.
 const MAX_DRAWS: usize = 8;
 
-/// The entries of one table, by index, in the data structure of the policy.
+/// The data structure of a policy over the entries of one table, which it refers to by index.
 #[derive(Clone, Debug)]
 pub enum Chooser {
     /// See [`LoadBalancingPolicy::SmoothWeightedRoundRobin`].
@@ -58,7 +59,7 @@
 }
 
 impl Chooser {
-    /// A chooser over these weights.
+    /// Returns a chooser over entries with these weights.
     #[must_use]
     pub fn new(policy: LoadBalancingPolicy, weights: &[u32]) -> Self {
         match policy {
@@ -73,6 +74,9 @@
     }
 
     /// Changes the weight of one entry.
+    ///
+    /// # Panics
+    /// There is no entry with this index.
     pub fn set_weight(&mut self, index: usize, weight: u32) {
         match self {
             Chooser::SmoothWeightedRoundRobin(schedule) => schedule.set_weight(index, weight),
@@ -82,8 +86,8 @@
         }
     }
 
-    /// The next entry for which `is_open` holds; `in_flight` counts the requests at each entry. `None` if no
-    /// entry with a weight above 0 is open.
+    /// Returns the index of the next entry for which `is_open` returns true, or `None` if no entry with a weight
+    /// above 0 is open. `in_flight` returns the number of requests in flight at an entry.
     pub fn next(
         &mut self,
         rng: &mut WyRand,
@@ -103,7 +107,7 @@
     }
 }
 
-/// Draws an entry by weight among the open ones.
+/// Draws an open entry at random by weight; `None` if no entry with a weight above 0 is open.
 fn draw_open(weights: &WeightedRandom, rng: &mut WyRand, is_open: &impl Fn(usize) -> bool) -> Option<usize> {
     if weights.total_weight() == 0 {
         return None;
@@ -117,7 +121,7 @@
     scan_open(weights, rng, is_open)
 }
 
-/// The same by a scan over all entries.
+/// Draws like [`draw_open`], but scans all entries, which always finds an open one if there is any.
 fn scan_open(weights: &WeightedRandom, rng: &mut WyRand, is_open: &impl Fn(usize) -> bool) -> Option<usize> {
     let is_candidate = |index: &usize| weights.weight(*index) > 0 && is_open(*index);
     let candidates = || (0..weights.len()).filter(is_candidate);
--- a/crates/proxy/src/choose/smooth_weighted_round_robin.rs
+++ b/crates/proxy/src/choose/smooth_weighted_round_robin.rs
@@ -1,38 +1,41 @@
-//! Smooth weighted round robin as earliest deadline first: each entry is due again after an interval that is
-//! inverse to its weight, and the entry that is due first comes next. A heap finds it in logarithmic time,
-//! where the plain form of the algorithm scans all entries.
+//! Smooth weighted round robin, implemented as earliest deadline first scheduling: after each choice an entry
+//! is due again after an interval inversely proportional to its weight, and the entry with the earliest due time
+//! is chosen next. A heap finds it in logarithmic time, while the usual implementation scans all entries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The interval of weight 1, in virtual time. Intervals are integers, so that rounding does not accumulate.
-const ROUND: u64 = 1 << 40;
+/// The interval of an entry of weight 1, in units of virtual time. Intervals are integers, so that rounding errors
+/// do not accumulate.
+const UNIT_INTERVAL: u64 = 1 << 40;
 
-/// Outdated queue items are removed once the queue holds more than twice the entries and this many items.
+/// Outdated queue items are removed once the queue has more than twice as many items as there are entries, plus
+/// this number.
 const MIN_QUEUE_SLACK: usize = 16;
 
-/// An entry waiting for its turn; ordered by due time, then by generation and index.
+/// A queue item for an entry, ordered by due time, then by generation and index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueEntry {
-    /// Virtual time at which the entry is due.
+    /// The virtual time at which the entry is due.
     due_at: u64,
-    /// The generation of the entry's weight that this item belongs to.
+    /// The number of weight changes of the entry when the item was queued.
     generation: u32,
     index: usize,
 }
 
-/// Entries by the virtual time at which they are due.
+/// A schedule of entries, ordered by the virtual time at which they are due.
 #[derive(Clone, Debug, Default)]
 pub struct SmoothWeightedRoundRobin {
     weights: Vec<u32>,
-    /// Counts the weight changes of each entry; queue items of an earlier generation are outdated.
+    /// The number of weight changes of each entry, wrapping. Queue items of another generation are outdated.
     generations: Vec<u32>,
     queue: BinaryHeap<Reverse<DueEntry>>,
+    /// The current virtual time: the latest due time of any entry chosen so far.
     now: u64,
 }
 
 impl SmoothWeightedRoundRobin {
-    /// A schedule over these weights.
+    /// Returns a schedule of entries with these weights, at virtual time 0.
     #[must_use]
     pub fn new(weights: &[u32]) -> Self {
         let mut schedule = SmoothWeightedRoundRobin {
@@ -46,8 +49,11 @@
         schedule
     }
 
-    /// Changes the weight of one entry. It is then due after half of its new interval: if it were due at once,
-    /// each change would bring it a request, and after the whole interval it would come late.
+    /// Changes the weight of one entry, which is then due after half of its new interval. If it were due at
+    /// once, each weight change would cause a request to it; after a full interval it would be due too late.
+    ///
+    /// # Panics
+    /// There is no entry with this index.
     pub fn set_weight(&mut self, index: usize, weight: u32) {
         if self.weights[index] == weight {
             return;
@@ -60,14 +66,16 @@
         self.discard_outdated();
     }
 
-    /// Number of items in the queue, outdated ones included. It stays within a constant factor of the entries.
+    /// Returns the number of items in the queue, including outdated ones. It is bounded by a constant factor of
+    /// the number of entries.
     #[must_use]
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// The next entry for which `is_open` holds. Entries that are passed over keep their turn: they come first
-    /// once they open, but only once, so that no burst reaches an endpoint that returns.
+    /// Returns the index of the next entry for which `is_open` returns true, or `None` if no entry with a weight
+    /// above 0 is open. Entries that are not open keep their due time, so they are chosen first once they open,
+    /// but only once: an endpoint that returns receives no burst.
     pub fn next(&mut self, is_open: impl Fn(usize) -> bool) -> Option<usize> {
         let mut passed_over = Vec::new();
         let mut found = None;
@@ -92,7 +100,7 @@
         self.queue.push(Reverse(DueEntry { due_at, generation: self.generations[index], index }));
     }
 
-    /// Keeps outdated items from outgrowing the entries.
+    /// Removes outdated items if they make up most of the queue.
     fn discard_outdated(&mut self) {
         if self.queue.len() > 2 * self.weights.len() + MIN_QUEUE_SLACK {
             let generations = &self.generations;
@@ -102,5 +110,5 @@
 }
 
 fn interval(weight: u32) -> u64 {
-    ROUND / u64::from(weight)
+    UNIT_INTERVAL / u64::from(weight)
 }
--- a/crates/proxy/src/choose/weighted_random.rs
+++ b/crates/proxy/src/choose/weighted_random.rs
@@ -1,18 +1,18 @@
-//! Weighted random choice by partial sums in a binary indexed tree (Fenwick 1994). A draw and the change of
-//! one weight both take a number of steps logarithmic in the number of entries. An alias table draws in one
-//! step but has to be rebuilt at each change.
+//! Weighted random choice by partial sums in a binary indexed tree (Fenwick 1994). A draw and a change of one
+//! weight both take logarithmic time in the number of entries. An alias table would draw in constant time, but
+//! would have to be rebuilt after each weight change.
 
 /// Weights by index, and their partial sums.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRandom {
     weights: Vec<u32>,
-    /// Node `i` (from 1) holds the sum of the `i & -i` weights up to index `i - 1`.
+    /// Node `i` (counted from 1) holds the sum of the `i & -i` weights that end at index `i - 1`.
     sums: Vec<u64>,
     total: u64,
 }
 
 impl WeightedRandom {
-    /// A tree over these weights.
+    /// Returns a tree over these weights, built in linear time.
     #[must_use]
     pub fn new(weights: &[u32]) -> Self {
         let mut sums = vec![0; weights.len() + 1];
@@ -28,31 +28,37 @@
         WeightedRandom { weights: weights.to_vec(), sums, total }
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.weights.len()
     }
 
-    /// Whether there is no entry.
+    /// Returns true if there is no entry.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.weights.is_empty()
     }
 
-    /// Sum of all weights.
+    /// Returns the sum of all weights.
     #[must_use]
     pub fn total_weight(&self) -> u64 {
         self.total
     }
 
-    /// The weight of one entry.
+    /// Returns the weight of one entry.
+    ///
+    /// # Panics
+    /// There is no entry with this index.
     #[must_use]
     pub fn weight(&self, index: usize) -> u32 {
         self.weights[index]
     }
 
     /// Changes the weight of one entry.
+    ///
+    /// # Panics
+    /// There is no entry with this index.
     pub fn set_weight(&mut self, index: usize, weight: u32) {
         let previous = std::mem::replace(&mut self.weights[index], weight);
         self.total = self.total - u64::from(previous) + u64::from(weight);
@@ -63,7 +69,11 @@
         }
     }
 
-    /// The index of the entry whose range contains this point of `0..total`.
+    /// Returns the index of the entry whose part of the range `0..total_weight` contains this point, where each
+    /// entry has a part as long as its weight. The result is meaningless for a point outside the range.
+    ///
+    /// # Panics
+    /// In debug builds, if the point is outside the range.
     #[must_use]
     pub fn index_at(&self, point: u64) -> usize {
         debug_assert!(point < self.total);
@@ -82,6 +92,7 @@
     }
 }
 
+/// Returns the lowest bit that is set in the number of a node.
 fn lowest_bit(node: usize) -> usize {
     node & node.wrapping_neg()
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,9 @@
-//! A plain HTTP proxy that routes by the tables a controller publishes, over the runtime API or as files.
+//! An HTTP proxy that routes requests by the tables of a controller, which it receives over the runtime API or
+//! reads from files.
 //!
-//! What it routes by ([`RoutingState`]), how it chooses an endpoint ([`Chooser`]), which commands it knows
-//! ([`ControlSession`]) and when it retries ([`may_retry`], [`RetryBudget`]) are modules without I/O and clock;
-//! the sockets are in `io`.
+//! The routing state ([`RoutingState`]), load balancing ([`Chooser`]), the commands of the runtime API
+//! ([`ControlSession`]) and retries ([`may_retry`], [`RetryBudget`]) are in modules that use neither I/O nor a
+//! clock; the module `io` has the sockets and files.
 #![warn(missing_docs)]
 
 mod attempts;
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -1,33 +1,33 @@
-//! A retry budget over all requests of a proxy, as a token bucket. Retries cost what an overloaded fleet
-//! has least of; the budget limits them to a fraction of first attempts, so that they can't multiply load.
+//! A token bucket that limits the retries of a proxy to a fraction of its first attempts. Retries use capacity
+//! of endpoints that may be overloaded already; the limit keeps them from multiplying the load.
 
-/// Tokens that first attempts add and retries take.
+/// The retry budget of a proxy: first attempts add tokens, and retries take them.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Tokens added by each first attempt: retries allowed per first attempt.
+    /// The number of tokens added per first attempt, which is the number of retries allowed per first attempt.
     ratio: f64,
     tokens: f64,
     max_tokens: f64,
 }
 
-/// The bucket holds the tokens of at most this many first attempts, so that a quiet time does not pay for a
-/// retry storm.
+/// The capacity of the bucket, as a number of first attempts whose tokens it holds. It limits the burst of
+/// retries that follows a period with few failures.
 const MAX_SAVED_ATTEMPTS: f64 = 100.0;
 
 impl RetryBudget {
-    /// A full budget of `ratio` retries per first attempt: 0 allows none, infinity any number.
+    /// Returns a full budget that allows `ratio` retries per first attempt: 0 allows none, infinity any number.
     #[must_use]
     pub fn new(ratio: f64) -> Self {
         let max_tokens = if ratio > 0.0 { (ratio * MAX_SAVED_ATTEMPTS).max(1.0) } else { 0.0 };
         RetryBudget { ratio, tokens: max_tokens, max_tokens }
     }
 
-    /// Adds what one first attempt earns.
+    /// Adds the tokens of one first attempt.
     pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.max_tokens);
     }
 
-    /// Takes one token for a retry; `false` if there is none, and the retry must not be made.
+    /// Takes one token for a retry. Returns false if there is none; the retry must not be made then.
     #[must_use]
     pub fn try_reserve(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
@@ -37,7 +37,7 @@
         enough
     }
 
-    /// Gives back the token of a retry that was not made.
+    /// Returns the token of a retry that was not made to the bucket.
     pub fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.max_tokens);
     }
--- a/crates/proxy/src/routing/attempt_counter.rs
+++ b/crates/proxy/src/routing/attempt_counter.rs
@@ -1,5 +1,5 @@
-//! Attempts in flight at one entry, counted apart from the routing state, so that an attempt that is dropped
-//! at any moment gives back what it counted.
+//! The counter of attempts in flight at one entry. It is separate from the routing state, so that an attempt that
+//! is dropped at any time can decrement it without access to the routing state.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,37 +10,40 @@
     abandoned: Cell<u64>,
 }
 
-/// Counts the attempts at one entry of a table. All copies of the entry share it; an entry that is removed and
-/// added again has another, so that an attempt never counts at a later entry of the same name.
+/// The counter of attempts at one entry of a table. All copies of the entry share it; an entry that is removed
+/// and added again gets a new one, so that an attempt is never counted at a later entry of the same name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptCounter(Rc<Counts>);
 
 impl AttemptCounter {
-    /// Attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn in_flight(&self) -> usize {
         self.0.in_flight.get()
     }
 
-    /// Attempts that ended without an outcome, as their client had gone.
+    /// Returns the number of attempts that ended without an outcome because their client had disconnected.
     pub fn abandoned(&self) -> u64 {
         self.0.abandoned.get()
     }
 
+    /// Counts an attempt as in flight.
     pub fn begin(&self) {
         self.0.in_flight.set(self.in_flight() + 1);
     }
 
+    /// Counts an attempt with an outcome as ended.
     pub fn end(&self) {
         self.0.in_flight.set(self.in_flight().saturating_sub(1));
     }
 
+    /// Counts an attempt as ended and abandoned.
     pub fn abandon(&self) {
         self.end();
         self.0.abandoned.set(self.abandoned() + 1);
     }
 }
 
-/// Two counters are equal if they are the same one.
+/// Counters are equal if they are copies of the same counter, whatever they count.
 impl PartialEq for AttemptCounter {
     fn eq(&self, other: &Self) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
--- a/crates/proxy/src/routing/backend.rs
+++ b/crates/proxy/src/routing/backend.rs
@@ -1,4 +1,4 @@
-//! The entries of one table, with the data structure that chooses among them.
+//! The entries of one table, with the data structure of its load balancing policy.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,23 +11,24 @@
 
 type Index = BTreeMap<Rc<str>, usize>;
 
-/// A table as the runtime API names it: a backend.
+/// A table, which the runtime API calls a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
     entries: Vec<TableEntry>,
-    /// The index of each entry by its name. Shared with copies that hold the same entries.
+    /// The index of each entry by its name. Copies share it until an entry is added or removed, so copies with
+    /// the same pointer have the same entries.
     index: Rc<Index>,
     chooser: Chooser,
-    /// Entries came or went since the chooser was built. It is rebuilt before the next choice, once for a
-    /// whole batch of commands.
+    /// True if entries were added or removed since the chooser was built. It is rebuilt before the next choice,
+    /// once for a whole batch of commands.
     chooser_outdated: bool,
     policy: LoadBalancingPolicy,
-    /// Version of the command batch that changed it last.
+    /// The version of the batch of commands that changed the table last; 0 if none did.
     pub version: u64,
 }
 
 impl Backend {
-    /// A table of these entries, at version 0.
+    /// Returns a table of these entries, at version 0.
     #[must_use]
     pub fn new(policy: LoadBalancingPolicy, entries: Vec<TableEntry>) -> Self {
         Backend {
@@ -40,24 +41,24 @@
         }
     }
 
-    /// All entries, in the order in which they were added.
+    /// Returns all entries, in the order in which they were added.
     #[must_use]
     pub fn entries(&self) -> &[TableEntry] {
         &self.entries
     }
 
-    /// The entry of an endpoint.
+    /// Returns the entry of an endpoint.
     #[must_use]
     pub fn entry(&self, endpoint: &str) -> Option<&TableEntry> {
         self.index.get(endpoint).map(|index| &self.entries[*index])
     }
 
-    /// All entries, ordered by name.
+    /// Returns all entries, ordered by name.
     pub fn entries_by_name(&self) -> impl Iterator<Item = &TableEntry> {
         self.index.values().map(|index| &self.entries[*index])
     }
 
-    /// Changes the entry of an endpoint, if there is one, and its weight in the chooser with it.
+    /// Changes the entry of an endpoint, if there is one, and updates its weight in the chooser.
     pub fn update(&mut self, endpoint: &str, change: impl FnOnce(&mut TableEntry)) {
         let Some(index) = self.index.get(endpoint).copied() else { return };
         change(&mut self.entries[index]);
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Adds an entry of a name that is not there yet.
+    /// Adds an entry. The table must not have an entry of the same name.
     pub fn add(&mut self, entry: TableEntry) {
         Rc::make_mut(&mut self.index).insert(entry.name.clone(), self.entries.len());
         self.entries.push(entry);
@@ -80,7 +81,7 @@
         self.chooser_outdated = true;
     }
 
-    /// Chooses an entry for an attempt and counts it as in flight there.
+    /// Chooses an entry for an attempt and counts the attempt as in flight at it.
     pub(super) fn choose(&mut self, rng: &mut WyRand, filter: &EntryFilter) -> EntryChoice<'_> {
         self.rebuild_chooser();
         let entries = &self.entries;
@@ -98,14 +99,15 @@
         }
     }
 
-    /// The entry of an endpoint, for counters that don't concern the chooser.
+    /// Returns the entry of an endpoint, for changes that don't affect its weight in the chooser.
     pub(super) fn entry_mut(&mut self, endpoint: &str) -> Option<&mut TableEntry> {
         let index = self.index.get(endpoint).copied()?;
         Some(&mut self.entries[index])
     }
 
-    /// Takes over what commands changed on a copy of this table. What requests did here meanwhile stays:
-    /// counters, attempts in flight, local ejections, and whose turn it is.
+    /// Adopts the changes that commands made to a copy of this table. The effects that requests had on this table
+    /// in the meantime are kept: counters, attempts in flight and local ejections, and the state of the chooser
+    /// if no entry was added or removed.
     pub(super) fn adopt(&mut self, staged: &Backend) {
         self.version = staged.version;
         if Rc::ptr_eq(&self.index, &staged.index) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The same where the copy holds the same entries: the chooser keeps its state.
+    /// Implements [`Backend::adopt`] for a copy with the same entries; the chooser keeps its state.
     fn adopt_configuration(&mut self, staged: &Backend) {
         for (index, (entry, staged)) in self.entries.iter_mut().zip(&staged.entries).enumerate() {
             let previous = entry.effective_weight();
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The same where entries came or went in the copy.
+    /// Implements [`Backend::adopt`] for a copy to which entries were added or from which they were removed.
     fn adopt_entries(&mut self, staged: &Backend) {
         let mut entries = staged.entries.clone();
         for entry in &mut entries {
@@ -139,14 +141,14 @@
         self.rebuild_chooser();
     }
 
-    /// Rebuilds the chooser if entries came or went since it was built.
+    /// Rebuilds the chooser if entries were added or removed since it was built.
     pub(super) fn rebuild_chooser(&mut self) {
         if std::mem::take(&mut self.chooser_outdated) {
             self.chooser = Chooser::new(self.policy, &effective_weights(&self.entries));
         }
     }
 
-    /// Whether requests are distributed in the same way by both.
+    /// Returns true if both tables distribute requests in the same way.
     pub(super) fn routes_like(&self, other: &Backend) -> bool {
         let same_entry = |(a, b): (&TableEntry, &TableEntry)| {
             a.name == b.name && a.address == b.address && a.effective_weight() == b.effective_weight()
@@ -155,16 +157,18 @@
     }
 }
 
-/// Which entries an attempt may go to.
+/// The conditions for the entry of an attempt.
 pub(super) struct EntryFilter<'a> {
+    /// The time since the start of the proxy.
     pub now: Duration,
-    /// The endpoint that was attempted already.
+    /// The endpoint of the previous attempt.
     pub excluded: Option<&'a str>,
+    /// The maximum number of attempts in flight at an entry.
     pub max_in_flight: usize,
 }
 
 impl EntryFilter<'_> {
-    /// Whether the entry is open, not ejected here and not excluded; capacity is not considered.
+    /// Returns true if the entry is open, not ejected by the proxy and not excluded, whatever its capacity.
     fn allows(&self, entry: &TableEntry) -> bool {
         entry.is_open() && !entry.is_ejected(self.now) && Some(&*entry.name) != self.excluded
     }
@@ -173,7 +177,7 @@
 /// The result of [`Backend::choose`].
 pub(super) enum EntryChoice<'a> {
     Entry(&'a TableEntry),
-    /// There are entries, but each has as many attempts in flight as it may have.
+    /// There are allowed entries, but each of them has the maximum number of attempts in flight.
     Saturated,
     NoEntry,
 }
--- a/crates/proxy/src/routing/digest.rs
+++ b/crates/proxy/src/routing/digest.rs
@@ -1,11 +1,11 @@
-//! A digest of a proxy's tables, by which a controller sees cheaply whether they are what it assigned.
+//! The digest of a proxy's tables, with which a controller checks at low cost that they are as it assigned them.
 
 use lockcroft_runtime_api::tables::Digest;
 
 use super::state::RoutingState;
 
 impl RoutingState {
-    /// The same number for two proxies with the same entries, class map and variables.
+    /// Returns a number that is the same for all proxies with the same entries, class map and variables.
     #[must_use]
     pub fn digest(&self) -> i64 {
         let mut digest = Digest::default();
--- a/crates/proxy/src/routing/entry.rs
+++ b/crates/proxy/src/routing/entry.rs
@@ -1,6 +1,5 @@
-//! One entry of a table: an endpoint with its weight, its administrative state and what the proxy's own
-//! attempts showed of it. From failures in a row follows local outlier ejection, as Envoy's
-//! `consecutive_5xx` detection has it.
+//! One entry of a table: an endpoint with its weight, its administrative state and the results of the proxy's own
+//! attempts. Consecutive failures cause local outlier ejection, as in Envoy's `consecutive_5xx` detection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +9,8 @@
 use super::limits::LoadBalancingLimits;
 use crate::attempts::AttemptOutcome;
 
-/// The mean latency is an exponential mean over about this many attempts, as in HAProxy's `rtime`.
+/// The window of the mean latency: it decays exponentially over about this many attempts, as HAProxy's `rtime` is
+/// averaged over its last 1024 requests.
 const MEAN_WINDOW_ATTEMPTS: f64 = 1024.0;
 
 /// An entry of a table.
@@ -18,35 +18,36 @@
 pub struct TableEntry {
     /// The endpoint's name.
     pub name: Rc<str>,
-    /// Where the endpoint takes requests.
+    /// The address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// From 0 to 256, as it was set last.
+    /// The weight that was set last, from 0 to 256.
     pub weight: u32,
-    /// The weight with which the entry was added; percentages refer to it.
+    /// The weight with which the entry was added; weights in percent are relative to it.
     pub initial_weight: u32,
-    /// In maintenance: takes no requests, whatever its weight, and may be deleted.
+    /// True if the entry is in maintenance: it gets no requests, whatever its weight, and may be deleted.
     pub in_maintenance: bool,
-    /// Draining: takes no new requests, whatever its weight.
+    /// True if the entry is draining: it gets no new requests, whatever its weight.
     pub draining: bool,
     consecutive_failures: u32,
+    /// The end of the last local ejection, as time since the start of the proxy.
     ejected_until: Duration,
     pub(super) counter: AttemptCounter,
-    /// Attempts that ended with an outcome.
+    /// The number of attempts that ended with an outcome; abandoned ones are not included.
     pub attempts: u64,
-    /// Attempts that ended without a connection.
+    /// The number of attempts for which no connection was established.
     pub connect_errors: u64,
-    /// Attempts that broke or ran into the time limit.
+    /// The number of attempts whose connection broke or that timed out.
     pub response_errors: u64,
-    /// Attempts answered with a status from 500 on, rejections included.
+    /// The number of attempts answered with a status of 500 or above, including rejections.
     pub responses_5xx: u64,
-    /// Sum of the latencies of successful attempts, in milliseconds.
+    /// The sum of the latencies of successful attempts, in milliseconds.
     pub total_latency_ms: f64,
-    /// Recent mean latency of successful attempts, in milliseconds.
+    /// The exponentially decayed mean latency of successful attempts, in milliseconds.
     pub mean_latency_ms: f64,
 }
 
 impl TableEntry {
-    /// An entry without any attempts so far.
+    /// Returns an entry without any attempts so far.
     #[must_use]
     pub fn new(name: &str, address: SocketAddr, weight: u32, in_maintenance: bool) -> Self {
         TableEntry {
@@ -68,41 +69,42 @@
         }
     }
 
-    /// Whether the controller lets it take requests; local ejection is not considered.
+    /// Returns true if its weight and administrative state allow requests, whether or not the proxy has ejected it.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.effective_weight() > 0
     }
 
-    /// Attempts that have not ended yet.
+    /// Returns the number of attempts that have not ended yet.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.counter.in_flight()
     }
 
-    /// Attempts that were abandoned by their clients: neither a success nor a failure of the endpoint.
+    /// Returns the number of attempts abandoned by their clients, which count neither as success nor as failure of
+    /// the endpoint.
     #[must_use]
     pub fn abandoned(&self) -> u64 {
         self.counter.abandoned()
     }
 
-    /// Whether it is in maintenance or draining.
+    /// Returns true if the entry is in maintenance or draining.
     #[must_use]
     pub fn is_not_ready(&self) -> bool {
         self.in_maintenance || self.draining
     }
 
-    /// The weight by which it is chosen: 0 where it takes no requests.
+    /// Returns the weight for load balancing: 0 if the entry is in maintenance or draining.
     pub(super) fn effective_weight(&self) -> u32 {
         if self.is_not_ready() { 0 } else { self.weight }
     }
 
-    /// Whether the proxy itself keeps requests away from it at this time.
+    /// Returns true if the proxy itself has ejected the endpoint (local outlier ejection) at this time.
     pub(super) fn is_ejected(&self, now: Duration) -> bool {
         self.ejected_until > now
     }
 
-    /// Takes over what commands set on a copy of this entry; what attempts did here stays.
+    /// Copies the settings made by commands from a copy of this entry; the results of attempts are kept.
     pub(super) fn copy_configuration(&mut self, staged: &TableEntry) {
         self.address = staged.address;
         self.weight = staged.weight;
@@ -111,7 +113,7 @@
         self.draining = staged.draining;
     }
 
-    /// Counts the outcome of an attempt, and ejects the endpoint after too many failures in a row.
+    /// Counts the outcome of an attempt, and ejects the endpoint after too many consecutive failures.
     pub(super) fn record(
         &mut self,
         now: Duration,
@@ -134,6 +136,7 @@
         }
     }
 
+    /// Adds the latency of a successful attempt to the sum and the mean.
     fn record_latency(&mut self, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1e3;
         self.total_latency_ms += latency_ms;
--- a/crates/proxy/src/routing/limits.rs
+++ b/crates/proxy/src/routing/limits.rs
@@ -1,24 +1,24 @@
-//! What a proxy decides by itself, and limits that the runtime API sets.
+//! The load balancing settings of a proxy, and names and limits of the runtime API.
 
 use std::time::Duration;
 
 use crate::choose::LoadBalancingPolicy;
 
-/// The name of the backend that holds a proxy's default table, in use until a controller assigns another.
+/// The name of the backend with the default table of a proxy, which is in use until a controller assigns another.
 pub const DEFAULT_TABLE: &str = "standing";
 
-/// The greatest weight of an entry, as in HAProxy.
+/// The maximum weight of an entry, as in HAProxy.
 pub const MAX_WEIGHT: u32 = 256;
 
-/// How a proxy balances load by itself, whatever its tables say.
+/// The load balancing settings of a proxy, which apply to all its tables.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadBalancingLimits {
-    /// How it chooses among the entries of a table.
+    /// The policy by which an entry of a table is chosen.
     pub policy: LoadBalancingPolicy,
-    /// Attempts that may be in flight at one endpoint; 0: any number.
+    /// The maximum number of attempts in flight per table entry; 0 for no limit.
     pub max_in_flight: usize,
-    /// Local outlier ejection: an endpoint is ejected after this many failures in a row; 0: never.
+    /// The number of consecutive failures after which an endpoint is ejected (local outlier ejection); 0 for never.
     pub ejection_threshold: u32,
-    /// How long an endpoint stays ejected.
+    /// The time for which an endpoint stays ejected.
     pub ejection_time: Duration,
 }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Everything by which a proxy routes requests, free of I/O and clock: its tables, the map from classes to
-//! tables, its variables, and what its own attempts showed. Times are measured from the proxy's start.
+//! The routing state of a proxy: its tables, the map from classes to tables, its variables and the results of its
+//! own attempts. These modules use neither I/O nor a clock; times are passed in, as time since the proxy's start.
 
 mod attempt_counter;
 mod backend;
--- a/crates/proxy/src/routing/requests.rs
+++ b/crates/proxy/src/routing/requests.rs
@@ -1,5 +1,5 @@
-//! What a request asks of the routing state: admission, an endpoint for each attempt, and the record of how
-//! the attempt ended.
+//! Operations of a request on the routing state: admission, choosing an endpoint for each attempt, and recording
+//! the outcome of the attempt.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,31 +13,31 @@
 use super::state::RoutingState;
 use crate::attempts::AttemptOutcome;
 
-/// Admission rates are set in thousandths.
+/// The admission rate that admits all requests. Rates are in thousandths.
 const ADMIT_ALL: i64 = 1000;
 
-/// Prefix of the variable that holds the admission rate of a class.
+/// Prefix of the variable with the admission rate of a class, in thousandths.
 pub(crate) const ADMISSION_VARIABLE: &str = "level";
 
-/// Prefix of the variable that allows one retry after proof of non-execution.
+/// Prefix of the variable that is 1 if requests of a class may be retried once after proof of non-execution.
 pub(crate) const RETRY_VARIABLE: &str = "again";
 
 /// The endpoint that was chosen for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenEndpoint {
-    /// The backend by which it was chosen.
+    /// The backend from which it was chosen.
     pub backend: String,
     /// The endpoint's name.
     pub endpoint: String,
-    /// Where the endpoint takes requests.
+    /// The address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// Where the attempt counts as in flight.
+    /// The counter in which the attempt counts as in flight.
     counter: AttemptCounter,
 }
 
 impl ChosenEndpoint {
-    /// Counts the attempt as abandoned: its client is gone, and what came of it is not known. Needs no routing
-    /// state, as an attempt may be dropped at any moment.
+    /// Counts the attempt as abandoned: its client disconnected and its outcome is unknown. Needs no access to the
+    /// routing state, as an attempt may be dropped at any time.
     pub fn abandon(&self) {
         self.counter.abandon();
     }
@@ -48,16 +48,17 @@
 pub enum Choice {
     /// The attempt goes to this endpoint.
     Endpoint(ChosenEndpoint),
-    /// There are endpoints, but each has as many attempts in flight as it may have.
+    /// There are endpoints, but each of them has the maximum number of attempts in flight.
     Saturated,
-    /// The class has no endpoint that takes requests now.
+    /// The class currently has no endpoint that accepts requests.
     NoEndpoint,
 }
 
 impl RoutingState {
-    /// Counts a request and says whether the admission rate of its class admits it.
+    /// Counts a request and returns true if the admission rate of its class admits it.
     ///
-    /// The draw, from 0 up to 1, is a property of the client, so that one who comes again is treated alike.
+    /// `draw`, from 0 up to but not including 1, is derived from the client, so that all requests of a client are
+    /// treated alike.
     pub fn admit(&mut self, class: &str, draw: f64) -> bool {
         let rate = self.class_variable(ADMISSION_VARIABLE, class).unwrap_or(ADMIT_ALL);
         let admitted = draw * 1000.0 < rate as f64;
@@ -68,7 +69,7 @@
         admitted
     }
 
-    /// Whether requests of the class may be retried after proof of non-execution.
+    /// Returns true if requests of the class may be retried after proof of non-execution.
     #[must_use]
     pub fn retries_enabled(&self, class: &str) -> bool {
         self.class_variable(RETRY_VARIABLE, class) == Some(1)
@@ -78,7 +79,7 @@
         self.variables.get(&class_variable_name(prefix, class)).copied()
     }
 
-    /// Chooses the endpoint for the next attempt: one that is open, not ejected here, below its limit of
+    /// Chooses the endpoint for the next attempt: one that is open, not ejected by the proxy, below its limit of
     /// attempts in flight, and not `excluded`. The attempt counts as in flight until it
     /// [ends](RoutingState::record_outcome) or is [abandoned](ChosenEndpoint::abandon).
     pub fn choose(&mut self, now: Duration, class: &str, excluded: Option<&str>) -> Choice {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Records how an attempt ended; enough failures in a row eject the endpoint here.
+    /// Records the outcome of an attempt. Consecutive failures may eject the endpoint.
     pub fn record_outcome(
         &mut self,
         now: Duration,
@@ -112,15 +113,15 @@
         chosen.counter.end();
         let Some(backend) = self.backends.get_mut(&chosen.backend) else { return };
         let Some(entry) = Rc::make_mut(backend).entry_mut(&chosen.endpoint) else { return };
-        // An entry that was removed while the attempt was in flight has no counters any more, and a later one
-        // of the same name is another endpoint.
+        // If the entry was removed while the attempt was in flight, the outcome must not be counted at a later
+        // entry of the same name.
         if entry.counter != chosen.counter {
             return;
         }
         entry.record(now, outcome, latency, &self.limits);
     }
 
-    /// Whether the table of a class leaves it any open endpoint, ejected here or not.
+    /// Returns true if the table of a class has an open endpoint, whether or not the proxy has ejected it.
     #[must_use]
     pub fn has_open_endpoint(&self, class: &str) -> bool {
         let backend = self.class_map.get(class).and_then(|name| self.backends.get(name));
--- a/crates/proxy/src/routing/state.rs
+++ b/crates/proxy/src/routing/state.rs
@@ -1,5 +1,5 @@
-//! The routing state as a whole, and how a batch of commands takes effect on it: staged on a copy, then
-//! adopted in one short step, so that no request sees half of it.
+//! The complete routing state. A batch of commands is staged on a copy of it and then adopted in one short step,
+//! so that no request sees a part of the batch.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -15,44 +15,44 @@
 /// Counters of one class of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassCounters {
-    /// Requests that came.
+    /// The number of requests received.
     pub requests: u64,
-    /// Requests shed by the admission rate.
+    /// The number of requests shed because of the admission rate.
     pub shed: u64,
 }
 
-/// All by which a proxy routes. A copy is cheap, as it shares all backends until one of them changes.
+/// The routing state of a proxy. Copies are cheap, as they share each backend until it changes.
 #[derive(Clone, Debug)]
 pub struct RoutingState {
     /// The proxy's name.
     pub name: String,
-    /// The proxy's own limits.
+    /// The proxy's load balancing settings.
     pub limits: LoadBalancingLimits,
     /// Tables by name.
     pub backends: BTreeMap<String, Rc<Backend>>,
-    /// Class to backend: the map `classes` of the runtime API.
+    /// The backend of each class: the map `classes` of the runtime API.
     pub class_map: BTreeMap<String, String>,
     /// Versions of the map that are being prepared, by number.
     pub prepared_maps: BTreeMap<u64, BTreeMap<String, String>>,
-    /// The number given last to a prepared version, of the map or of tables.
+    /// The number of the last prepared version, of the map or of tables.
     pub last_prepared_version: u64,
-    /// Variables of the scope `proc`, by their whole names.
+    /// The variables of the scope `proc`, by full name (`proc.NAME`).
     pub variables: BTreeMap<String, i64>,
     /// Counters by class.
     pub class_counters: BTreeMap<String, ClassCounters>,
-    /// Requests that wait for an endpoint with capacity. Shared by all copies, as requests count while commands are
-    /// staged.
+    /// The number of requests that wait for an endpoint with capacity. Shared by all copies, as it changes while
+    /// commands are staged.
     pub queued_requests: Rc<Cell<usize>>,
     pub(super) rng: WyRand,
-    /// Counts the batches of commands that took effect.
+    /// The number of batches of commands that took effect.
     pub version: u64,
-    /// Number of the prepared batch that was committed last.
+    /// The number of the prepared batch that was committed last.
     pub committed_version: u64,
-    /// The greatest epoch that a controller named: the fencing token.
+    /// The greatest epoch (fencing token) that a controller set.
     pub epoch: i64,
 }
 
-/// What commands change, as it was at one time.
+/// The parts of the routing state that commands change, as of one time.
 #[derive(Clone, Debug)]
 pub struct TableSet {
     backends: BTreeMap<String, Rc<Backend>>,
@@ -61,7 +61,8 @@
 }
 
 impl RoutingState {
-    /// A proxy at its start, with each class on the default table. `seed` makes its random choices repeatable.
+    /// Returns the state of a proxy at its start, with the default table assigned to each class. `seed` makes its
+    /// random choices repeatable.
     #[must_use]
     pub fn new(
         name: &str,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// What commands change, as it is now.
+    /// Returns a copy of the parts that commands change.
     #[must_use]
     pub fn tables(&self) -> TableSet {
         TableSet {
@@ -100,14 +101,14 @@
         }
     }
 
-    /// Undoes all changes since `tables` was taken. Only for a staged copy, as counters go back too.
+    /// Undoes all changes since `tables` was taken. May only be used on a staged copy, as it also resets counters.
     pub fn restore(&mut self, tables: TableSet) {
         self.backends = tables.backends;
         self.class_map = tables.class_map;
         self.variables = tables.variables;
     }
 
-    /// Whether commands changed anything since `tables` was taken.
+    /// Returns true if commands changed anything since `tables` was taken.
     #[must_use]
     pub fn differs_from(&self, tables: &TableSet) -> bool {
         let same_backend = |(name, backend): (&String, &Rc<Backend>)| {
@@ -118,7 +119,8 @@
         !same_backends || self.class_map != tables.class_map || self.variables != tables.variables
     }
 
-    /// Counts a batch of commands that takes effect. Tables that differ from `base` get its version.
+    /// Counts a batch of commands that takes effect. Tables that distribute requests differently than in `base` get
+    /// the version of the batch.
     pub fn stamp_version(&mut self, base: &TableSet) {
         self.version += 1;
         for (name, backend) in &mut self.backends {
@@ -132,17 +134,18 @@
         }
     }
 
-    /// Adopts what commands changed on a copy of this, taken when it held `base`. Backends that no command
-    /// touched stay as they are by now, with the effects of requests that came meanwhile.
+    /// Adopts the changes that commands made to a copy of this state, which was taken when it had the tables
+    /// `base`. Backends that no command changed stay as they are, with the effects of requests since then.
     pub fn adopt(&mut self, staged: RoutingState, base: &TableSet) {
-        let mut current = std::mem::take(&mut self.backends);
+        let mut current_backends = std::mem::take(&mut self.backends);
         for (name, mut backend) in staged.backends {
-            let untouched = base.backends.get(&name).is_some_and(|previous| Rc::ptr_eq(previous, &backend));
-            let adopted = match current.remove(&name) {
-                Some(own) if untouched => own,
-                Some(mut own) => {
-                    Rc::make_mut(&mut own).adopt(&backend);
-                    own
+            let is_unchanged =
+                base.backends.get(&name).is_some_and(|previous| Rc::ptr_eq(previous, &backend));
+            let adopted = match current_backends.remove(&name) {
+                Some(backend) if is_unchanged => backend,
+                Some(mut current) => {
+                    Rc::make_mut(&mut current).adopt(&backend);
+                    current
                 }
                 None => {
                     Rc::make_mut(&mut backend).rebuild_chooser();
@@ -160,7 +163,7 @@
         self.epoch = staged.epoch;
     }
 
-    /// The version of a table; 0 if there is no such table.
+    /// Returns the version of a table; 0 if there is no such table.
     #[must_use]
     pub fn table_version(&self, backend: &str) -> u64 {
         self.backends.get(backend).map_or(0, |backend| backend.version)
