--- a/crates/proxy/src/commands/error.rs
+++ b/crates/proxy/src/commands/error.rs
@@ -1,21 +1,21 @@
-//! Why a command of the runtime API was not carried out. The texts go out on the wire, most of them in
-//! HAProxy's words; controllers compare them.
+//! Reasons for which a command of the runtime API is refused. The texts are the answers on the wire, most of
+//! them the same as HAProxy's; controllers compare them.
 
 use thiserror::Error;
 
-/// The text of an answer; empty where there is nothing to report.
+/// The text of the answer to a command, which is empty if there is nothing to report, or the reason for its refusal.
 pub(super) type CommandOutput = Result<String, CommandError>;
 
-/// A command that was refused.
+/// The reason for which a command was refused. The message is the answer on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// The command has too few or too many words.
     #[error("Missing or surplus arguments; 'help' lists the commands.")]
     Arguments,
-    /// A server must be named together with its backend.
+    /// A server was named without its backend.
     #[error("Require 'backend/server'.")]
     BackendAndServerRequired,
-    /// The named backend does not exist, or can't be added to.
+    /// The named backend does not exist, or servers can't be added to it.
     #[error("No such backend.")]
     NoSuchBackend,
     /// The backend to show does not exist.
@@ -24,28 +24,28 @@
     /// The backend has no such server.
     #[error("No such server.")]
     NoSuchServer,
-    /// The backend has a server of this name already.
+    /// The backend already has a server of this name.
     #[error("Already exists a server with the same name in backend.")]
     ServerExists,
-    /// A server must be in maintenance before it is deleted.
+    /// The server to delete is not in maintenance.
     #[error("Only servers in maintenance mode can be deleted.")]
     NotInMaintenance,
-    /// The address is not an IP address, or has no port.
+    /// The address is not an IP address, or lacks a port where one is needed.
     #[error("Invalid address.")]
     InvalidAddress,
     /// The port is not a number from 0 to 65535.
     #[error("Invalid port.")]
     InvalidPort,
-    /// The words behind `addr` are not an address and a port.
+    /// The words after `addr` are not an address with an optional port.
     #[error("set server <b>/<s> addr <ip> [port <port>]")]
     SetAddressUsage,
-    /// An option of `add server` other than `weight`.
+    /// `add server` has an option other than `weight`.
     #[error("Keyword '{0}' is not known for a server added here.")]
     UnknownKeyword(String),
-    /// The weight is not a number in range.
+    /// The weight is not a number from 0 to 256, or the percentage results in a weight out of this range.
     #[error("Absolute weight can only be between 0 and 256 inclusive.")]
     InvalidWeight,
-    /// The state is none of the three.
+    /// The state is none of `ready`, `drain` and `maint`.
     #[error("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")]
     InvalidState,
     /// A map command names no map.
@@ -60,28 +60,28 @@
     /// `commit map` names no version.
     #[error("Missing version number.")]
     MissingVersion,
-    /// The version was not prepared, or is older than one that was committed.
+    /// The version was not prepared, or is not newer than the one that was committed last.
     #[error("Version number out of range.")]
     VersionOutOfRange,
-    /// The map has no entry of this key.
+    /// The map has no entry with this key.
     #[error("Entry not found.")]
     EntryNotFound,
-    /// `add map` has neither words nor a payload.
+    /// `add map` has neither a key and value nor a payload.
     #[error("Missing key and value.")]
     MissingKeyAndValue,
-    /// A line of the payload has a key only.
+    /// A line of the payload has a key but no value.
     #[error("Missing value.")]
     MissingValue,
-    /// Variables of other scopes than the process are not known.
+    /// The variable is not of the scope `proc`, the only one that is supported.
     #[error("Only variables of the scope 'proc' can be set here.")]
     VariableScope,
-    /// The value of a variable is no `int(…)`.
+    /// The value of the variable is not of the form `int(N)`.
     #[error("Only int(<n>) is known here.")]
     VariableExpression,
-    /// A controller of a later epoch has named itself.
+    /// Another controller has set a later epoch (fencing token).
     #[error("Superseded: a pilot of epoch {epoch} has taken over.")]
     Superseded {
-        /// The greatest epoch that was named.
+        /// The greatest epoch that was set.
         epoch: i64,
     },
     /// Another command of the same batch was refused, so none of them took effect.
@@ -90,7 +90,7 @@
 }
 
 impl CommandError {
-    /// The error that all commands of a batch answer if one of them is refused for `self`.
+    /// Returns the error with which all commands of a batch answer if one of them is refused with this one.
     #[must_use]
     pub fn for_batch(self) -> Self {
         CommandError::BatchRejected(Box::new(self))
--- a/crates/proxy/src/commands/maps.rs
+++ b/crates/proxy/src/commands/maps.rs
@@ -1,4 +1,5 @@
-//! Commands on the one map, `classes`, from classes to backends, and on its prepared versions.
+//! Commands on the map `classes`, from request classes to backends, and on its prepared versions. It is the only
+//! map.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,12 +10,12 @@
 type ClassMap = BTreeMap<String, String>;
 
 impl RoutingState {
-    /// Carries out `ACTION map [@VERSION] classes …`.
+    /// Executes a command of the form `ACTION map [@VERSION] classes …`.
     pub(super) fn map_command(&mut self, words: &[&str], payload: Option<&str>) -> CommandOutput {
-        let third = words.get(2).ok_or(CommandError::MissingMap)?;
-        let version = third.strip_prefix('@').map(|version| version.parse::<u64>().unwrap_or(0));
-        let rest = if version.is_some() { &words[3..] } else { &words[2..] };
-        let Some((&"classes", arguments)) = rest.split_first() else {
+        let map_or_version = words.get(2).ok_or(CommandError::MissingMap)?;
+        let version = map_or_version.strip_prefix('@').map(|version| version.parse::<u64>().unwrap_or(0));
+        let map_and_arguments = if version.is_some() { &words[3..] } else { &words[2..] };
+        let Some((&"classes", arguments)) = map_and_arguments.split_first() else {
             return Err(CommandError::UnknownMap);
         };
         match words[0] {
@@ -42,7 +43,7 @@
     fn commit_map(&mut self, version: Option<u64>) -> CommandOutput {
         let version = version.ok_or(CommandError::MissingVersion)?;
         self.class_map = self.prepared_maps.remove(&version).ok_or(CommandError::VersionOutOfRange)?;
-        // A version that was prepared before this one is older than what is in force now.
+        // Versions that were prepared earlier are older than the one that is now in effect.
         self.prepared_maps.retain(|number, _| *number > version);
         Ok(String::new())
     }
@@ -77,7 +78,7 @@
     Ok(())
 }
 
-/// Adds an entry for each line of the payload, up to the first line that is no entry.
+/// Adds an entry for each line of the payload, up to the first malformed line.
 fn add_payload(map: &mut ClassMap, payload: &str) -> Result<(), CommandError> {
     for line in payload.lines() {
         let (key, value) = line.split_once(' ').ok_or(CommandError::MissingValue)?;
--- a/crates/proxy/src/commands/mod.rs
+++ b/crates/proxy/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! The runtime API as a proxy serves it: commands and answers of HAProxy's Management Guide, carried out on
-//! the routing state. The words of the wire are mapped to the state here and nowhere else.
+//! The proxy's side of the runtime API: commands and answers as in HAProxy's Management Guide, executed on the
+//! routing state. Only this module maps the names of the runtime API to the routing state.
 
 mod error;
 mod maps;
@@ -47,7 +47,7 @@
     CommandEntry { words, level, help }
 }
 
-/// Whether a command may change the routing state.
+/// Returns true if a command may change the routing state.
 #[must_use]
 pub fn changes_state(command: &Command) -> bool {
     let first = command.word(0);
@@ -65,10 +65,10 @@
 }
 
 impl RoutingState {
-    /// Carries out one command, and gives the text of its answer.
+    /// Executes one command and returns the text of its answer.
     ///
     /// # Errors
-    /// The command was refused and changed nothing, but for the lines of a payload before the one at fault.
+    /// The command was refused and changed nothing, except that the payload lines before a malformed one were added.
     pub fn execute(&mut self, command: &Command) -> Result<String, CommandError> {
         let words: Vec<&str> = command.words.iter().map(String::as_str).collect();
         match words[..] {
--- a/crates/proxy/src/commands/servers.rs
+++ b/crates/proxy/src/commands/servers.rs
@@ -1,4 +1,4 @@
-//! Commands that add, change and delete servers: the entries of tables.
+//! Commands that add, change and delete servers, as the runtime API calls the entries of tables.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,11 +6,11 @@
 use super::error::{CommandError, CommandOutput};
 use crate::routing::{Backend, DEFAULT_TABLE, MAX_WEIGHT, RoutingState, TableEntry};
 
-/// Servers can be added to the backends `t0` up to, but not including, this number. HAProxy can't add
-/// backends at run time, so every proxy's settings name all of them.
+/// The number of backends, `t0`, `t1` and so on, to which servers can be added besides the default table. HAProxy
+/// can't add backends at run time, so the configuration of every HAProxy instance has to define all of them.
 pub const MAX_BACKENDS: usize = 1024;
 
-/// `backend/server`, as commands name an entry.
+/// The name of an entry in commands: `backend/server`.
 #[derive(Clone, Copy)]
 struct EntryPath<'a> {
     backend: &'a str,
@@ -23,7 +23,7 @@
         Ok(EntryPath { backend, server })
     }
 
-    /// Whether a server may be added to this backend.
+    /// Returns true if servers may be added to this backend.
     fn has_known_backend(self) -> bool {
         let number = self.backend.strip_prefix('t').and_then(|number| number.parse::<usize>().ok());
         self.backend == DEFAULT_TABLE || number.is_some_and(|number| number < MAX_BACKENDS)
@@ -131,7 +131,7 @@
     weight.ok_or(CommandError::InvalidWeight)
 }
 
-/// A percentage of the initial weight, rounded up.
+/// Returns a percentage of the initial weight, rounded up.
 fn percentage_of(initial: u32, percent: &str) -> Result<u32, CommandError> {
     let percent: u32 = percent.parse().map_err(|_| CommandError::InvalidWeight)?;
     let weight = initial.checked_mul(percent).map(|product| product.div_ceil(100));
--- a/crates/proxy/src/commands/variables.rs
+++ b/crates/proxy/src/commands/variables.rs
@@ -1,4 +1,4 @@
-//! Commands on variables of the process.
+//! Commands on the variables of the scope `proc`.
 
 use super::error::{CommandError, CommandOutput};
 use crate::routing::RoutingState;
@@ -26,7 +26,7 @@
     }
 }
 
-/// The number of `int(N)`, the one expression that is known here.
+/// Parses `int(N)`, the only form of expression that is supported.
 pub(crate) fn parse_int_expression(text: &str) -> Result<i64, CommandError> {
     let number = text.strip_prefix("int(").and_then(|rest| rest.strip_suffix(')'));
     number.and_then(|number| number.parse().ok()).ok_or(CommandError::VariableExpression)
--- a/crates/proxy/src/control_session.rs
+++ b/crates/proxy/src/control_session.rs
@@ -1,6 +1,7 @@
-//! The commands of one control connection. A line of commands is a batch: it takes effect as a whole or not
-//! at all. Batches that need several lines are prepared and committed under the name `tables`, in the form
-//! that HAProxy's Management Guide has for maps. A controller that names its epoch is fenced off by a later one.
+//! The commands of one control connection. A line of commands is a batch, which takes effect as a whole or not
+//! at all. Batches that span several lines are prepared and committed with the commands that HAProxy's Management
+//! Guide defines for maps, under the map name `tables`. A controller that has set its epoch is fenced off once a
+//! controller sets a later one.
 
 use lockcroft_runtime_api::{
     AccessLevel, Command, CommandEntry, CommandHandler, CommandResult, Session, SessionState,
@@ -10,13 +11,13 @@
 use crate::routing::RoutingState;
 use crate::table_transaction::{Replay, TableTransaction};
 
-/// Commands staged in one step of a transaction, before requests have their turn: some microseconds.
+/// Commands staged per step of a transaction. A step takes some microseconds, after which requests can be served.
 const MAX_COMMANDS_PER_STEP: usize = 4;
 
-/// The state of one control connection.
+/// The session of one control connection: its access level, epoch and prepared batch.
 pub struct ControlSession {
     session: Session,
-    /// The epoch that the controller on this connection named.
+    /// The epoch that the controller set on this connection.
     epoch: Option<i64>,
     prepared: Option<PreparedBatch>,
 }
@@ -24,19 +25,20 @@
 /// A batch of commands over several lines that is not committed yet.
 struct PreparedBatch {
     version: u64,
-    /// The routing state with the commands so far, by which they are answered.
+    /// A copy of the routing state on which the commands so far were executed to answer them.
     state: RoutingState,
     commands: Vec<Command>,
 }
 
 impl ControlSession {
-    /// A connection on which commands of this level are allowed.
+    /// Returns a session in which commands up to this access level are allowed.
     #[must_use]
     pub fn new(level: AccessLevel) -> Self {
         ControlSession { session: Session::new(level), epoch: None, prepared: None }
     }
 
-    /// Carries out a line of commands at once. If one of them is refused, none takes effect, and each says so.
+    /// Executes a line of commands in one go and appends the answers to `out`. If one of several commands that
+    /// change something is refused, none of them takes effect, and each answers with the error.
     pub fn execute_line(
         &mut self,
         commands: &[Command],
@@ -48,13 +50,14 @@
         self.finish(transaction, state, out)
     }
 
-    /// Begins a line of commands. Until [`ControlSession::finish`] no other line may take effect.
+    /// Begins to execute a line of commands. No other line that changes something may take effect until
+    /// [`ControlSession::finish`] was called.
     #[must_use]
     pub fn begin(&self, commands: Vec<Command>, state: &RoutingState) -> TableTransaction {
         TableTransaction::new(commands, state)
     }
 
-    /// Stages a few more commands of the line; `true` once none is left.
+    /// Stages the next few commands of the line; returns true once none is left.
     pub fn step(&mut self, transaction: &mut TableTransaction) -> bool {
         for _ in 0..MAX_COMMANDS_PER_STEP {
             if transaction.is_complete() {
@@ -69,7 +72,8 @@
         transaction.is_complete()
     }
 
-    /// Puts a completed line in force, or nothing of it, and writes the answers.
+    /// Applies a completed line, or nothing of it if a command was refused, and appends the answers to `out`.
+    /// Returns whether the connection stays open.
     pub fn finish(
         &mut self,
         transaction: TableTransaction,
@@ -92,12 +96,13 @@
         }
     }
 
-    /// Ends the answer to a line that was carried out elsewhere, and says what becomes of the connection.
+    /// Ends the answer to a line that was executed elsewhere. Returns whether the connection stays open.
     pub fn end_line(&self, out: &mut String) -> SessionState {
         self.session.end_answer(out);
         if self.session.is_interactive() { SessionState::Stay } else { SessionState::Close }
     }
 
+    /// Executes a command on the staged state, or on that of the prepared batch, and stores its answer.
     fn stage(&mut self, command: &Command, transaction: &mut TableTransaction) {
         if let Some(result) = self.connection_command(command, transaction) {
             let mut text = TableTransaction::answer_text(&mut transaction.rejection, command, result);
@@ -122,7 +127,8 @@
         }
     }
 
-    /// Answers a command that concerns the connection and its batches rather than a table; `None` for others.
+    /// Executes a command on the epoch or a prepared batch of this connection, and refuses changes once the epoch
+    /// is superseded; `None` for commands that are to be executed on the routing state.
     fn connection_command(
         &mut self,
         command: &Command,
@@ -132,16 +138,16 @@
             return None;
         }
         let state = &mut transaction.staged;
-        let superseded = self.epoch.is_some_and(|epoch| epoch < state.epoch);
-        // Most commands are about servers, any number of them in a batch.
-        if command.word(1) == Some("server") && !superseded {
+        let is_superseded = self.epoch.is_some_and(|epoch| epoch < state.epoch);
+        // Fast path: most commands of a batch change servers.
+        if command.word(1) == Some("server") && !is_superseded {
             return None;
         }
         let words: Vec<&str> = command.words.iter().map(String::as_str).collect();
         if let ["set", "var", "proc.epoch", expression] = words[..] {
             return Some(self.set_epoch(expression, state));
         }
-        if changes_state(command) && superseded {
+        if changes_state(command) && is_superseded {
             return Some(Err(CommandError::Superseded { epoch: state.epoch }));
         }
         match words[..] {
@@ -151,6 +157,7 @@
         }
     }
 
+    /// Sets the epoch of this connection, and that of the proxy unless the proxy has a later one.
     fn set_epoch(&mut self, expression: &str, state: &mut RoutingState) -> Result<String, CommandError> {
         let epoch = parse_int_expression(expression)?;
         self.epoch = Some(epoch);
@@ -161,6 +168,7 @@
         Ok(String::new())
     }
 
+    /// Begins a prepared batch, which replaces one that was not committed.
     fn prepare(&mut self, state: &mut RoutingState) -> String {
         state.last_prepared_version += 1;
         let version = state.last_prepared_version;
@@ -168,7 +176,7 @@
         format!("New version created: {version}")
     }
 
-    /// Begins to commit the prepared batch: its commands are carried out anew, on the state as it is by now.
+    /// Begins to commit the prepared batch: its commands are executed again, on the current state.
     fn commit(&mut self, version: &str, transaction: &mut TableTransaction) -> Result<String, CommandError> {
         let version = version.strip_prefix('@').and_then(|number| number.parse::<u64>().ok());
         let version = version.ok_or(CommandError::VersionOutOfRange)?;
@@ -184,7 +192,7 @@
     }
 }
 
-/// Carries out commands on a staged state, and keeps the first error.
+/// Executes commands on a staged state, and stores the first error of a command that changes something.
 struct StagingHandler<'a> {
     state: &'a mut RoutingState,
     rejection: &'a mut Option<CommandError>,
--- a/crates/proxy/src/framing_validator.rs
+++ b/crates/proxy/src/framing_validator.rs
@@ -1,63 +1,63 @@
-//! Checks the framing of the requests on a client's connection, against request smuggling. Where the standards
-//! allow several readings of a head (two lengths, a length beside chunks, folded headers, bad chunks), the
-//! HTTP library takes one and goes on; the next hop may take another. Such heads are refused here.
+//! Validates the framing of requests on a client connection, to prevent request smuggling. If a request can be
+//! read in several ways (two lengths, a length with chunked encoding, folded headers, malformed chunks), the HTTP
+//! library takes one of them and goes on, while the next hop may take another. Such requests are rejected here.
 
 use thiserror::Error;
 
-/// Longest head, chunk size line or trailer line. The HTTP library's own limit is higher.
+/// The maximum length of a head, chunk size line or trailer line. The HTTP library's own limit is higher.
 const MAX_HEAD_BYTES: usize = 16_384;
 const MAX_HEADERS: usize = 100;
 
-/// More hexadecimal digits than this don't fit the size of a chunk.
+/// The maximum number of hexadecimal digits in a chunk size. It keeps the size within 60 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
-/// The line end behind a chunk's data.
+/// The length of the line end after the data of a chunk.
 const CHUNK_END_BYTES: u64 = 2;
 
-/// Why a request must not be forwarded.
+/// The reason for which a request must not be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// A head or line is longer than allowed.
-    #[error("too long")]
+    /// A head, chunk size line or trailer line is longer than allowed.
+    #[error("request head, chunk size line or trailer line is too long")]
     TooLong,
     /// A head ends with line feeds that have no carriage return.
-    #[error("a bare line feed")]
+    #[error("request head ends with a bare line feed")]
     BareLineFeed,
     /// A header continues on the next line.
-    #[error("folded headers")]
+    #[error("header is folded over several lines")]
     FoldedHeaders,
-    /// The head is not one of HTTP/1.1.
-    #[error("no head of HTTP/1.1")]
+    /// The head is malformed, is not one of HTTP/1.x or has too many headers.
+    #[error("malformed request head")]
     InvalidHead,
-    /// `Content-Length` is not text or too great a number.
-    #[error("a length that is no number")]
+    /// `Content-Length` is not valid UTF-8 or does not fit into 64 bits.
+    #[error("Content-Length is not a 64-bit number")]
     InvalidLength,
-    /// `Content-Length` comes twice or has other signs than digits.
-    #[error("two lengths, or one that is no number")]
+    /// `Content-Length` is repeated, is empty or has characters other than digits.
+    #[error("Content-Length is repeated or has characters other than digits")]
     AmbiguousLength,
-    /// `Transfer-Encoding` comes twice or is not `chunked`.
-    #[error("an encoding other than chunked, or two")]
+    /// `Transfer-Encoding` is repeated or is not `chunked`.
+    #[error("Transfer-Encoding is repeated or is not chunked")]
     UnsupportedEncoding,
-    /// `Content-Length` stands beside `Transfer-Encoding`.
-    #[error("a length beside chunks")]
+    /// A head has both `Content-Length` and `Transfer-Encoding`.
+    #[error("Content-Length together with Transfer-Encoding")]
     ContentLengthWithTransferEncoding,
     /// The line with the size of a chunk is malformed.
-    #[error("a bad chunk")]
+    #[error("malformed chunk size line")]
     InvalidChunk,
 }
 
-/// Which part of a request the next byte belongs to.
+/// The part of a request to which the next byte belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum FramingState {
-    /// A head; holds what of it was read.
+    /// A head; the bytes of it that were read.
     Head(Vec<u8>),
-    /// A body of known length; holds the bytes that are still to come.
+    /// A body of known length; the number of bytes that are still missing.
     Body(u64),
-    /// The line with the size of a chunk; holds what of it was read.
+    /// The line with the size of a chunk; the bytes of it that were read.
     ChunkSize(Vec<u8>),
-    /// A chunk and the line end behind it; holds the bytes that are still to come.
+    /// A chunk and the line end after it; the number of bytes that are still missing.
     Chunk(u64),
-    /// The lines behind the last chunk; holds what of the line was read.
+    /// The trailer lines after the last chunk; the bytes of the current line that were read.
     Trailer(Vec<u8>),
 }
 
@@ -67,7 +67,7 @@
     const NEW_TRAILER: Self = FramingState::Trailer(Vec::new());
 }
 
-/// Follows the bytes of a client's connection from request to request.
+/// Validates the byte stream of a client connection, request by request. The default expects the first head.
 #[derive(Clone, Debug)]
 pub struct FramingValidator {
     state: FramingState,
@@ -80,10 +80,10 @@
 }
 
 impl FramingValidator {
-    /// Reads the next bytes, which may end anywhere.
+    /// Validates the next bytes of the stream, which may end anywhere within a request.
     ///
     /// # Errors
-    /// The bytes must not be forwarded, nor any that follow.
+    /// Neither these bytes nor any later ones may be forwarded.
     pub fn read(&mut self, mut bytes: &[u8]) -> Result<(), FramingError> {
         while !bytes.is_empty() {
             bytes = match &self.state {
@@ -96,47 +96,49 @@
         Ok(())
     }
 
-    /// Whether the last request is complete and nothing of the next was read.
+    /// Returns true if the last request is complete and no byte of the next one was read, except for empty lines.
     #[must_use]
     pub fn is_between_requests(&self) -> bool {
         self.state == FramingState::NEW_HEAD
     }
 
-    /// Skips data of a body or chunk; the bytes behind it come back.
+    /// Skips data of a body or chunk and returns the bytes after it.
     fn read_data<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let (FramingState::Body(left) | FramingState::Chunk(left)) = &mut self.state else { return bytes };
-        let here = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
-        *left -= here as u64;
-        if *left == 0 {
+        let (FramingState::Body(remaining) | FramingState::Chunk(remaining)) = &mut self.state else {
+            return bytes;
+        };
+        let count = usize::try_from(*remaining).unwrap_or(usize::MAX).min(bytes.len());
+        *remaining -= count as u64;
+        if *remaining == 0 {
             let in_chunk = matches!(self.state, FramingState::Chunk(_));
             self.state = if in_chunk { FramingState::NEW_CHUNK } else { FramingState::NEW_HEAD };
         }
-        &bytes[here..]
+        &bytes[count..]
     }
 
-    /// Reads up to the end of a line; the bytes behind it come back.
+    /// Reads up to the end of a line and returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], FramingError> {
         let end = bytes.iter().position(|byte| *byte == b'\n').map_or(bytes.len(), |end| end + 1);
-        let (here, rest) = bytes.split_at(end);
+        let (line, rest) = bytes.split_at(end);
         let (FramingState::Head(seen) | FramingState::ChunkSize(seen) | FramingState::Trailer(seen)) =
             &mut self.state
         else {
             return Ok(rest);
         };
-        seen.extend_from_slice(here);
+        seen.extend_from_slice(line);
         if seen.len() > MAX_HEAD_BYTES {
             return Err(FramingError::TooLong);
         }
-        if here.ends_with(b"\n") {
+        if line.ends_with(b"\n") {
             self.end_line()?;
         }
         Ok(rest)
     }
 
-    /// Goes on to what follows a whole line.
+    /// Enters the next state after a complete line.
     fn end_line(&mut self) -> Result<(), FramingError> {
         match &mut self.state {
-            // Empty lines before a head are skipped, as the standard says.
+            // Empty lines before a head are skipped, as RFC 9112 (section 2.2) recommends.
             FramingState::Head(seen) if seen == b"\r\n" || seen == b"\n" => seen.clear(),
             FramingState::Head(seen) if seen.ends_with(b"\r\n\r\n") => self.state = state_after_head(seen)?,
             FramingState::Head(seen) if seen.ends_with(b"\n\n") => return Err(FramingError::BareLineFeed),
@@ -154,7 +156,7 @@
     }
 }
 
-/// What follows a whole head.
+/// Validates a complete head and returns the state after it.
 fn state_after_head(head: &[u8]) -> Result<FramingState, FramingError> {
     if head.windows(2).any(|two| two[0] == b'\n' && (two[1] == b' ' || two[1] == b'\t')) {
         return Err(FramingError::FoldedHeaders);
--- a/crates/proxy/src/snapshot_commands.rs
+++ b/crates/proxy/src/snapshot_commands.rs
@@ -1,5 +1,5 @@
-//! The difference between a snapshot of table files and the routing state, as commands. They take effect
-//! like any batch of commands: as a whole, and between requests.
+//! Generates the commands that change the routing state to a snapshot read from table files. They are executed
+//! like any other batch of commands: as a whole, and between requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,16 +10,16 @@
 
 use crate::routing::{ADMISSION_VARIABLE, Backend, RETRY_VARIABLE, RoutingState, TableEntry};
 
-/// Turns one snapshot after the other into commands.
+/// Turns successive snapshots into commands.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotCommands {
-    /// Endpoints ejected by the snapshot from which the current tables come. While a later controller has
-    /// assigned no table to the proxy, they stay ejected beside those of its own snapshot.
+    /// The endpoints ejected by the snapshot from which the current tables come. They stay ejected, together with
+    /// those of the latest snapshot, as long as a later controller has not assigned tables to the proxy.
     ejected_with_tables: BTreeSet<String>,
 }
 
 impl SnapshotCommands {
-    /// The commands from the current state to a snapshot; none where nothing differs.
+    /// Returns the commands that change the current state to a snapshot; none if they do not differ.
     pub fn commands(&mut self, state: &RoutingState, snapshot: &AppliedSnapshot) -> Vec<Command> {
         let ejected = self.ejected(snapshot);
         let mut commands = CommandWriter { commands: Vec::new(), ejected: &ejected };
@@ -30,9 +30,9 @@
         for (class, assignment) in &snapshot.assignments {
             commands.write_class(state, class, assignment);
         }
-        let named: BTreeSet<String> = snapshot.tables.keys().copied().map(table_name).collect();
-        for (name, backend) in state.backends.iter().filter(|(name, _)| !named.contains(*name)) {
-            // Tables to which no class is assigned any more would stay for ever.
+        let table_names: BTreeSet<String> = snapshot.tables.keys().copied().map(table_name).collect();
+        for (name, backend) in state.backends.iter().filter(|(name, _)| !table_names.contains(*name)) {
+            // Nothing else deletes tables that are no longer assigned to any class.
             if !snapshot.assignments.is_empty() && name.starts_with('t') {
                 commands.delete_entries(name, backend);
             } else {
@@ -42,7 +42,7 @@
         commands.commands
     }
 
-    /// The endpoints that are ejected by this snapshot, and by the one that the tables come from.
+    /// Returns the endpoints ejected by this snapshot and by the one from which the current tables come.
     fn ejected(&mut self, snapshot: &AppliedSnapshot) -> BTreeSet<String> {
         if snapshot.assignments.is_empty() {
             return self.ejected_with_tables.union(&snapshot.ejected).cloned().collect();
@@ -56,6 +56,7 @@
     format!("t{number}")
 }
 
+/// Generates commands; `ejected` has the names of the endpoints to eject in all tables.
 struct CommandWriter<'a> {
     commands: Vec<Command>,
     ejected: &'a BTreeSet<String>,
@@ -92,7 +93,7 @@
         }
         for (endpoint, entry) in current {
             if !table.entries.contains_key(endpoint) {
-                self.phase_out(&format!("{name}/{endpoint}"), entry);
+                self.drain_or_delete(&format!("{name}/{endpoint}"), entry);
             }
         }
     }
@@ -100,7 +101,7 @@
     fn add_entry(&mut self, path: &str, wanted: &SnapshotEntry, ejected: bool) {
         let (address, weight) = (wanted.address.to_string(), wanted.weight.to_string());
         self.push(&["add", "server", path, &address, "weight", &weight]);
-        // An entry is added in maintenance.
+        // New entries are in maintenance.
         if !ejected {
             self.set_ejected(path, false);
         }
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Attempts that are still in flight at an entry have to be counted: it gets no more of them first, and
-    /// is deleted by a later snapshot.
-    fn phase_out(&mut self, path: &str, entry: &TableEntry) {
+    /// Removes an entry in two steps, so that attempts in flight at it stay counted: sets its weight to 0, and
+    /// deletes it with a later snapshot once it has no attempts in flight.
+    fn drain_or_delete(&mut self, path: &str, entry: &TableEntry) {
         if entry.weight > 0 {
             self.push(&["set", "server", path, "weight", "0"]);
         } else if entry.in_flight() == 0 {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Ejects and restores entries of a table that the snapshot doesn't contain.
+    /// Ejects and restores entries of a table that is not part of the snapshot.
     fn write_ejections(&mut self, name: &str, backend: &Backend) {
         for entry in backend.entries() {
             let ejected = self.ejected.contains(&*entry.name);
--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -1,5 +1,5 @@
-//! A line of commands that takes effect as a whole or not at all. Commands change a staged copy of the
-//! routing state, a few at a time, so that requests go on meanwhile by the state as it was.
+//! A line of commands that takes effect as a whole or not at all. The commands change a staged copy of the routing
+//! state, a few at a time; meanwhile requests are routed by the unchanged state.
 
 use std::collections::VecDeque;
 
@@ -11,24 +11,25 @@
 /// One line of commands, staged on a copy of the routing state.
 pub struct TableTransaction {
     pub(crate) remaining: VecDeque<Command>,
-    /// The prepared batch that a command of the line commits, while it is being repeated.
+    /// The prepared batch that a command of the line commits, until all its commands were executed again.
     pub(crate) replay: Option<Replay>,
-    /// Which commands of the line change something: their positions, and those of their answers.
+    /// The positions of the commands that change something, in the line and among the answers.
     change_positions: Vec<usize>,
     pub(crate) staged: RoutingState,
+    /// The tables of the routing state from which the staged copy was taken.
     base: TableSet,
-    /// Why the first command that was refused was refused.
+    /// The first error of a command that changes something.
     pub(crate) rejection: Option<CommandError>,
     pub(crate) session_state: SessionState,
     pub(crate) answers: Vec<String>,
 }
 
-/// A prepared batch of commands that is carried out anew on the state of its commit.
+/// A prepared batch of commands that is executed again on the state at the time of its commit.
 pub(crate) struct Replay {
     pub commands: VecDeque<Command>,
     /// The number under which the batch was prepared.
     pub version: u64,
-    /// What to go back to if a command is refused.
+    /// The tables to restore if a command is refused.
     pub base: TableSet,
 }
 
@@ -47,12 +48,13 @@
         }
     }
 
-    /// Whether no command is left to be staged.
+    /// Returns true if no command is left to be staged.
     pub(crate) fn is_complete(&self) -> bool {
         self.session_state != SessionState::Stay || (self.remaining.is_empty() && self.replay.is_none())
     }
 
-    /// Repeats one command of the batch that is being committed; the first that is refused undoes the batch.
+    /// Executes the next command of the batch that is being committed. The first one that is refused undoes the
+    /// batch.
     pub(crate) fn replay_next(&mut self) {
         let Some(mut replay) = self.replay.take() else { return };
         let Some(command) = replay.commands.pop_front() else {
@@ -72,7 +74,8 @@
         }
     }
 
-    /// The text of a command's answer; keeps the first error of a command that changes something.
+    /// Returns the text of a command's answer, and stores the first error of a command that changes something in
+    /// `rejection`.
     pub(crate) fn answer_text(
         rejection: &mut Option<CommandError>,
         command: &Command,
@@ -87,16 +90,16 @@
         })
     }
 
-    /// Puts the staged state in force, or nothing of it if a command of several was refused; the answers to
-    /// the commands. `counts` says whether the line takes effect as a batch with a version of its own.
-    pub(crate) fn conclude(mut self, state: &mut RoutingState, counts: bool) -> Vec<String> {
+    /// Adopts the staged state, or nothing of it if one of several commands that change something was refused.
+    /// Returns the answers to the commands. `has_version` is true if the line is a batch with a version of its own.
+    pub(crate) fn conclude(mut self, state: &mut RoutingState, has_version: bool) -> Vec<String> {
         let rejection = self.rejection.take();
-        // A single command that was refused may have changed something: lines of a payload before the one at fault.
+        // A single command that was refused may have added the payload lines before a malformed one.
         let has_effect = rejection.is_none() || self.staged.differs_from(&self.base);
         if let Some(error) = rejection.filter(|_| self.change_positions.len() > 1) {
             self.reject_all(&error.for_batch());
         } else if !self.change_positions.is_empty() {
-            if counts && has_effect {
+            if has_version && has_effect {
                 self.staged.stamp_version(&self.base);
             }
             state.adopt(self.staged, &self.base);
@@ -104,7 +107,7 @@
         self.answers
     }
 
-    /// Commands that change something answer the error, the others nothing.
+    /// Replaces the answers of commands that change something by the error, and all others by an empty answer.
     fn reject_all(&mut self, error: &CommandError) {
         for answer in &mut self.answers {
             answer.clear();
