--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a proxy, read from an XML file once at its start. The names of the file's elements
-//! and attributes are mapped here and nowhere else.
+//! The configuration of a proxy, read once from an XML file at startup. Only this module maps the names of the
+//! elements and attributes of the file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use crate::choose::LoadBalancingPolicy;
 use crate::routing::LoadBalancingLimits;
 
-/// The schema of the configuration file.
+/// The XML schema of the configuration file.
 pub const SCHEMA: &str = include_str!("../proxy.xsd");
 
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(1);
@@ -22,61 +22,63 @@
 /// The configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// The proxy's name, as controllers and table files know it.
+    /// The proxy's name, by which controllers and table files refer to it.
     pub name: String,
-    /// Where requests come in.
+    /// The address on which the proxy accepts requests.
     pub request_address: SocketAddr,
-    /// Where control connections come in.
+    /// The addresses on which the proxy accepts control connections.
     pub control_addresses: Vec<Address>,
-    /// Form and levels of the log.
+    /// The format and levels of the log.
     pub log: LogConfig,
-    /// Load balancing and local outlier ejection.
+    /// Settings of load balancing and local outlier ejection.
     pub limits: LoadBalancingLimits,
-    /// Seed of random choices.
+    /// The seed of the random number generator of load balancing.
     pub seed: u64,
-    /// Client connections at a time; more are closed at once.
+    /// The maximum number of open client connections; further ones are closed immediately.
     pub max_clients: usize,
-    /// A client connection that has not sent a whole request head for this long is closed.
+    /// A client connection is closed if no complete request head arrives on it for this long.
     pub header_timeout: Duration,
-    /// Bodies up to this size are buffered: requests for a retry, responses so that half of one is not forwarded.
+    /// Bodies up to this size are buffered: those of requests so that they can be retried, those of responses so
+    /// that no incomplete response is forwarded.
     pub max_buffered_body_bytes: usize,
-    /// Time limit for a connection to an endpoint.
+    /// The time limit for establishing a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// A connection to an endpoint that was not used for this long is closed.
+    /// The time after which an idle connection to an endpoint is closed.
     pub idle_timeout: Duration,
-    /// Time limit for an attempt.
+    /// The time limit for an attempt.
     pub attempt_timeout: Duration,
-    /// Retries allowed per first attempt.
+    /// The number of retries allowed per first attempt, from 0 to 1 in the configuration file.
     pub retry_ratio: f64,
-    /// Requests that may wait for capacity at an endpoint.
+    /// The maximum number of requests that wait for an endpoint with capacity.
     pub max_queued_requests: usize,
-    /// How long a request may wait for capacity.
+    /// The maximum time for which a request waits for capacity.
     pub queue_timeout: Duration,
-    /// The `Retry-After` of rejected requests.
+    /// The value of `Retry-After` in responses to rejected requests.
     pub retry_after: Duration,
-    /// Fault for tests: the proxy does nothing else for this long for each command that changes something.
+    /// A fault injected by tests: the proxy blocks for this long for each command that changes something.
     pub stall_per_command: Duration,
-    /// Classes of requests, with the timeout of clients that don't send theirs.
+    /// The classes of requests, each with the timeout of clients that don't send their own.
     pub classes: Vec<(String, Duration)>,
-    /// The default table: endpoints by name.
+    /// The names and addresses of the endpoints in the default table.
     pub default_table: Vec<(String, SocketAddr)>,
-    /// The snapshot folder from which tables are read, where that is wanted beside the control connections.
+    /// The settings for reading tables from a snapshot folder; `None` if tables come over control connections
+    /// only.
     pub table_files: Option<TableFilesConfig>,
 }
 
-/// How a proxy follows a snapshot folder.
+/// Settings for reading tables from a snapshot folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableFilesConfig {
-    /// The folder that controllers write snapshots to.
+    /// The folder to which controllers write snapshots.
     pub folder: PathBuf,
-    /// The file of the keys that vouch for snapshots.
+    /// The file with the keys by which snapshots are authenticated.
     pub key_file: PathBuf,
-    /// The folder is read this often, whatever file events are seen.
+    /// The maximum time between two scans of the folder. File events trigger earlier scans.
     pub poll_interval: Duration,
 }
 
 impl ProxyConfig {
-    /// A configuration with the default of everything optional.
+    /// Returns a configuration in which everything optional has its default.
     #[must_use]
     pub fn new(
         name: &str,
@@ -113,60 +115,61 @@
         }
     }
 
-    /// Reads a configuration file. Paths in it are relative to its folder.
+    /// Reads a configuration file. Relative paths in it refer to the folder of the file.
     ///
     /// # Errors
-    /// All errors of the file, each with its location.
+    /// The file cannot be read or is invalid: all errors found, each with its location.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         let document = Document::open(file, SCHEMA)?;
         let tree = document.tree();
         let root = tree.root_element();
-        let mut lists = Lists::read(&document, root);
+        let mut elements = RepeatedElements::read(&document, root);
         let request_address = request_address(&document, root);
         let request_address = match request_address {
-            Ok(address) if lists.errors.is_empty() => address,
-            Ok(_) => return Err(ConfigErrors(lists.errors)),
+            Ok(address) if elements.errors.is_empty() => address,
+            Ok(_) => return Err(ConfigErrors(elements.errors)),
             Err(error) => {
-                lists.errors.push(error);
-                return Err(ConfigErrors(lists.errors));
+                elements.errors.push(error);
+                return Err(ConfigErrors(elements.errors));
             }
         };
         let name = root.attribute("name").unwrap_or_default();
-        let mut config = ProxyConfig::new(name, request_address, lists.control_addresses, lists.classes);
-        config.default_table = lists.default_table;
+        let mut config =
+            ProxyConfig::new(name, request_address, elements.control_addresses, elements.classes);
+        config.default_table = elements.default_table;
         let base = file.parent().unwrap_or(Path::new("."));
-        config.table_files = child(root, "files").map(|node| TableFilesConfig::read(node, base));
+        config.table_files = child_element(root, "files").map(|node| TableFilesConfig::read(node, base));
         config.read_options(root);
         Ok(config)
     }
 
-    /// Replaces defaults by what the file states.
+    /// Replaces defaults by the values of optional attributes.
     fn read_options(&mut self, root: Node<'_, '_>) {
-        let requests = OptionalAttributes(child(root, "visits"));
+        let requests = OptionalAttributes(child_element(root, "visits"));
         requests.value("clients-most", &mut self.max_clients);
         requests.duration("silent-most", &mut self.header_timeout);
         requests.value("keep-most-bytes", &mut self.max_buffered_body_bytes);
 
-        let load_balancing = OptionalAttributes(child(root, "choosing"));
+        let load_balancing = OptionalAttributes(child_element(root, "choosing"));
         load_balancing.value("way", &mut self.limits.policy);
         load_balancing.value("seed", &mut self.seed);
         load_balancing.value("shuns-after", &mut self.limits.ejection_threshold);
         load_balancing.duration("shuns-for", &mut self.limits.ejection_time);
 
-        let attempts = OptionalAttributes(child(root, "tries"));
+        let attempts = OptionalAttributes(child_element(root, "tries"));
         attempts.duration("connect-within", &mut self.connect_timeout);
         attempts.duration("idle-most", &mut self.idle_timeout);
         attempts.duration("try-most", &mut self.attempt_timeout);
         attempts.value("second-share", &mut self.retry_ratio);
 
-        let limits = OptionalAttributes(child(root, "limits"));
+        let limits = OptionalAttributes(child_element(root, "limits"));
         limits.value("outstanding-most", &mut self.limits.max_in_flight);
         limits.value("waiting-most", &mut self.max_queued_requests);
         limits.duration("waiting-for", &mut self.queue_timeout);
         limits.duration("retry-after", &mut self.retry_after);
         limits.duration("stall-a-line", &mut self.stall_per_command);
 
-        self.log = LogConfig::from_element(child(root, "log"));
+        self.log = LogConfig::from_element(child_element(root, "log"));
     }
 }
 
@@ -182,33 +185,33 @@
     }
 }
 
-/// What is wrong with an element that the schema allows.
+/// An error in an element that is valid by the schema.
 #[derive(Debug, Error)]
 enum ElementError {
     #[error(transparent)]
     ControlAddress(#[from] InvalidAddress),
-    #[error("{0:?} is no address")]
+    #[error("{0:?} is not a valid address")]
     SocketAddress(String),
 }
 
-/// Elements that may stand several times, and the errors found in them.
+/// The elements that may occur several times, and the errors found in them.
 #[derive(Default)]
-struct Lists {
+struct RepeatedElements {
     control_addresses: Vec<Address>,
     default_table: Vec<(String, SocketAddr)>,
     classes: Vec<(String, Duration)>,
     errors: Vec<ConfigError>,
 }
 
-impl Lists {
+impl RepeatedElements {
     fn read(document: &Document, root: Node<'_, '_>) -> Self {
-        let mut lists = Lists::default();
+        let mut elements = RepeatedElements::default();
         for node in root.descendants().filter(Node::is_element) {
-            if let Err(error) = lists.read_element(node) {
-                lists.errors.push(document.error(node, error.to_string(), Some("IP:PORT")));
+            if let Err(error) = elements.read_element(node) {
+                elements.errors.push(document.error(node, error.to_string(), Some("IP:PORT")));
             }
         }
-        lists
+        elements
     }
 
     fn read_element(&mut self, node: Node<'_, '_>) -> Result<(), ElementError> {
@@ -236,15 +239,17 @@
 }
 
 fn request_address(document: &Document, root: Node<'_, '_>) -> Result<SocketAddr, ConfigError> {
-    let text = child(root, "visits").and_then(|node| node.attribute("address")).unwrap_or_default();
-    text.parse().map_err(|_| document.error(root, format!("visits: {text:?} is no address"), Some("IP:PORT")))
+    let text = child_element(root, "visits").and_then(|node| node.attribute("address")).unwrap_or_default();
+    text.parse().map_err(|_| {
+        document.error(root, format!("visits: {text:?} is not a valid address"), Some("IP:PORT"))
+    })
 }
 
-fn child<'a, 'd>(root: Node<'a, 'd>, name: &str) -> Option<Node<'a, 'd>> {
+fn child_element<'a, 'd>(root: Node<'a, 'd>, name: &str) -> Option<Node<'a, 'd>> {
     root.children().find(|node| node.has_tag_name(name))
 }
 
-/// The optional attributes of an element that may be missing. Their form was checked by the schema.
+/// The optional attributes of an element that may be missing. The schema has checked their format.
 struct OptionalAttributes<'a, 'd>(Option<Node<'a, 'd>>);
 
 impl OptionalAttributes<'_, '_> {
@@ -252,15 +257,17 @@
         self.0.as_ref()?.attribute(name)
     }
 
+    /// Replaces `value` if the attribute is present.
     fn duration(&self, name: &str, value: &mut Duration) {
-        if let Some(stated) = self.attribute(name).and_then(|text| parse_duration(text).ok()) {
-            *value = stated;
+        if let Some(parsed) = self.attribute(name).and_then(|text| parse_duration(text).ok()) {
+            *value = parsed;
         }
     }
 
+    /// Replaces `value` if the attribute is present.
     fn value<T: FromStr>(&self, name: &str, value: &mut T) {
-        if let Some(stated) = self.attribute(name).and_then(|text| text.parse().ok()) {
-            *value = stated;
+        if let Some(parsed) = self.attribute(name).and_then(|text| text.parse().ok()) {
+            *value = parsed;
         }
     }
 }
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use lockcroft_proxy::{LoadBalancingPolicy, ProxyConfig};
 
-const ALL: &str = r#"<proxy name="r1">
+const COMPLETE: &str = r#"<proxy name="r1">
   <visits address="127.0.0.1:8080" clients-most="11" silent-most="12s" keep-most-bytes="13"/>
   <control address="unix:/run/r1.sock"/>
   <files folder="tables" keys="keys" look-every="14s"/>
@@ -17,7 +17,7 @@
   <standing><server name="e1" address="127.0.0.1:8101"/></standing>
 </proxy>"#;
 
-const REQUIRED: &str = r#"<proxy name="r1">
+const MINIMAL: &str = r#"<proxy name="r1">
   <visits address="127.0.0.1:8080"/>
   <control address="127.0.0.1:81"/>
   <classes><class name="look-up" patience="2s"/></classes>
@@ -33,12 +33,12 @@
 
 #[test]
 fn every_attribute_sets_its_field() {
-    let config = open(ALL).expect("valid");
+    let config = open(COMPLETE).expect("valid");
     assert_eq!(config.max_clients, 11);
     assert_eq!(config.header_timeout, Duration::from_secs(12));
     assert_eq!(config.max_buffered_body_bytes, 13);
     assert_eq!(config.control_addresses, ["unix:/run/r1.sock".parse().expect("an address")]);
-    let files = config.table_files.expect("stated");
+    let files = config.table_files.expect("present");
     assert!(files.folder.ends_with("tables") && files.folder != Path::new("tables"), "{files:?}");
     assert!(files.key_file.ends_with("keys") && files.key_file != Path::new("keys"), "{files:?}");
     assert_eq!(files.poll_interval, Duration::from_secs(14));
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn what_is_not_stated_has_its_default() {
-    let config = open(REQUIRED).expect("valid");
+fn missing_attributes_have_their_defaults() {
+    let config = open(MINIMAL).expect("valid");
     assert_eq!(config.max_clients, 4096);
     assert_eq!(config.header_timeout, Duration::from_secs(10));
     assert_eq!(config.max_buffered_body_bytes, 65_536);
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn all_errors_of_a_file_are_located() {
-    let wrong = ALL
+fn all_errors_of_a_file_are_reported_with_their_location() {
+    let invalid = COMPLETE
         .replace("unix:/run/r1.sock", "127.0.0.1:99999")
         .replace("127.0.0.1:8101", "127.0.0.1:99998")
         .replace("127.0.0.1:8080", "127.0.0.1:99997");
     expect![[r#"
         FILE:3: /proxy/control: "127.0.0.1:99999" is neither unix:PATH nor IP:PORT; allowed: IP:PORT
-        FILE:9: /proxy/standing/server: "127.0.0.1:99998" is no address; allowed: IP:PORT
-        FILE:1: /proxy: visits: "127.0.0.1:99997" is no address; allowed: IP:PORT"#]]
-    .assert_eq(&open(&wrong).expect_err("wrong"));
-    let wrong = ALL.replace("look-every=\"14s\"", "look-every=\"soon\"");
-    expect![[r#"FILE:4: /proxy/files: attribute look-every: "soon" does not fit; allowed: a time with its unit (us, ms, s, min, h), such as 500ms"#]].assert_eq(&open(&wrong).expect_err("wrong"));
+        FILE:9: /proxy/standing/server: "127.0.0.1:99998" is not a valid address; allowed: IP:PORT
+        FILE:1: /proxy: visits: "127.0.0.1:99997" is not a valid address; allowed: IP:PORT"#]]
+    .assert_eq(&open(&invalid).expect_err("invalid"));
+    let invalid = COMPLETE.replace("look-every=\"14s\"", "look-every=\"soon\"");
+    expect![[r#"FILE:4: /proxy/files: attribute look-every: "soon" does not fit; allowed: a time with its unit (us, ms, s, min, h), such as 500ms"#]].assert_eq(&open(&invalid).expect_err("invalid"));
 }
