--- a/crates/proxy/tests/attempt_counts.rs
+++ b/crates/proxy/tests/attempt_counts.rs
@@ -1,4 +1,5 @@
-//! Attempts in flight, counted at the entry at which they began, under any order of what can happen to them.
+//! Attempts in flight are counted at the entry at which they began, in any order of outcomes, abandonments and
+//! changes of the table.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 const MAX_IN_FLIGHT: usize = 3;
 const ENDPOINTS: usize = 3;
 
-/// What can happen; indices are taken modulo what there is.
+/// A step of a random sequence. Indices are taken modulo the number of attempts in flight or of endpoints.
 #[derive(Clone, Debug)]
 enum Step {
     Choose,
@@ -22,9 +23,9 @@
     Abandon(usize),
     Remove(usize),
     Add(usize),
-    /// Removed and added again by one line of commands.
+    /// Removes and adds an entry again by one line of commands.
     Replace(usize),
-    /// A line of commands that is staged while the attempt of this index is abandoned.
+    /// Abandons the attempt with this index while a line of commands is being staged.
     AbandonWhileStaged(usize),
 }
 
@@ -44,15 +45,16 @@
 
 struct Model {
     state: RoutingState,
-    queue: ControlSession,
+    session: ControlSession,
     attempts: Vec<Attempt>,
-    /// Which entry of each name there is now: a number for each time that one was added.
+    /// The current entry of each name, identified by a number that is unique per added entry.
     entries: [Option<usize>; ENDPOINTS],
-    last_entry: usize,
+    last_entry_id: usize,
 }
 
 struct Attempt {
     chosen: ChosenEndpoint,
+    /// The entry at which the attempt began.
     entry: Option<usize>,
 }
 
@@ -68,27 +70,27 @@
         let state = RoutingState::new("p", &[CLASS.to_string()], &table, limits, 1);
         Model {
             state,
-            queue: ControlSession::new(AccessLevel::Admin),
+            session: ControlSession::new(AccessLevel::Admin),
             attempts: Vec::new(),
             entries: [Some(0); ENDPOINTS],
-            last_entry: 0,
+            last_entry_id: 0,
         }
     }
 
-    fn command(&mut self, line: &str) {
+    fn execute(&mut self, line: &str) {
         let mut reader = CommandReader::default();
         reader.buffer().extend_from_slice(format!("{line}\n").as_bytes());
-        let commands = reader.next_line().expect("a line").expect("whole");
-        self.queue.execute_line(&commands, &mut self.state, &mut String::new());
+        let commands = reader.next_line().expect("a complete line").expect("a valid line");
+        self.session.execute_line(&commands, &mut self.state, &mut String::new());
     }
 
-    fn take(&mut self, index: usize) -> Option<ChosenEndpoint> {
+    fn take_attempt(&mut self, index: usize) -> Option<ChosenEndpoint> {
         let count = self.attempts.len();
         (count > 0).then(|| self.attempts.swap_remove(index % count).chosen)
     }
 
-    fn record(&mut self, index: usize, outcome: AttemptOutcome) {
-        if let Some(attempt) = self.take(index) {
+    fn record_outcome(&mut self, index: usize, outcome: AttemptOutcome) {
+        if let Some(attempt) = self.take_attempt(index) {
             self.state.record_outcome(Duration::ZERO, &attempt, outcome, Duration::from_millis(1));
         }
     }
@@ -96,41 +98,43 @@
     fn abandon_while_staged(&mut self, index: usize) {
         let mut reader = CommandReader::default();
         reader.buffer().extend_from_slice(b"set weight standing/e0 7; set weight standing/e1 9\n");
-        let commands = reader.next_line().expect("a line").expect("whole");
-        let mut transaction = self.queue.begin(commands, &self.state);
-        if let Some(attempt) = self.take(index) {
+        let commands = reader.next_line().expect("a complete line").expect("a valid line");
+        let mut transaction = self.session.begin(commands, &self.state);
+        if let Some(attempt) = self.take_attempt(index) {
             attempt.abandon();
         }
-        while !self.queue.step(&mut transaction) {}
-        self.queue.finish(transaction, &mut self.state, &mut String::new());
+        while !self.session.step(&mut transaction) {}
+        self.session.finish(transaction, &mut self.state, &mut String::new());
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Choose => {
                 if let Choice::Endpoint(chosen) = self.state.choose(Duration::ZERO, CLASS, None) {
-                    let entry = self.entries[number(&chosen.endpoint)];
+                    let entry = self.entries[endpoint_index(&chosen.endpoint)];
                     self.attempts.push(Attempt { chosen, entry });
                 }
             }
-            Step::Answer(index) => self.record(index, AttemptOutcome::Answered(200)),
-            Step::TimeOut(index) => self.record(index, AttemptOutcome::TimedOut),
+            Step::Answer(index) => self.record_outcome(index, AttemptOutcome::Answered(200)),
+            Step::TimeOut(index) => self.record_outcome(index, AttemptOutcome::TimedOut),
             Step::Abandon(index) => {
-                if let Some(attempt) = self.take(index) {
+                if let Some(attempt) = self.take_attempt(index) {
                     attempt.abandon();
                 }
             }
             Step::Remove(index) => {
-                self.command(&remove(index));
+                self.execute(&remove_commands(index));
                 self.entries[index % ENDPOINTS] = None;
             }
             Step::Add(index) => {
-                self.command(&add(index));
-                self.last_entry += 1;
-                self.entries[index % ENDPOINTS].get_or_insert(self.last_entry);
+                self.execute(&add_commands(index));
+                self.last_entry_id += 1;
+                self.entries[index % ENDPOINTS].get_or_insert(self.last_entry_id);
+            }
+            // The line takes effect as a whole, so the existing entry is changed and keeps its counter.
+            Step::Replace(index) => {
+                self.execute(&format!("{}; {}", remove_commands(index), add_commands(index)))
             }
-            // As a whole it changes the entry that is there.
-            Step::Replace(index) => self.command(&format!("{}; {}", remove(index), add(index))),
             Step::AbandonWhileStaged(index) => self.abandon_while_staged(index),
         }
     }
@@ -140,7 +144,7 @@
     }
 }
 
-fn number(endpoint: &str) -> usize {
+fn endpoint_index(endpoint: &str) -> usize {
     endpoint[1..].parse().expect("a number")
 }
 
@@ -148,12 +152,12 @@
     ([127, 0, 0, 1], 8000 + index as u16).into()
 }
 
-fn remove(index: usize) -> String {
+fn remove_commands(index: usize) -> String {
     let index = index % ENDPOINTS;
     format!("disable server standing/e{index}; del server standing/e{index}")
 }
 
-fn add(index: usize) -> String {
+fn add_commands(index: usize) -> String {
     let index = index % ENDPOINTS;
     format!("add server standing/e{index} {} weight 4; enable server standing/e{index}", address(index))
 }
@@ -161,18 +165,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against counts that are never given back, or given back to a later entry of the same name.
+    /// Guards against counters that are not decremented when an attempt ends, or that are decremented at a later
+    /// entry of the same name.
     #[test]
-    fn entries_count_their_own_attempts_only(steps in proptest::collection::vec(step(), 1..120)) {
+    fn entries_count_only_their_own_attempts(steps in proptest::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
         for step in &steps {
-            model.play(step);
+            model.apply(step);
             for entry in model.state.backends["standing"].entries() {
-                let current = model.entries[number(&entry.name)];
+                let current = model.entries[endpoint_index(&entry.name)];
                 let is_own = |attempt: &&Attempt| attempt.chosen.endpoint == *entry.name && attempt.entry == current;
-                let own = model.attempts.iter().filter(is_own).count();
-                prop_assert!(own <= MAX_IN_FLIGHT, "{:?}", step);
-                prop_assert_eq!(entry.in_flight(), own, "{:?}", step);
+                let expected = model.attempts.iter().filter(is_own).count();
+                prop_assert!(expected <= MAX_IN_FLIGHT, "{:?}", step);
+                prop_assert_eq!(entry.in_flight(), expected, "{:?}", step);
             }
         }
         for attempt in model.attempts.drain(..) {
--- a/crates/proxy/tests/commands.rs
+++ b/crates/proxy/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The proxy's runtime API, command by command, and how requests are routed after it.
+//! The answers of the proxy's runtime API, and the effect of its commands on routing.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn commands_answer_as_haproxy_does() {
+fn answers_match_those_of_haproxy() {
     let mut state = new_state();
     let mut transcript = String::new();
     for line in [
@@ -123,7 +123,7 @@
     assert_eq!(state.class_map["look-up"], "standing");
     assert_eq!(execute(&mut state, "commit map @2 classes"), "\n");
     assert_eq!(state.class_map["look-up"], "t1");
-    // The older one comes late and changes nothing.
+    // Committing the older version afterwards is refused and changes nothing.
     assert_eq!(execute(&mut state, "commit map @1 classes"), "Version number out of range.\n\n");
     assert_eq!(state.class_map["look-up"], "t1");
 }
@@ -132,31 +132,34 @@
 fn drained_and_ejected_endpoints_are_not_chosen() {
     let (mut state, now) = (new_state(), Duration::from_secs(1));
     execute(&mut state, "set server standing/e1 state drain");
-    let Choice::Endpoint(chosen) = state.choose(now, "look-up", None) else { panic!("e2 is left") };
+    let Choice::Endpoint(chosen) = state.choose(now, "look-up", None) else { panic!("expected an endpoint") };
     assert_eq!(chosen.endpoint, "e2");
     assert_eq!(state.choose(now, "look-up", Some("e2")), Choice::NoEndpoint);
     for _ in 0..3 {
         state.record_outcome(now, &chosen, AttemptOutcome::TimedOut, now);
     }
-    assert_eq!(state.choose(now, "look-up", None), Choice::NoEndpoint, "ejected after three");
-    assert!(state.has_open_endpoint("look-up"), "its table leaves it one");
+    assert_eq!(state.choose(now, "look-up", None), Choice::NoEndpoint, "ejected after three failures");
+    assert!(state.has_open_endpoint("look-up"), "ejection by the proxy is not considered");
     let later = now + Duration::from_secs(4);
     for _ in 0..2 {
-        assert!(matches!(state.choose(later, "look-up", None), Choice::Endpoint(_)), "and for a time only");
+        assert!(
+            matches!(state.choose(later, "look-up", None), Choice::Endpoint(_)),
+            "the ejection time has passed"
+        );
     }
-    assert_eq!(state.choose(later, "look-up", None), Choice::Saturated, "two are in flight");
+    assert_eq!(state.choose(later, "look-up", None), Choice::Saturated, "two attempts are in flight");
     state.record_outcome(later, &chosen, AttemptOutcome::Answered(200), now);
     assert!(matches!(state.choose(later, "look-up", None), Choice::Endpoint(_)));
 }
 
 #[test]
-fn admission_sheds_the_same_clients_again() {
+fn admission_sheds_the_same_draws_each_time() {
     let mut state = new_state();
     execute(&mut state, "set var proc.level_look_up int(300)");
     let draws = (0..1000).map(|i| f64::from(i) / 1000.0);
     let first: Vec<bool> = draws.clone().map(|draw| state.admit("look-up", draw)).collect();
-    let again: Vec<bool> = draws.map(|draw| state.admit("look-up", draw)).collect();
-    assert_eq!(first, again);
+    let second: Vec<bool> = draws.map(|draw| state.admit("look-up", draw)).collect();
+    assert_eq!(first, second);
     assert_eq!(first.iter().filter(|admitted| **admitted).count(), 300);
     assert!(
         execute(&mut state, "show stat")
--- a/crates/proxy/tests/framing.rs
+++ b/crates/proxy/tests/framing.rs
@@ -1,19 +1,19 @@
-//! The framing of requests on a client's connection.
+//! Validation of the framing of requests on a client connection.
 
 use lockcroft_proxy::FramingValidator;
 use proptest::prelude::*;
 
-const SOUND: &str = "GET /a HTTP/1.1\r\nhost: x\r\n\r\nPOST /b HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc\
+const VALID_REQUESTS: &str = "GET /a HTTP/1.1\r\nhost: x\r\n\r\nPOST /b HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc\
     POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n4;x=1\r\nwxyz\r\n0\r\n\r\nGET /d HTTP/1.1\r\n\r\n";
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However the bytes are cut, sound requests pass and the validator stands before the next head.
+    /// Valid requests pass whatever the size of the pieces, and the validator expects another head afterwards.
     #[test]
-    fn sound_requests_pass_in_any_pieces(cut in 1..40_usize) {
+    fn valid_requests_pass_in_pieces_of_any_size(size in 1..40_usize) {
         let mut validator = FramingValidator::default();
-        for piece in SOUND.as_bytes().chunks(cut) {
+        for piece in VALID_REQUESTS.as_bytes().chunks(size) {
             prop_assert_eq!(validator.read(piece), Ok(()));
         }
         prop_assert!(validator.is_between_requests());
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn ambiguous_heads_are_refused() {
-    for wrong in [
+fn ambiguous_framing_is_rejected() {
+    for invalid in [
         "POST / HTTP/1.1\r\ncontent-length: 3\r\ncontent-length: 3\r\n\r\n",
         "POST / HTTP/1.1\r\ncontent-length: 3, 4\r\n\r\n",
         "POST / HTTP/1.1\r\ncontent-length: +3\r\n\r\n",
@@ -41,6 +41,6 @@
         "GET / HTTP/1.1\r\nx: a\n\n",
         "garbage\r\n\r\n",
     ] {
-        assert!(FramingValidator::default().read(wrong.as_bytes()).is_err(), "{wrong:?}");
+        assert!(FramingValidator::default().read(invalid.as_bytes()).is_err(), "{invalid:?}");
     }
 }
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -1,4 +1,4 @@
-//! When a request is retried, and how many retries the budget allows.
+//! The rule for retrying a request, and the retry budget.
 
 use lockcroft_proxy::{AttemptOutcome, RetryBudget, may_retry};
 use proptest::prelude::*;
@@ -16,25 +16,25 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever would happen to a request at each endpoint: it is attempted twice at most, and it is executed
-    /// at one endpoint at most, or may have been.
+    /// For any sequence of outcomes, a request is attempted at most twice, and at most one endpoint may have executed
+    /// it.
     #[test]
-    fn no_sequence_of_outcomes_executes_a_request_twice(history in proptest::collection::vec(outcome(), 1..6), enabled: bool) {
-        let (mut attempts, mut may_have_run) = (0, 0);
-        for outcome in history {
+    fn no_sequence_of_outcomes_executes_a_request_twice(outcomes in proptest::collection::vec(outcome(), 1..6), enabled: bool) {
+        let (mut attempts, mut possible_executions) = (0, 0);
+        for outcome in outcomes {
             attempts += 1;
-            may_have_run += u32::from(!outcome.is_not_executed());
+            possible_executions += u32::from(!outcome.is_not_executed());
             if !may_retry(attempts, outcome, enabled) {
                 break;
             }
         }
         prop_assert!(attempts <= 1 + u32::from(enabled));
-        prop_assert!(may_have_run <= 1);
+        prop_assert!(possible_executions <= 1);
     }
 }
 
 #[test]
-fn only_proof_of_non_execution_allows_a_retry_and_only_one() {
+fn only_proof_of_non_execution_allows_a_single_retry() {
     use AttemptOutcome::{Answered, ConnectFailed, ConnectionBroken, Rejected, TimedOut};
     for outcome in [Answered(200), Answered(500), Answered(503), ConnectionBroken, TimedOut] {
         assert!(!may_retry(1, outcome, true), "{outcome:?}");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_retry_storm_gets_its_ratio_and_the_saved_tokens() {
+fn a_retry_storm_is_limited_to_the_ratio_and_the_bucket_capacity() {
     let mut budget = RetryBudget::new(0.1);
     let retries = (0..10_000)
         .filter(|_| {
@@ -54,9 +54,9 @@
         })
         .count();
     assert!((1000..=1011).contains(&retries), "{retries}");
-    let mut none = RetryBudget::new(0.0);
-    none.record_first_attempt();
-    assert!(!none.try_reserve());
-    let mut any = RetryBudget::new(f64::INFINITY);
-    assert!((0..1000).all(|_| any.try_reserve()));
+    let mut empty = RetryBudget::new(0.0);
+    empty.record_first_attempt();
+    assert!(!empty.try_reserve());
+    let mut unlimited = RetryBudget::new(f64::INFINITY);
+    assert!((0..1000).all(|_| unlimited.try_reserve()));
 }
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -1,4 +1,5 @@
-//! Long series of commands and requests, made from a seed: answers, choices and digests stay as recorded.
+//! Long pseudorandom sequences of commands, requests and snapshots: answers, choices and digests must match the
+//! recordings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -32,8 +33,8 @@
     words[rng.generate_range(0..words.len())]
 }
 
-/// One command, often a valid one.
-fn command(rng: &mut WyRand) -> String {
+/// Returns one or two random commands, which are often valid.
+fn random_commands(rng: &mut WyRand) -> String {
     let backend = pick(rng, &["standing", "t0", "t0", "t1", "t2000", "x"]);
     let endpoint = format!("{backend}/e{}", rng.generate_range(0..6_u8));
     let number = rng.generate_range(0..280_u16);
@@ -124,21 +125,21 @@
     }
 }
 
-/// What the transcript holds in place of long answers: a hash (FNV-1a).
+/// Returns the FNV-1a hash of a transcript, which is recorded in its place.
 fn hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 fn random_table(rng: &mut WyRand) -> Table {
-    let mut lines = BTreeMap::new();
+    let mut entries = BTreeMap::new();
     for i in 0..6_u16 {
         if rng.generate_range(0..3_u8) > 0 {
             let address = SocketAddr::from(([127, 0, 0, 1], 9000 + i + rng.generate_range(0..2_u16)));
-            lines.insert(format!("e{i}"), TableEntry { address, weight: rng.generate_range(1..257_u32) });
+            entries.insert(format!("e{i}"), TableEntry { address, weight: rng.generate_range(1..257_u32) });
         }
     }
-    Table { entries: lines }
+    Table { entries }
 }
 
 struct Run {
@@ -150,20 +151,21 @@
 }
 
 impl Run {
-    fn requests(&mut self) {
+    /// Sends some requests and ends some of the attempts in flight.
+    fn send_requests(&mut self) {
         for _ in 0..self.rng.generate_range(0..6_u8) {
             self.now += Duration::from_millis(self.rng.generate_range(0..300_u64));
             let class = pick(&mut self.rng, &CLASSES);
             let admitted = self.state.admit(class, f64::from(self.rng.generate_range(0..1000_u16)) / 1000.0);
             let excluded = self.in_flight.last().map(|chosen| chosen.endpoint.clone());
             let choice = self.state.choose(self.now, class, excluded.as_deref());
-            let found = match &choice {
+            let target = match &choice {
                 Choice::Endpoint(chosen) => {
                     format!("{}/{} {}", chosen.backend, chosen.endpoint, chosen.address)
                 }
                 _ => "none".to_string(),
             };
-            self.transcript += &format!("{class} {admitted} {found}\n");
+            self.transcript += &format!("{class} {admitted} {target}\n");
             if let Choice::Endpoint(chosen) = choice {
                 self.in_flight.push(chosen);
             }
@@ -178,31 +180,32 @@
         }
     }
 
-    /// Carries out a line of commands, with requests between its steps.
-    fn commands(&mut self, queue: &mut ControlSession) {
+    /// Executes a random line of commands, with requests between its steps.
+    fn execute_commands(&mut self, session: &mut ControlSession) {
         let count = self.rng.generate_range(1..8_u8);
-        let line: Vec<String> = (0..count).map(|_| command(&mut self.rng)).collect();
+        let line: Vec<String> = (0..count).map(|_| random_commands(&mut self.rng)).collect();
         let line = line.join("; ");
         let mut out = String::new();
-        let mut transaction = queue.begin(split(&line), &self.state);
-        while !queue.step(&mut transaction) {
-            self.requests();
+        let mut transaction = session.begin(split(&line), &self.state);
+        while !session.step(&mut transaction) {
+            self.send_requests();
         }
-        self.requests();
-        let after = queue.finish(transaction, &mut self.state, &mut out);
-        self.transcript += &format!("{line}\n{out}{after:?}\n");
+        self.send_requests();
+        let session_state = session.finish(transaction, &mut self.state, &mut out);
+        self.transcript += &format!("{line}\n{out}{session_state:?}\n");
     }
 
-    fn snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
+    /// Applies a random snapshot.
+    fn apply_snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
         let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
         let assignment =
             |table: u32| ProxyAssignment { table, admission_per_mille: 900 + table, retries: table == 0 };
         let all =
             BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
-        let bound = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
-        let withdrawn = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
-        let tables = if bound.is_empty() { BTreeMap::new() } else { tables };
-        let snapshot = AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+        let assignments = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
+        let ejected = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
+        let tables = if assignments.is_empty() { BTreeMap::new() } else { tables };
+        let snapshot = AppliedSnapshot { epoch: 1, version, assignments, tables, ejected };
         for command in commands.commands(&self.state, &snapshot) {
             let answer = self.state.execute(&command).map_err(|error| error.to_string());
             self.transcript += &format!("{}: {answer:?}\n", command.joined_words());
@@ -218,25 +221,25 @@
         in_flight: Vec::new(),
         transcript: String::new(),
     };
-    let mut queues = [
+    let mut sessions = [
         ControlSession::new(AccessLevel::Admin),
         ControlSession::new(AccessLevel::Admin),
         ControlSession::new(AccessLevel::User),
     ];
     let mut snapshots = SnapshotCommands::default();
     for step in 0..400 {
-        let queue = run.rng.generate_range(0..queues.len());
-        run.commands(&mut queues[queue]);
-        run.requests();
+        let index = run.rng.generate_range(0..sessions.len());
+        run.execute_commands(&mut sessions[index]);
+        run.send_requests();
         if step % 20 == 19 {
-            run.snapshot(&mut snapshots, step);
+            run.apply_snapshot(&mut snapshots, step);
         }
         run.transcript += &format!("version {} digest {}\n", run.state.version, run.state.digest());
     }
     run
 }
 
-fn check(policy: LoadBalancingPolicy, expected: &Expect) {
+fn check_transcripts(policy: LoadBalancingPolicy, expected: &Expect) {
     let mut summary = String::new();
     for seed in 0..20 {
         let run = run(policy, seed);
@@ -251,8 +254,8 @@
 }
 
 #[test]
-fn round_robin_transcripts_stay_as_recorded() {
-    check(
+fn round_robin_transcripts_match_the_recording() {
+    check_transcripts(
         LoadBalancingPolicy::SmoothWeightedRoundRobin,
         &expect![[r#"
             0: 8085 lines, hash b6b3722c5aafdf0a, digest 1897481244127450682
@@ -280,8 +283,8 @@
 }
 
 #[test]
-fn weighted_random_transcripts_stay_as_recorded() {
-    check(
+fn weighted_random_transcripts_match_the_recording() {
+    check_transcripts(
         LoadBalancingPolicy::WeightedRandom,
         &expect![[r#"
             0: 8073 lines, hash 2f76ef06414ca9d3, digest 5033844077978641667
@@ -309,8 +312,8 @@
 }
 
 #[test]
-fn two_choices_transcripts_stay_as_recorded() {
-    check(
+fn two_choices_transcripts_match_the_recording() {
+    check_transcripts(
         "pair".parse().expect("a policy"),
         &expect![[r#"
             0: 8119 lines, hash b4936d30eeace12f, digest 809866563347169335
