--- a/crates/proxy/benches/choose.rs
+++ b/crates/proxy/benches/choose.rs
@@ -1,5 +1,6 @@
-//! Choosing an endpoint, against a plain scan and an alias table, at 10, 600 and 10,000 entries, with the change
-//! of one weight after every hundred choices. Run: cargo bench -p lockcroft-proxy --bench choose
+//! Compares the load balancing policies with linear scans and an alias table, for 10, 600 and 10,000 entries, with
+//! one weight change per hundred choices. Also prints the memory used by tables.
+//! Run: cargo bench -p lockcroft-proxy --bench choose
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -7,7 +8,7 @@
 use lockcroft_proxy::{Backend, Chooser, LoadBalancingPolicy, TableEntry};
 use nanorand::{Rng, WyRand};
 
-/// Smooth weighted round robin as a scan over all entries.
+/// Smooth weighted round robin by a scan over all entries.
 struct ScanRoundRobin {
     weights: Vec<i64>,
     credit: Vec<i64>,
@@ -28,47 +29,51 @@
     }
 }
 
+/// Draws an entry at random by weight, with a scan over all entries.
 fn scan_draw(weights: &[u32], rng: &mut WyRand) -> usize {
     let total: u64 = weights.iter().map(|weight| u64::from(*weight)).sum();
-    let mut left = rng.generate_range(0..total);
+    let mut remaining = rng.generate_range(0..total);
     for (index, weight) in weights.iter().enumerate() {
-        if left < u64::from(*weight) {
+        if remaining < u64::from(*weight) {
             return index;
         }
-        left -= u64::from(*weight);
+        remaining -= u64::from(*weight);
     }
     0
 }
 
-/// Vose's alias table: a draw in one step, rebuilt at each change.
+/// An alias table (Vose 1991), which draws in constant time and is rebuilt after each weight change.
 struct AliasTable {
+    /// The probability of each index to be returned once it was drawn.
     keep: Vec<f64>,
-    other: Vec<usize>,
+    /// The index returned otherwise.
+    alias: Vec<usize>,
 }
 
 impl AliasTable {
     fn new(weights: &[u32]) -> Self {
         let (count, total) = (weights.len(), weights.iter().map(|w| f64::from(*w)).sum::<f64>());
-        let mut part: Vec<f64> = weights.iter().map(|w| f64::from(*w) * count as f64 / total).collect();
-        let (mut less, mut more): (Vec<usize>, Vec<usize>) = (0..count).partition(|index| part[*index] < 1.0);
-        let mut alias = AliasTable { keep: vec![1.0; count], other: (0..count).collect() };
-        while let (Some(low), Some(high)) = (less.pop(), more.pop()) {
-            (alias.keep[low], alias.other[low]) = (part[low], high);
-            part[high] -= 1.0 - part[low];
-            if part[high] < 1.0 { less.push(high) } else { more.push(high) }
+        let mut scaled: Vec<f64> = weights.iter().map(|w| f64::from(*w) * count as f64 / total).collect();
+        let (mut small, mut large): (Vec<usize>, Vec<usize>) =
+            (0..count).partition(|index| scaled[*index] < 1.0);
+        let mut table = AliasTable { keep: vec![1.0; count], alias: (0..count).collect() };
+        while let (Some(low), Some(high)) = (small.pop(), large.pop()) {
+            (table.keep[low], table.alias[low]) = (scaled[low], high);
+            scaled[high] -= 1.0 - scaled[low];
+            if scaled[high] < 1.0 { small.push(high) } else { large.push(high) }
         }
-        alias
+        table
     }
 
     fn draw(&self, rng: &mut WyRand) -> usize {
         let index = rng.generate_range(0..self.keep.len());
         let point = f64::from(rng.generate::<u32>()) / f64::from(u32::MAX);
-        if point < self.keep[index] { index } else { self.other[index] }
+        if point < self.keep[index] { index } else { self.alias[index] }
     }
 }
 
-/// Resident memory that 40 tables take.
-fn memory(name: &str, entries: usize) {
+/// Prints the resident memory used by 40 tables.
+fn report_memory(name: &str, entries: usize) {
     let resident = || {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
         let line =
@@ -87,52 +92,52 @@
     drop(black_box(tables));
 }
 
-/// Nanoseconds a choice, and a change, medians of five.
-fn time(name: &str, entries: usize, mut choose: impl FnMut(), mut change: impl FnMut(usize)) {
+/// Prints the time per choice and per weight change in nanoseconds, the medians of five runs.
+fn report_times(name: &str, entries: usize, mut choose: impl FnMut(), mut change: impl FnMut(usize)) {
     const CHOICES: usize = 100;
     let rounds = (2_000_000 / (entries * 5 + 500)).max(20);
-    let mut times: Vec<(f64, f64)> = (0..5)
+    let mut runs: Vec<(f64, f64)> = (0..5)
         .map(|_| {
-            let (mut chosen, mut changed) = (0.0, 0.0);
+            let (mut choose_ns, mut change_ns) = (0.0, 0.0);
             for round in 0..rounds {
                 let started_at = Instant::now();
                 (0..CHOICES).for_each(|_| choose());
-                chosen += started_at.elapsed().as_nanos() as f64;
+                choose_ns += started_at.elapsed().as_nanos() as f64;
                 let started_at = Instant::now();
                 change(round);
-                changed += started_at.elapsed().as_nanos() as f64;
+                change_ns += started_at.elapsed().as_nanos() as f64;
             }
-            (chosen / (rounds * CHOICES) as f64, changed / rounds as f64)
+            (choose_ns / (rounds * CHOICES) as f64, change_ns / rounds as f64)
         })
         .collect();
-    times.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (chosen, changed) = times[2];
-    let all = chosen + changed / CHOICES as f64;
+    runs.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let (choose_ns, change_ns) = runs[2];
+    let combined_ns = choose_ns + change_ns / CHOICES as f64;
     println!(
-        "{entries:6} entries  {name:24} {chosen:9.0} ns a choice {changed:9.0} ns a change {all:9.0} ns together"
+        "{entries:6} entries  {name:24} {choose_ns:9.0} ns per choice {change_ns:9.0} ns per change {combined_ns:9.0} ns combined"
     );
 }
 
 fn main() {
-    memory("10,000 entries over 40 tables", 250);
-    memory("40 tables of 10,000 entries", 10_000);
+    report_memory("10,000 entries over 40 tables", 250);
+    report_memory("40 tables of 10,000 entries", 10_000);
     for entries in [10, 600, 10_000] {
         let weights: Vec<u32> = (0..entries).map(|index| 1 + (index * 37 % 256) as u32).collect();
-        let other = |round: usize| (round * 7919 % entries, 1 + (round * 31 % 256) as u32);
+        let weight_change = |round: usize| (round * 7919 % entries, 1 + (round * 31 % 256) as u32);
         let mut scan = ScanRoundRobin {
             weights: weights.iter().map(|w| i64::from(*w)).collect(),
             credit: vec![0; entries],
         };
-        let cell = std::cell::RefCell::new(&mut scan);
-        time(
-            "round robin, plain scan",
+        let scan = std::cell::RefCell::new(&mut scan);
+        report_times(
+            "round robin, scan",
             entries,
             || {
-                black_box(cell.borrow_mut().next());
+                black_box(scan.borrow_mut().next());
             },
             |round| {
-                let (index, weight) = other(round);
-                cell.borrow_mut().weights[index] = i64::from(weight);
+                let (index, weight) = weight_change(round);
+                scan.borrow_mut().weights[index] = i64::from(weight);
             },
         );
         for (name, policy) in [
@@ -145,37 +150,37 @@
             let mut choose = || {
                 black_box(chooser.borrow_mut().next(&mut rng, |_| true, |index| index % 7));
             };
-            time(name, entries, &mut choose, |round| {
-                let (index, weight) = other(round);
+            report_times(name, entries, &mut choose, |round| {
+                let (index, weight) = weight_change(round);
                 chooser.borrow_mut().set_weight(index, weight);
             });
         }
-        let plain = std::cell::RefCell::new(weights.clone());
+        let scan_weights = std::cell::RefCell::new(weights.clone());
         let mut rng = WyRand::new_seed(1);
-        time(
-            "random, plain scan",
+        report_times(
+            "random, scan",
             entries,
             || {
-                black_box(scan_draw(&plain.borrow(), &mut rng));
+                black_box(scan_draw(&scan_weights.borrow(), &mut rng));
             },
             |round| {
-                let (index, weight) = other(round);
-                plain.borrow_mut()[index] = weight;
+                let (index, weight) = weight_change(round);
+                scan_weights.borrow_mut()[index] = weight;
             },
         );
-        let alias = std::cell::RefCell::new((AliasTable::new(&weights), weights.clone()));
+        let alias_table = std::cell::RefCell::new((AliasTable::new(&weights), weights.clone()));
         let mut rng = WyRand::new_seed(1);
-        time(
-            "random, alias",
+        report_times(
+            "random, alias table",
             entries,
             || {
-                black_box(alias.borrow().0.draw(&mut rng));
+                black_box(alias_table.borrow().0.draw(&mut rng));
             },
             |round| {
-                let (index, weight) = other(round);
-                let mut alias = alias.borrow_mut();
-                alias.1[index] = weight;
-                alias.0 = AliasTable::new(&alias.1);
+                let (index, weight) = weight_change(round);
+                let mut alias_table = alias_table.borrow_mut();
+                alias_table.1[index] = weight;
+                alias_table.0 = AliasTable::new(&alias_table.1);
             },
         );
     }
--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -1,5 +1,5 @@
-//! Requests a second through one proxy on one core, and the latency that it adds, against the same load
-//! sent to the endpoint directly. Load, endpoint and proxy each have a thread of their own.
+//! Measures the throughput of one proxy on one core and the latency that it adds, compared with the same load sent
+//! directly to the endpoint. Load generator, endpoint and proxy each run on a thread of their own.
 //! Run: cargo bench -p lockcroft-proxy --bench forward
 
 use std::net::SocketAddr;
@@ -14,43 +14,44 @@
 use tokio::task::{LocalSet, spawn_local};
 
 const CLIENTS: usize = 64;
-const SPAN: Duration = Duration::from_secs(5);
-/// Latencies are reported as the median of this many windows, and the worst, as other load may disturb some.
+const LOAD_DURATION: Duration = Duration::from_secs(5);
+/// The number of time windows over which the median and the worst latency are reported, as other load on the
+/// machine may disturb some of them.
 const WINDOWS: usize = 20;
 
-/// Runs on a thread of its own, and gives one value back.
+/// Runs a task on a thread of its own and waits for the value that it sends.
 fn on_own_thread<T: Send + 'static, F: Future<Output = ()>>(
     name: &str,
     work: impl FnOnce(mpsc::Sender<T>) -> F + Send + 'static,
 ) -> T {
-    let (sender, got) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, work(sender));
     };
     std::thread::Builder::new().name(name.into()).spawn(run).expect("a thread");
-    got.recv().expect("it starts")
+    receiver.recv().expect("a value from the thread")
 }
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Answers each head at once; as little work as an endpoint can do.
-async fn endpoint(started: mpsc::Sender<SocketAddr>) {
+/// Runs an endpoint that answers each request head immediately, with as little work as possible.
+async fn run_endpoint(started: mpsc::Sender<SocketAddr>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     started.send(listener.local_addr().expect("bound")).expect("awaited");
     while let Ok((mut stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         spawn_local(async move {
             let mut bytes = vec![0; 4096];
-            let mut seen = 0;
-            while let Ok(read) = stream.read(&mut bytes[seen..]).await {
-                seen += read;
+            let mut length = 0;
+            while let Ok(read) = stream.read(&mut bytes[length..]).await {
+                length += read;
                 if read == 0 {
                     return;
                 }
-                if bytes[..seen].ends_with(b"\r\n\r\n") {
-                    seen = 0;
-                    if stream.write_all(ANSWER).await.is_err() {
+                if bytes[..length].ends_with(b"\r\n\r\n") {
+                    length = 0;
+                    if stream.write_all(RESPONSE).await.is_err() {
                         return;
                     }
                 }
@@ -59,87 +60,99 @@
     }
 }
 
+/// Sends a request and returns true if it was answered with status 200.
 async fn send_request(stream: &mut TcpStream, bytes: &mut [u8]) -> bool {
     let request = b"GET /look HTTP/1.1\r\nhost: x\r\nx-patience-ms: 2000\r\n\r\n";
     if stream.write_all(request).await.is_err() {
         return false;
     }
-    let mut seen = 0;
+    let mut length = 0;
     loop {
-        match stream.read(&mut bytes[seen..]).await {
-            Ok(read) if read > 0 => seen += read,
+        match stream.read(&mut bytes[length..]).await {
+            Ok(read) if read > 0 => length += read,
             _ => return false,
         }
-        // The body is two letters behind the head.
-        if bytes[..seen].windows(4).position(|four| four == b"\r\n\r\n").is_some_and(|end| seen >= end + 6) {
+        // The head ends with an empty line (4 bytes), and the body has 2 bytes.
+        if bytes[..length]
+            .windows(4)
+            .position(|four| four == b"\r\n\r\n")
+            .is_some_and(|end| length >= end + 6)
+        {
             return bytes.starts_with(b"HTTP/1.1 200");
         }
     }
 }
 
-/// Requests answered per second, and their latencies in microseconds from when they were due. Without a rate
-/// each client sends the next request once the last is answered.
-async fn load(to: SocketAddr, rate: Option<f64>) -> (f64, Vec<Histogram<u64>>) {
+/// Returns the number of requests answered per second, and for each window a histogram of their latencies in
+/// microseconds. With a rate, requests are sent at scheduled times, from which latencies are measured; without one,
+/// each client sends its next request once the last is answered.
+async fn generate_load(to: SocketAddr, rate: Option<f64>) -> (f64, Vec<Histogram<u64>>) {
     let empty = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds");
-    let times = std::rc::Rc::new(std::cell::RefCell::new(vec![empty; WINDOWS]));
-    // All connect and call once before it counts.
+    let histograms = std::rc::Rc::new(std::cell::RefCell::new(vec![empty; WINDOWS]));
+    // All clients connect and send one request before the measurement starts.
     let started_at = Instant::now() + Duration::from_millis(300);
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
-            let times = times.clone();
+            let histograms = histograms.clone();
             spawn_local(async move {
                 let (mut stream, mut bytes) = (TcpStream::connect(to).await.expect("connected"), [0; 1024]);
                 let _ = stream.set_nodelay(true);
                 send_request(&mut stream, &mut bytes).await;
                 tokio::time::sleep_until(started_at.into()).await;
-                let gap = rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(CLIENTS as f64 / rate));
-                let mut due = started_at + gap.mul_f64(client as f64 / CLIENTS as f64);
-                while started_at.elapsed() < SPAN {
+                let interval =
+                    rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(CLIENTS as f64 / rate));
+                let mut scheduled_at = started_at + interval.mul_f64(client as f64 / CLIENTS as f64);
+                while started_at.elapsed() < LOAD_DURATION {
                     if rate.is_some() {
-                        // Timers are a millisecond coarse and would send in bursts: this thread spins.
-                        while Instant::now() < due {
+                        // Timers have a resolution of a millisecond and would cause bursts, so this thread spins.
+                        while Instant::now() < scheduled_at {
                             tokio::task::yield_now().await;
                         }
                     }
-                    let sent = if rate.is_some() { due } else { Instant::now() };
+                    let sent_at = if rate.is_some() { scheduled_at } else { Instant::now() };
                     if send_request(&mut stream, &mut bytes).await {
-                        let window = sent.saturating_duration_since(started_at).as_nanos() * WINDOWS as u128
-                            / SPAN.as_nanos();
+                        let window = sent_at.saturating_duration_since(started_at).as_nanos()
+                            * WINDOWS as u128
+                            / LOAD_DURATION.as_nanos();
                         let window = (window as usize).min(WINDOWS - 1);
-                        times.borrow_mut()[window].saturating_record(sent.elapsed().as_micros() as u64);
+                        histograms.borrow_mut()[window]
+                            .saturating_record(sent_at.elapsed().as_micros() as u64);
                     }
-                    due += gap;
+                    scheduled_at += interval;
                 }
             })
         })
         .collect();
     for client in clients {
-        client.await.expect("ended");
+        client.await.expect("finished");
     }
-    let all = times.borrow().clone();
+    let all = histograms.borrow().clone();
     let count: u64 = all.iter().map(Histogram::len).sum();
     (count as f64 / started_at.elapsed().as_secs_f64(), all)
 }
 
+/// Generates load and prints throughput and latencies. Returns the number of requests per second.
 fn report(name: &str, to: SocketAddr, rate: Option<f64>) -> f64 {
     let name = name.to_string();
-    on_own_thread("load", move |done| async move {
-        let (got, times) = load(to, rate).await;
-        let at = |quantile: f64| {
-            let mut all: Vec<u64> = times.iter().map(|window| window.value_at_quantile(quantile)).collect();
-            all.sort_unstable();
-            all[WINDOWS / 2]
+    on_own_thread("load", move |sender| async move {
+        let (requests_per_s, histograms) = generate_load(to, rate).await;
+        let median_at = |quantile: f64| {
+            let mut values: Vec<u64> =
+                histograms.iter().map(|window| window.value_at_quantile(quantile)).collect();
+            values.sort_unstable();
+            values[WINDOWS / 2]
         };
-        let worst = times.iter().map(|window| window.value_at_quantile(0.99)).max().unwrap_or(0);
-        let (p50, p99, p999) = (at(0.5), at(0.99), at(0.999));
+        let worst = histograms.iter().map(|window| window.value_at_quantile(0.99)).max().unwrap_or(0);
+        let (p50, p99, p999) = (median_at(0.5), median_at(0.99), median_at(0.999));
         println!(
-            "{name:44} {got:7.0} requests/s  p50 {p50:5} p99 {p99:5} p99.9 {p999:6} us, p99 of the worst window {worst:6}"
+            "{name:44} {requests_per_s:7.0} requests/s  p50 {p50:5} p99 {p99:5} p99.9 {p999:6} us, p99 of the worst window {worst:6}"
         );
-        let _ = done.send(got);
+        let _ = sender.send(requests_per_s);
     })
 }
 
-fn proxy(endpoint: SocketAddr, socket: std::path::PathBuf) -> SocketAddr {
+/// Starts a proxy with this endpoint and returns its address for requests.
+fn start_proxy(endpoint: SocketAddr, socket: std::path::PathBuf) -> SocketAddr {
     on_own_thread("proxy", move |started| async move {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let classes = vec![("look".to_string(), Duration::from_secs(2))];
@@ -151,51 +164,52 @@
     })
 }
 
-fn commands(socket: &std::path::Path, command: impl Fn(usize) -> String, at_once: usize) {
+/// Sends a command for each of 600 entries, in lines of `batch_size` commands.
+fn send_commands(socket: &std::path::Path, command: impl Fn(usize) -> String, batch_size: usize) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let address = Address::Unix(socket.to_path_buf());
-    for some in (0..600).collect::<Vec<_>>().chunks(at_once) {
-        let lines: Vec<String> = some.iter().map(|i| command(*i)).collect();
+    for batch in (0..600).collect::<Vec<_>>().chunks(batch_size) {
+        let lines: Vec<String> = batch.iter().map(|i| command(*i)).collect();
         let _ = runtime.block_on(request(&address, &lines.join("; "), Duration::from_secs(5)));
     }
 }
 
-/// Changes 600 entries, in batches of 300, again and again.
+/// Changes the weights of 600 entries repeatedly, in batches of 300, until the measurement ends.
 fn change_weights(socket: &std::path::Path) {
     let started_at = Instant::now();
     let mut weight = 1;
-    while started_at.elapsed() < SPAN {
+    while started_at.elapsed() < LOAD_DURATION {
         weight = 3 - weight;
-        commands(socket, |i| format!("set weight standing/x{i} {weight}"), 300);
+        send_commands(socket, |i| format!("set weight standing/x{i} {weight}"), 300);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn main() {
-    let endpoint = on_own_thread("endpoint", endpoint);
+    let endpoint = on_own_thread("endpoint", run_endpoint);
     let folder = std::env::temp_dir().join(format!("forward-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let socket = folder.join("p.sock");
-    let through = proxy(endpoint, socket.clone());
-    report("warm-up, discarded", through, None);
-    report("direct to the endpoint, as many as go", endpoint, None);
-    let most = report("through the proxy, as many as go", through, None);
-    let half = Some(most / 2.0);
-    report("direct, at half of that", endpoint, half);
-    report("through the proxy, at half of that", through, half);
+    let through_proxy = start_proxy(endpoint, socket.clone());
+    report("warm-up, discarded", through_proxy, None);
+    report("direct to the endpoint, at maximum rate", endpoint, None);
+    let maximum = report("through the proxy, at maximum rate", through_proxy, None);
+    let half = Some(maximum / 2.0);
+    report("direct, at half of that rate", endpoint, half);
+    report("through the proxy, at half of that rate", through_proxy, half);
     let add = |i| format!("add server standing/x{i} {endpoint} weight 1; enable server standing/x{i}");
-    commands(&socket, add, 100);
-    report("warm-up with 600 entries, discarded", through, half);
-    report("the same, with 600 entries", through, half);
+    send_commands(&socket, add, 100);
+    report("warm-up with 600 entries, discarded", through_proxy, half);
+    report("the same, with 600 entries", through_proxy, half);
     let changing = {
         let socket = socket.clone();
         std::thread::spawn(move || change_weights(&socket))
     };
-    report("the same, the 600 changed every 20 ms", through, half);
+    report("the same, all 600 changed every 20 ms", through_proxy, half);
     let _ = changing.join();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let enable = "set var proc.level_look int(1000); set var proc.again_look int(1)";
     let _ = runtime.block_on(request(&Address::Unix(socket), enable, Duration::from_secs(5)));
-    report("admission and retries on, as many as go", through, None);
+    report("admission and retries on, at maximum rate", through_proxy, None);
     let _ = std::fs::remove_dir_all(folder);
 }
