--- a/crates/proxy/src/routing/backend.rs
+++ b/crates/proxy/src/routing/backend.rs
@@ -23,7 +23,7 @@
     /// once for a whole batch of commands.
     chooser_outdated: bool,
     policy: LoadBalancingPolicy,
-    /// The version of the batch of commands that changed the table last; 0 if none did.
+    /// The version of the last batch of commands that changed how the table distributes requests; 0 if none did.
     pub version: u64,
 }
 
