--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockcroft_signals::{Received, Signals};
+use lockcroft_signals::{ReceivedSignal, Signals};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -27,7 +27,7 @@
 /// Serves on the listener until SIGTERM.
 pub async fn run(path: &Path, config: Config, listener: TcpListener, mut signals: Signals) {
     let shared = Shared::new(&config);
-    apply_last_known_list(&shared, &config);
+    apply_last_known_endpoint_list(&shared, &config);
     let accepting = spawn_local(listener::accept(listener, shared.clone()));
     let (discovery_address, discovery_changes) = watch::channel(config.discovery);
     spawn_local(discovery::follow(discovery_changes, shared.clone()));
@@ -37,9 +37,9 @@
     loop {
         let next_due = shared.control_plane.borrow().next_due();
         tokio::select! {
-            received = signals.next() => match received {
-                Received::Terminate => break,
-                Received::Hangup => {
+            received = signals.recv() => match received {
+                ReceivedSignal::Terminate => break,
+                ReceivedSignal::Hangup => {
                     spawn_local(reload::reload(path.to_path_buf(), discovery_address.clone()));
                 }
             },
@@ -54,13 +54,13 @@
     tokio::select! {
         () = all_written(&shared) => {}
         () = sleep(FINAL_WRITE_TIMEOUT) => {}
-        () = signals.terminated() => {}
+        () = signals.recv_termination() => {}
     }
 }
 
 /// Starts from the list that the platform kept of this controller's last run.
-fn apply_last_known_list(shared: &Shared, config: &Config) {
-    let Some(list) = &config.last_known_list else { return };
+fn apply_last_known_endpoint_list(shared: &Shared, config: &Config) {
+    let Some(list) = &config.last_known_endpoint_list else { return };
     let applied = shared.control_plane.borrow_mut().update_endpoints(shared.now(), unix_ms(), list);
     if let Err(error) = applied {
         warn!(target: "lockcroft::endpoints", %error, "the list of before can't be used");
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -12,7 +12,7 @@
 };
 use lockcroft_runtime_api::{AccessLevel, split};
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry};
-use lockcroft_table_store::AppliedSnapshot;
+use lockcroft_table_store::ProxySnapshot;
 use nanorand::{Rng, WyRand};
 
 const CLASSES: [&str; 2] = ["look-up", "search"];
@@ -198,14 +198,17 @@
     /// Applies a random snapshot.
     fn apply_snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
         let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
-        let assignment =
-            |table: u32| ProxyAssignment { table, admission_per_mille: 900 + table, retries: table == 0 };
+        let assignment = |table: u32| ProxyAssignment {
+            table,
+            admission_per_mille: 900 + table,
+            allows_retries: table == 0,
+        };
         let all =
             BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
         let assignments = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
         let ejected = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
         let tables = if assignments.is_empty() { BTreeMap::new() } else { tables };
-        let snapshot = AppliedSnapshot { epoch: 1, version, assignments, tables, ejected };
+        let snapshot = ProxySnapshot { epoch: 1, version, assignments, tables, ejected };
         for command in commands.commands(&self.state, &snapshot) {
             let answer = self.state.execute(&command).map_err(|error| error.to_string());
             self.transcript += &format!("{}: {answer:?}\n", command.joined_words());
