--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every host of a [`lockcroft::Controller`] shares (the simulator's adapter, the daemon and the platform):
-//! names and the indices that decisions use for them, the names of settings, and the published tables.
+//! Code shared by the processes that embed a [`lockcroft::Controller`] (the simulator's adapter, the daemon and the
+//! platform process): the indices that the controller uses for names, the reading of settings, and the published
+//! tables.
 
 #![warn(missing_docs)]
 
--- a/crates/host/src/names.rs
+++ b/crates/host/src/names.rs
@@ -1,11 +1,12 @@
-//! Names of endpoints, zones, machine types and classes, and the small indices that decisions use for them.
+//! Maps names of endpoints, zones, machine types and classes to the indices that the controller uses for them.
 
 use std::collections::BTreeMap;
 
 use lockcroft::{ClassId, EndpointId, MachineTypeId, Settings, ZoneId};
 use thiserror::Error;
 
-/// Gives each name an index in the order in which the names are first seen; an index, once given, stays valid.
+/// Assigns consecutive indices from 0 to names, in the order in which they are first seen. An index stays valid for
+/// the lifetime of the interner.
 #[derive(Clone, Debug, Default)]
 pub struct NameInterner {
     names: Vec<String>,
@@ -13,7 +14,7 @@
 }
 
 impl NameInterner {
-    /// The index of a name; a new one if the name was not seen before.
+    /// Returns the index of a name, assigning the next free one if the name is new.
     pub fn intern(&mut self, name: &str) -> EndpointId {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -24,35 +25,35 @@
         index
     }
 
-    /// The index of a name that was seen before.
+    /// Returns the index of a name, or `None` if it was never interned.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.indices.get(name).copied()
     }
 
-    /// The name behind an index that was given out here.
+    /// Returns the name with this index.
     ///
     /// # Panics
-    /// The index was never given out.
+    /// Panics if this interner never assigned the index.
     #[must_use]
     pub fn name(&self, index: EndpointId) -> &str {
         &self.names[index]
     }
 
-    /// How many names were seen.
+    /// Returns the number of interned names.
     #[must_use]
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name was seen yet.
+    /// Returns true if no name was interned yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// A name that the settings do not state.
+/// A name that the settings do not define.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum UnknownName {
     /// No zone has this name.
@@ -66,45 +67,46 @@
     Class(String),
 }
 
-/// The zones, machine types and classes that the settings state; the index of each is its position there.
+/// The zones, machine types and classes that the settings define. The index of each name is its position in the
+/// settings.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// Names of the zones, by [`ZoneId`].
+    /// The zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Names of the machine types, by [`MachineTypeId`].
+    /// The machine type names, indexed by [`MachineTypeId`].
     pub machine_types: Vec<String>,
-    /// Names of the classes, by [`ClassId`].
+    /// The class names, indexed by [`ClassId`]. They end before the first class without a name.
     pub classes: Vec<String>,
 }
 
 impl NameIndex {
-    /// The names that the settings state.
+    /// Returns the names that the settings define.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map_while(|class| class.name.clone()).collect();
         NameIndex { zones: settings.zones.clone(), machine_types: settings.machine_types.clone(), classes }
     }
 
-    /// The zone of this name.
+    /// Returns the zone with this name.
     ///
     /// # Errors
-    /// The settings state no such zone.
+    /// Returns [`UnknownName::Zone`] if the settings define no such zone.
     pub fn zone(&self, name: &str) -> Result<ZoneId, UnknownName> {
         position(&self.zones, name).ok_or_else(|| UnknownName::Zone(name.into()))
     }
 
-    /// The machine type of this name.
+    /// Returns the machine type with this name.
     ///
     /// # Errors
-    /// The settings state no such machine type.
+    /// Returns [`UnknownName::MachineType`] if the settings define no such machine type.
     pub fn machine_type(&self, name: &str) -> Result<MachineTypeId, UnknownName> {
         position(&self.machine_types, name).ok_or_else(|| UnknownName::MachineType(name.into()))
     }
 
-    /// The class of this name.
+    /// Returns the class with this name.
     ///
     /// # Errors
-    /// The settings state no such class.
+    /// Returns [`UnknownName::Class`] if the settings define no such class.
     pub fn class(&self, name: &str) -> Result<ClassId, UnknownName> {
         position(&self.classes, name).ok_or_else(|| UnknownName::Class(name.into()))
     }
--- a/crates/host/src/published.rs
+++ b/crates/host/src/published.rs
@@ -1,38 +1,38 @@
-//! What the decisions have published, independent of which proxy has applied it.
+//! The tables as the controller last published them, independent of which proxies have applied them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lockcroft::{ClassId, EndpointId, TableId};
 
-/// How many of a class's requests a table admits, and whether proxies may retry them.
+/// The admission rate and retry policy of a class in a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// The fraction of the requests that is admitted, from 0 to 1.
+    /// The fraction of requests that is admitted, from 0 to 1.
     pub fraction: f64,
-    /// Whether proxies may retry once after proof that an attempt was not executed.
+    /// True if proxies may retry a request once after proof that the attempt was not executed.
     pub retry: bool,
 }
 
-/// One shared table, as last decided.
+/// The published state of one table, which several proxies may share.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedTable {
-    /// Weights above 0.
+    /// The weight of each endpoint in the table; all weights are above 0.
     pub entries: BTreeMap<EndpointId, f64>,
-    /// What is admitted, by class.
+    /// The admission of each class that uses the table.
     pub admissions: BTreeMap<ClassId, Admission>,
 }
 
-/// All tables, and the endpoints that no proxy may use whatever its tables say.
+/// All published tables, and the endpoints that no proxy may use even if its tables contain them.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedTables {
-    /// The tables, by number.
+    /// The tables by id.
     pub tables: BTreeMap<TableId, PublishedTable>,
-    /// Endpoints that are ejected at every proxy.
+    /// The endpoints that are ejected at every proxy.
     pub ejected: BTreeSet<EndpointId>,
 }
 
 impl PublishedTables {
-    /// The weight of an endpoint in a table; 0 where it has no entry.
+    /// Returns the weight of an endpoint in a table, or 0 if it has no entry.
     #[must_use]
     pub fn weight(&self, table: TableId, endpoint: EndpointId) -> f64 {
         self.tables.get(&table).and_then(|table| table.entries.get(&endpoint)).copied().unwrap_or(0.0)
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Sets what a table admits of a class.
+    /// Sets the admission of a class in a table.
     pub fn set_admission(&mut self, table: TableId, class: ClassId, admission: Admission) {
         self.tables.entry(table).or_default().admissions.insert(class, admission);
     }
 
-    /// Ejects an endpoint at every proxy, or restores it.
+    /// Ejects an endpoint at every proxy if `ejected` is true, else restores it.
     pub fn set_ejected(&mut self, endpoint: EndpointId, ejected: bool) {
         if ejected {
             self.ejected.insert(endpoint);
--- a/crates/host/src/setting_values.rs
+++ b/crates/host/src/setting_values.rs
@@ -1,29 +1,30 @@
-//! Settings as a flat map of dotted names to values, as the forms that operators write are read. This is the one
-//! place where those names become the typed [`Settings`].
+//! Settings as a flat map from dotted names to values, the common form of all settings formats. Only this module
+//! maps those names to the typed [`Settings`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use lockcroft::{ClassSettings, FleetSettings, RuleSettings, Settings, SolverSettings};
 
-/// One stated value.
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingValue {
-    /// A number; not a number where the stated one can't be held.
+    /// A number; NaN if the number in the source can't be represented.
     Number(f64),
-    /// True or false.
+    /// A boolean.
     Flag(bool),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
-/// All stated values by name. Names are those of the XML form with `_` for `-`. Names of nested values are joined by dots, and the members
-/// of lists are numbered from 0: `classes.0.patience_us`. What was not stated is not there.
+/// Setting values by name. Names are those of the XML form with `_` for `-`. Names of nested values are joined by
+/// dots, and members of lists are numbered from 0, as in `classes.0.patience_us`. Settings that the source does not
+/// contain are absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingValues(pub BTreeMap<String, SettingValue>);
 
 impl SettingValues {
-    /// The typed settings, with the defaults of [`Settings`] for what is not stated.
+    /// Returns the typed settings, with the defaults of [`Settings`] for absent values.
     pub fn to_settings(&self) -> Settings {
         let strings = |list: &str| self.texts(list).into_iter().map(String::from).collect();
         Settings {
@@ -41,7 +42,7 @@
     }
 
     fn class(&self, class: usize) -> ClassSettings {
-        let name = |what: &str| format!("classes.{class}.{what}");
+        let name = |field: &str| format!("classes.{class}.{field}");
         let default = ClassSettings::default();
         ClassSettings {
             name: self.text(&name("name")).map(String::from),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A finite number.
+    /// Returns the number with this name, if it is present and finite.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(SettingValue::Number(value)) if value.is_finite() => Some(*value),
@@ -115,23 +116,24 @@
         }
     }
 
-    /// A time, stated in microseconds under a name that ends in `_us`.
+    /// Returns the duration with this name, given in microseconds; `None` if it is absent or negative. Such names end
+    /// in `_us`.
     pub fn time(&self, name: &str) -> Option<Duration> {
         let micros = self.number(name).filter(|micros| *micros >= 0.0)?;
         Some(Duration::from_micros(micros as u64))
     }
 
-    /// A time; zero where none is stated.
+    /// Returns the duration with this name, or zero if it is absent or negative.
     pub fn duration(&self, name: &str) -> Duration {
         self.time(name).unwrap_or_default()
     }
 
-    /// A limit; infinite where it is not stated, or stated as 0.
+    /// Returns the limit with this name, or infinity if it is absent or not above 0.
     pub fn limit(&self, name: &str) -> f64 {
         self.number(name).filter(|limit| *limit > 0.0).unwrap_or(f64::INFINITY)
     }
 
-    /// A text.
+    /// Returns the string with this name.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
             Some(SettingValue::Text(value)) => Some(value),
@@ -139,22 +141,23 @@
         }
     }
 
-    /// Whether a flag is stated as true.
+    /// Returns true if the flag with this name is present and true.
     pub fn flag(&self, name: &str) -> bool {
         self.0.get(name) == Some(&SettingValue::Flag(true))
     }
 
-    /// How many members the list of this name has.
+    /// Returns the number of members of the list with this name.
     pub fn count(&self, name: &str) -> usize {
-        (0..).take_while(|index| self.has_below(&format!("{name}.{index}"))).count()
+        (0..).take_while(|index| self.has_nested(&format!("{name}.{index}"))).count()
     }
 
-    /// The texts of a list.
+    /// Returns the strings of the list with this name, up to the first member that is not a string.
     pub fn texts(&self, name: &str) -> Vec<&str> {
         (0..).map_while(|index| self.text(&format!("{name}.{index}"))).collect()
     }
 
-    /// The positions of the texts of one list in another; `None` if the list is not there.
+    /// Returns the positions in the list `among` of the strings of `list`, skipping strings that `among` lacks;
+    /// `None` if `list` is absent or empty.
     pub fn positions(&self, list: &str, among: &str) -> Option<Vec<usize>> {
         let texts = self.texts(list);
         let all = self.texts(among);
@@ -162,7 +165,8 @@
         (!texts.is_empty()).then_some(positions)
     }
 
-    fn has_below(&self, prefix: &str) -> bool {
+    /// Returns true if there is a value with this name, or with a name nested below it.
+    fn has_nested(&self, prefix: &str) -> bool {
         let next = self.0.range(prefix.to_string()..).next();
         next.is_some_and(|(name, _)| {
             name.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
--- a/crates/host/src/settings.rs
+++ b/crates/host/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings as the users' platform states them, flattened and renamed to the names of the XML form. They reach an
-//! instance in the simulator in its first message and one on the platform in its configuration.
+//! Reads settings in the platform's JSON form and renames them to the names of the XML form. A controller in the
+//! simulator gets them in its first message, one on the platform in its configuration file.
 
 use lockcroft::Settings;
 use serde_json::Value;
@@ -7,7 +7,7 @@
 
 use crate::{SettingValue, SettingValues};
 
-/// One name of the settings on the wire, and the name of the XML form for the same setting.
+/// The name of a setting in the JSON form and in the XML form.
 struct SettingName {
     wire: &'static str,
     xml: &'static str,
@@ -17,7 +17,7 @@
     SettingName { wire, xml }
 }
 
-/// The names that differ between the two forms; all others are the same in both.
+/// The settings whose names differ between the two forms.
 const RENAMED_SETTINGS: [SettingName; 25] = [
     renamed("agents", "proxies"),
     renamed("cold_from", "cold_share"),
@@ -46,30 +46,30 @@
     renamed("worth", "earnings"),
 ];
 
-/// Why settings can't be read.
+/// An error of reading settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings are a JSON value, but not an object.
+    /// The text is valid JSON, but not an object.
     #[error("settings: not an object")]
     NotAnObject,
 }
 
-/// Reads the settings out of their JSON text.
+/// Parses settings from a JSON text. Values of an unexpected type count as absent.
 ///
 /// # Errors
-/// The text is not JSON, or not an object.
+/// Returns an error if the text is not valid JSON, or not an object.
 pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
     let value: Value = serde_json::from_str(text)?;
     Ok(setting_values(&value)?.to_settings())
 }
 
-/// Reads the settings as values by name out of a JSON object.
+/// Flattens a JSON object into setting values by dotted name.
 ///
 /// # Errors
-/// The value is not an object.
+/// Returns [`SettingsError::NotAnObject`] if the value is not an object.
 pub fn setting_values(value: &Value) -> Result<SettingValues, SettingsError> {
     if !value.is_object() {
         return Err(SettingsError::NotAnObject);
@@ -83,9 +83,9 @@
     RENAMED_SETTINGS.iter().find(|name| name.wire == wire).map_or(wire, |name| name.xml)
 }
 
-/// Adds the value at this path, or all values below it, under their dotted names.
+/// Adds the value at this path, or all values nested in it, under their dotted names.
 fn flatten(path: String, value: &Value, values: &mut SettingValues) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let nested_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     let setting = match value {
         Value::Null => return,
         Value::Bool(flag) => SettingValue::Flag(*flag),
@@ -93,13 +93,13 @@
         Value::String(text) => SettingValue::Text(text.clone()),
         Value::Array(members) => {
             for (index, member) in members.iter().enumerate() {
-                flatten(below(&index.to_string()), member, values);
+                flatten(nested_path(&index.to_string()), member, values);
             }
             return;
         }
         Value::Object(members) => {
             for (name, member) in members {
-                flatten(below(xml_name(name)), member, values);
+                flatten(nested_path(xml_name(name)), member, values);
             }
             return;
         }
--- a/crates/host/tests/settings.rs
+++ b/crates/host/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The typed settings hold what lookups by name give, key by key, for forms such as three deployments use.
+//! Typed settings have the same values as lookups by name, for settings objects of three different shapes.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use lockcroft_host::{SettingValues, parse_settings, setting_values};
 use serde_json::{Value, json};
 
-/// Every key stated.
+/// Settings with all keys.
 fn full() -> Value {
     json!({
         "zones": ["a", "b", "c"], "kinds": ["small", "large"], "fleet_size": 3, "tick_us": 4000,
@@ -28,7 +28,7 @@
     })
 }
 
-/// Few keys stated, limits as 0, no health checks.
+/// Settings with few keys, limits of 0 and no health checks.
 fn sparse() -> Value {
     json!({
         "zones": ["a"], "kinds": ["std"], "policy_limits": {"probes": false}, "report": {"how": "none"},
@@ -38,8 +38,8 @@
     })
 }
 
-/// Values that are no values of their kind.
-fn odd() -> Value {
+/// Settings with values of wrong types and out of range.
+fn invalid() -> Value {
     json!({
         "zones": ["a", "b"], "kinds": ["std"], "fleet_size": -2,
         "classes": [
@@ -91,7 +91,7 @@
     }
     assert_eq!(settings.classes.len(), values.count("classes"));
     for (class, read) in settings.classes.iter().enumerate() {
-        let name = |what: &str| format!("classes.{class}.{what}");
+        let name = |field: &str| format!("classes.{class}.{field}");
         assert_eq!(read.name.as_deref(), values.text(&name("name")));
         assert_eq!(read.latency_objective, values.duration(&name("contract_time_us")));
         assert_eq!(read.client_timeout, values.time(&name("patience_us")));
@@ -106,16 +106,16 @@
 
 #[test]
 fn typed_settings_equal_lookups_by_name() {
-    for form in [full(), sparse(), odd(), json!({})] {
-        let values = setting_values(&form).expect("an object");
-        let settings = parse_settings(&form.to_string()).expect("an object");
+    for object in [full(), sparse(), invalid(), json!({})] {
+        let values = setting_values(&object).expect("settings are an object");
+        let settings = parse_settings(&object.to_string()).expect("settings are an object");
         assert_equal_to_lookups(&values, &settings);
     }
 }
 
 #[test]
-fn every_stated_key_of_the_wire_reaches_its_field() {
-    let settings = parse_settings(&full().to_string()).expect("an object");
+fn keys_of_the_json_form_set_their_fields() {
+    let settings = parse_settings(&full().to_string()).expect("settings are an object");
     assert_eq!(settings.controllers, 3.0);
     assert_eq!(settings.decision_interval, Some(Duration::from_millis(4)));
     assert_eq!(settings.fleet.proxies, Some(128.0));
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn settings_that_are_not_stated_have_their_default() {
-    let settings = parse_settings("{}").expect("an object");
+fn absent_settings_have_their_defaults() {
+    let settings = parse_settings("{}").expect("settings are an object");
     assert_eq!(settings, Settings::default());
-    let error = parse_settings("[]").expect_err("no object");
+    let error = parse_settings("[]").expect_err("an array is not an object");
     assert_eq!(error.to_string(), "settings: not an object");
 }
