--- a/crates/http-client/src/connection.rs
+++ b/crates/http-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection and the calls on it, one after the other.
+//! An HTTP/1.1 connection that carries one request at a time.
 
 use std::error::Error as StdError;
 use std::io;
@@ -14,42 +14,42 @@
 use tokio::net::TcpStream;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Why a call got no response.
+/// An error of a call that did not yield a complete response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Nothing listens there.
-    #[error("the connection broke: {0}")]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke before the head of a response.
-    #[error("the connection broke: {0}")]
+    /// The connection failed before the head of the response was received.
+    #[error("connection failed before a response: {0}")]
     ConnectionBroken(#[source] hyper::Error),
-    /// The path can't be requested.
-    #[error("the connection broke: {0}")]
+    /// The path is not valid in a request.
+    #[error("invalid request: {0}")]
     InvalidRequest(#[source] hyper::http::Error),
-    /// The head of the response came and the rest did not, or it is longer than allowed.
-    #[error("the answer is cut off: {0}")]
+    /// The body of the response is incomplete or longer than allowed.
+    #[error("response body is truncated or too long: {0}")]
     ResponseTruncated(#[source] Box<dyn StdError + Send + Sync>),
 }
 
-/// A whole response.
+/// A complete response.
 pub struct HttpResponse {
     /// The status of the response.
     pub status: StatusCode,
     /// The headers of the response.
     pub headers: HeaderMap,
-    /// The whole body, within the limit that the caller gave.
+    /// The body, no longer than the limit of the call.
     pub body: Bytes,
 }
 
-/// A connection for one call after the other. Dropping it closes it.
+/// An HTTP/1.1 connection for sequential calls. Dropping it closes the connection.
 pub struct HttpConnection {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
-    /// Drives the connection; aborted when this value is dropped.
+    /// The task that drives the connection; aborted when this value is dropped.
     driver: JoinHandle<hyper::Result<()>>,
 }
 
-/// What the other end is asked to do with the connection after a call.
+/// The request to the server about the connection after a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterCall {
     KeepOpen,
@@ -57,13 +57,16 @@
 }
 
 impl HttpConnection {
-    /// Connects. Has to be called within a [`tokio::task::LocalSet`].
+    /// Connects to an address, without a timeout. Dropping the future cancels the attempt.
     ///
     /// # Errors
-    /// The connection can't be made.
+    /// Returns an error if the connection can't be established.
+    ///
+    /// # Panics
+    /// Panics outside of a [`tokio::task::LocalSet`].
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = TcpStream::connect(address).await.map_err(CallError::Connect)?;
-        // The call works without it, only later.
+        // A failure is ignored, as the option only reduces latency.
         let _ = stream.set_nodelay(true);
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(CallError::ConnectionBroken)?;
         Ok(HttpConnection { address, sender, driver: spawn_local(driver) })
@@ -72,15 +75,16 @@
     /// Sends `GET path` and reads a response with a body of at most `max_body_bytes`.
     ///
     /// # Errors
-    /// The connection breaks, or the response is longer.
+    /// Returns an error if the connection fails, the path is invalid or the body is longer.
     pub async fn get(&mut self, path: &str, max_body_bytes: usize) -> Result<HttpResponse, CallError> {
         self.call(path, AfterCall::KeepOpen, max_body_bytes).await
     }
 
-    /// As [`HttpConnection::get`], and asks the other end to close the connection after it.
+    /// Sends a request like [`HttpConnection::get`] with `connection: close`, and closes the connection after the
+    /// response.
     ///
     /// # Errors
-    /// The connection breaks, or the response is longer.
+    /// Returns an error if the connection fails, the path is invalid or the body is longer.
     pub async fn get_and_close(
         mut self,
         path: &str,
@@ -92,12 +96,12 @@
     async fn call(
         &mut self,
         path: &str,
-        after: AfterCall,
+        after_call: AfterCall,
         max_body_bytes: usize,
     ) -> Result<HttpResponse, CallError> {
         self.sender.ready().await.map_err(CallError::ConnectionBroken)?;
         let mut request = Request::get(path).header(HOST, self.address.to_string());
-        if after == AfterCall::Close {
+        if after_call == AfterCall::Close {
             request = request.header(CONNECTION, "close");
         }
         let request = request.body(Empty::<Bytes>::new()).map_err(CallError::InvalidRequest)?;
--- a/crates/http-client/src/health_check.rs
+++ b/crates/http-client/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one call on a connection of its own, and what its result says of the endpoint.
+//! Health checks: one HTTP call on a new connection, and the classification of its result.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,8 +10,9 @@
 
 use crate::connection::{CallError, HttpConnection, HttpResponse};
 
-/// What the status of a response says of an endpoint; `load` is the fraction of its cores in use, where it reported
-/// one. An endpoint that answers that it is overloaded says nothing of its health: it may only be asked by too many.
+/// Returns the outcome for the status of a response. `load` is the fraction of its cores in use, if the endpoint
+/// reported it. 429 and 503 don't count as failures, as a healthy endpoint may answer so when it gets too many health
+/// checks.
 #[must_use]
 pub fn outcome_of_status(status: StatusCode, load: Option<f64>) -> HealthCheckOutcome {
     match status {
@@ -21,8 +22,11 @@
     }
 }
 
-/// Checks an endpoint over a connection of its own, so that a listener that is gone shows, and returns the outcome
-/// with the time it took. `classify` says what a response with a body of at most `max_body_bytes` means.
+/// Checks an endpoint on a new connection, so that a closed listener is detected, and returns the outcome with the
+/// duration of the check. `classify` maps a response with a body of at most `max_body_bytes` to the outcome.
+///
+/// The check takes at most [`HEALTH_CHECK_TIMEOUT`]. A timeout and a truncated or too long response count as failed,
+/// any other connection error as refused. Has to be called within a [`tokio::task::LocalSet`].
 pub async fn check_health(
     address: SocketAddr,
     path: &str,
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -1,5 +1,6 @@
-//! HTTP calls over a connection that belongs to the caller: a listener that is gone shows, and no pool hides what
-//! a connection went through. Timeouts are the caller's: dropping a call or a connection ends it.
+//! An HTTP/1.1 client whose connections belong to the caller. There is no connection pool, which could hide that
+//! nothing listens at an address any more. Callers apply their own timeouts: dropping the future of a call cancels
+//! it, and dropping a connection closes it.
 
 #![warn(missing_docs)]
 
