--- a/crates/platform/src/assigned_table.rs
+++ b/crates/platform/src/assigned_table.rs
@@ -1,4 +1,4 @@
-//! A table that a proxy is assigned to, and the difference between what was sent of it and what is published.
+//! A table that is assigned to a proxy, and the changes between its last sent and its published state.
 
 use lockcroft::{ClassId, EndpointId};
 use lockcroft_host::{Admission, PublishedTable, PublishedTables};
@@ -6,16 +6,16 @@
 use crate::endpoint_list::EndpointList;
 use crate::outbound::{EntryChange, UpdatePart};
 
-/// What messages are made from, beside the state of the stream.
+/// The published state and the names that update messages are built from.
 pub struct PublishedView<'a> {
     pub published: &'a PublishedTables,
     pub endpoints: &'a EndpointList,
-    /// Names of all classes, by their ids.
+    /// The names of all classes, indexed by [`ClassId`].
     pub class_names: &'a [String],
 }
 
 impl<'a> PublishedView<'a> {
-    /// The name of an endpoint, as messages have it.
+    /// Returns the name of an endpoint in messages.
     pub fn endpoint_name(&self, endpoint: EndpointId) -> &'a str {
         self.endpoints.name(endpoint)
     }
@@ -25,47 +25,48 @@
     }
 }
 
-/// One table of a proxy, for some of its classes.
+/// A table that is assigned to some classes of a proxy.
 #[derive(Debug)]
 pub struct AssignedTable {
     /// The classes that use this table.
     pub classes: Vec<ClassId>,
-    /// The table as it was last sent on this stream.
+    /// The table as last sent on this stream; `None` if it was not sent yet.
     last_sent: Option<PublishedTable>,
 }
 
-/// Classes of one table that get the same admission.
+/// Classes of a table that get the same admission.
 struct AdmissionGroup {
     admission: Admission,
     classes: Vec<ClassId>,
 }
 
 impl AssignedTable {
-    /// A table that was not sent yet.
+    /// Creates a table that was not sent yet.
     pub fn new(classes: Vec<ClassId>) -> Self {
         AssignedTable { classes, last_sent: None }
     }
 
-    /// What is sent from now on changes this table.
+    /// Records the table as sent; later changes are relative to it.
     pub fn record_sent(&mut self, table: PublishedTable) {
         self.last_sent = Some(table);
     }
 
-    /// The parts that bring the proxy from what was sent to this table; none if nothing changed. The first has the
-    /// entries, and the admission where all classes of the table get the same.
+    /// Returns the parts of a message that bring the proxy from the last sent state to this one; none if nothing
+    /// changed. The first part has the changed entries, and the admission if it is the same for all classes of the
+    /// table.
     pub fn changes<'a>(&self, table: &PublishedTable, view: &PublishedView<'a>) -> Vec<UpdatePart<'a>> {
         let mut parts = Vec::new();
         let replaces_table = self.last_sent.is_none();
         let entries = self.changed_entries(table, view);
         let admissions = self.changed_admissions(table);
-        let is_common = admissions.len() == 1 && admissions[0].classes.len() == self.classes.len();
-        if replaces_table || !entries.is_empty() || is_common {
+        let is_same_for_all = admissions.len() == 1 && admissions[0].classes.len() == self.classes.len();
+        if replaces_table || !entries.is_empty() || is_same_for_all {
             let classes = self.class_names_unless_all(view);
             parts.push(UpdatePart { classes, replaces_table, entries, ..UpdatePart::default() });
         }
         for group in admissions {
             let admission = Some(group.admission.into());
-            if !is_common {
+            if !is_same_for_all {
                 let classes = Some(view.class_names(&group.classes));
                 parts.push(UpdatePart { classes, admission, ..UpdatePart::default() });
             } else if let Some(part) = parts.last_mut() {
@@ -75,7 +76,7 @@
         parts
     }
 
-    /// New and changed weights, then endpoints that left the table.
+    /// Returns new and changed weights, followed by removed endpoints with weight 0.
     fn changed_entries<'a>(&self, table: &PublishedTable, view: &PublishedView<'a>) -> Vec<EntryChange<'a>> {
         let unsent = PublishedTable::default();
         let sent = &self.last_sent.as_ref().unwrap_or(&unsent).entries;
@@ -87,7 +88,7 @@
         changed.chain(removed).map(entry).collect()
     }
 
-    /// Changed admissions, in the order of the first class that gets each.
+    /// Returns changed admissions, in the order of the first class that gets each.
     fn changed_admissions(&self, table: &PublishedTable) -> Vec<AdmissionGroup> {
         let sent = self.last_sent.as_ref();
         let mut groups: Vec<AdmissionGroup> = Vec::new();
@@ -104,8 +105,9 @@
         groups
     }
 
+    /// Returns the names of the table's classes, or `None` if they are all classes.
     fn class_names_unless_all<'a>(&self, view: &PublishedView<'a>) -> Option<Vec<&'a str>> {
-        let some = self.classes.len() < view.class_names.len();
-        some.then(|| view.class_names(&self.classes))
+        let is_subset = self.classes.len() < view.class_names.len();
+        is_subset.then(|| view.class_names(&self.classes))
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that the platform writes for a controller, read at its start and at each reload.
+//! The configuration file that the platform writes for a controller, read at startup and at each reload.
 
 use std::net::SocketAddr;
 
@@ -7,59 +7,59 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// What the platform states for one controller.
+/// The configuration of one controller.
 pub struct Config {
     /// The name of this controller.
     pub name: String,
-    /// Where proxies and collectors connect.
+    /// The address on which the controller accepts proxies and collectors.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of all that is drawn at random.
+    /// The seed of the controller's random numbers.
     pub seed: u64,
-    /// How many descriptors this process may hold.
+    /// The maximum number of file descriptors of this process.
     pub max_descriptors: usize,
-    /// The endpoint list as this controller last held it, in the form of discovery's messages.
+    /// The last endpoint list of this controller's previous run, in the form of a discovery message.
     pub last_known_endpoint_list: Option<Value>,
-    /// The settings of the decisions.
+    /// The settings of the controller's decisions.
     pub settings: Settings,
 }
 
-/// Why a configuration can't be used.
+/// An error of parsing a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field is missing, or its value can't be used.
+    /// A field is missing, or its value is not allowed.
     #[error("{field}: {found}; allowed: {allowed}")]
     InvalidField {
         /// The path of the field.
         field: &'static str,
-        /// The value that stands there.
+        /// The value that was found; `null` for a missing field.
         found: String,
-        /// What may stand there.
+        /// The allowed values.
         allowed: &'static str,
     },
-    /// The settings can't be read.
+    /// The settings are not an object.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
 impl Config {
-    /// Reads the configuration out of its JSON text.
+    /// Parses a configuration from its JSON text.
     ///
     /// # Errors
-    /// The text is not JSON, or a field can't be used.
+    /// Returns an error if the text is not valid JSON, or if a field is missing or invalid.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let value: Value = serde_json::from_str(text)?;
         let seed = seed(&value)?;
         let max_descriptors = max_descriptors(&value)?;
         let mut settings = setting_values(&value["settings"])?.to_settings();
-        // On this wire, a proxy keeps its ejections over a change of streams.
+        // In this protocol, a proxy keeps its ejections when it reconnects.
         settings.fleet.keeps_ejections = true;
         Ok(Config {
-            name: text_field(&value, "name")?.to_string(),
+            name: string_field(&value, "name")?.to_string(),
             listen: address(&value, "listen")?,
             discovery: address(&value, "discovery")?,
             seed,
@@ -70,26 +70,26 @@
     }
 }
 
-fn text_field<'a>(value: &'a Value, field: &'static str) -> Result<&'a str, ConfigError> {
+fn string_field<'a>(value: &'a Value, field: &'static str) -> Result<&'a str, ConfigError> {
     let found = &value[field];
     found.as_str().ok_or_else(|| ConfigError::InvalidField {
         field,
         found: found.to_string(),
-        allowed: "a text",
+        allowed: "a string",
     })
 }
 
 fn address(value: &Value, field: &'static str) -> Result<SocketAddr, ConfigError> {
-    let text = text_field(value, field)?;
+    let text = string_field(value, field)?;
     text.parse().map_err(|_| ConfigError::InvalidField {
         field,
         found: format!("{text:?}"),
-        allowed: "an address and a port",
+        allowed: "an IP address and a port",
     })
 }
 
 fn seed(value: &Value) -> Result<u64, ConfigError> {
-    let text = text_field(value, "seed")?;
+    let text = string_field(value, "seed")?;
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::InvalidField {
         field: "seed",
         found: format!("{text:?}"),
--- a/crates/platform/src/connection_admission.rs
+++ b/crates/platform/src/connection_admission.rs
@@ -1,50 +1,52 @@
-//! Which connections may stay open. Anybody can connect, never attach, and say nothing, by hundreds. Such connections
-//! are closed after a timeout, and sooner where descriptors run short, so that proxies always find a free one. Before
-//! one is closed, what it has sent by then is read (the final read): an attachment that came in time still counts.
+//! Admission and eviction of connections. Any client can open hundreds of connections and never attach. Such
+//! connections are closed after a timeout, and earlier when file descriptors run short, so that proxies can always
+//! connect. Before a connection is closed, the bytes that it has sent so far are read (the final read), so that an
+//! attach message that arrived in time still counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Names a connection; numbers rise in the order in which connections are accepted, and none is given out twice.
+/// Identifies a connection. Ids increase in the order in which connections are accepted and are never reused.
 pub type ConnectionId = u64;
 
-/// A connection that has not attached is closed after this time.
+/// The time after which a connection that has not attached is closed.
 const ATTACH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Where descriptors run short, the oldest unattached connection is closed once it is this old.
+/// The age at which the oldest unattached connection may be closed when file descriptors run short.
 const ATTACH_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(300);
-/// While a connection that is being closed still holds its descriptor, capacity is asked for again after this time.
+/// The interval at which the listener checks for capacity while a connection that is being closed still has its
+/// file descriptor.
 const CLOSING_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How many collectors of one zone may be connected: one that comes again does not wait for its old connection to be
-/// seen to end.
+/// The maximum number of connected collectors in a zone. It is above 1 because a collector may reconnect before the
+/// end of its old connection is detected.
 pub const MAX_COLLECTORS_PER_ZONE: usize = 3;
-/// Descriptors that stay free of connections from outside, beside one for each endpoint's health check: standard
-/// streams, the listener, signals, the runtime's own and discovery's.
+/// File descriptors that are not available to accepted connections, in addition to one per endpoint for its health
+/// check: the standard streams, the listener, signals, the runtime's own and the connections to discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Counts descriptors, and the age of connections that have not attached.
+/// Tracks the number of open connections and the age of those that have not attached.
 pub struct ConnectionAdmission {
     max_descriptors: usize,
     /// When each connection that has not attached was accepted.
     unattached: BTreeMap<ConnectionId, Duration>,
-    /// Connections whose final read was asked for and which still hold a descriptor.
+    /// Connections that are being closed or whose final read was requested, and that still have a file descriptor.
     closing: BTreeSet<ConnectionId>,
-    /// How many connections hold a descriptor.
+    /// The number of connections that have a file descriptor.
     open: usize,
 }
 
-/// What to do about the next connection in the listener's queue.
+/// The decision about the next connection in the listener's queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AcceptDecision {
     /// Accept it.
     Accept,
-    /// Close this connection, which has not attached, before asking again.
+    /// Close this unattached connection, then decide again.
     Evict(ConnectionId),
-    /// Nothing can be closed yet: ask again after this time.
+    /// No connection can be closed yet: decide again after this time.
     Wait(Duration),
 }
 
 impl ConnectionAdmission {
-    /// No connections yet, of a process that may hold so many descriptors.
+    /// Creates the state of a process without connections that may have `max_descriptors` file descriptors.
     pub fn new(max_descriptors: usize) -> Self {
         ConnectionAdmission {
             max_descriptors,
@@ -54,12 +56,13 @@
         }
     }
 
-    /// Whether a descriptor is left for one more connection, with this many endpoints that may be checked at once.
+    /// Returns true if a file descriptor is available for another connection, when health checks of this many endpoints
+    /// may be in progress at the same time.
     pub fn has_capacity(&self, endpoints: usize) -> bool {
         self.open < self.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + endpoints).max(1)
     }
 
-    /// What to do before a connection is accepted.
+    /// Returns what to do before the next connection is accepted.
     pub fn accept_decision(&self, now: Duration, endpoints: usize) -> AcceptDecision {
         if self.has_capacity(endpoints) {
             return AcceptDecision::Accept;
@@ -68,7 +71,7 @@
             return AcceptDecision::Wait(CLOSING_POLL_INTERVAL);
         }
         let Some((connection, accepted_at)) = self.unattached.first_key_value() else {
-            // All connections are attached: one descriptor too many is better than a proxy without a controller.
+            // All connections are attached: exceeding the limit is better than a proxy without a controller.
             return AcceptDecision::Accept;
         };
         let evictable_at = *accepted_at + ATTACH_TIMEOUT_WHEN_FULL;
@@ -79,39 +82,39 @@
         }
     }
 
-    /// A connection was accepted; it is unattached.
-    pub fn accepted(&mut self, now: Duration, connection: ConnectionId) {
+    /// Records that a connection was accepted; it is unattached.
+    pub fn record_accepted(&mut self, now: Duration, connection: ConnectionId) {
         self.open += 1;
         self.unattached.insert(connection, now);
     }
 
-    /// The connection said who it is; it may stay.
-    pub fn attached(&mut self, connection: ConnectionId) {
+    /// Records that a connection has attached; it has no timeout any more.
+    pub fn record_attached(&mut self, connection: ConnectionId) {
         self.unattached.remove(&connection);
         self.closing.remove(&connection);
     }
 
-    /// The connection is to be closed once what it has sent by now was read.
-    pub fn closing(&mut self, connection: ConnectionId) {
+    /// Records that a connection is about to be closed.
+    pub fn record_closing(&mut self, connection: ConnectionId) {
         self.unattached.remove(&connection);
         self.closing.insert(connection);
     }
 
-    /// The connection ended, and its descriptor is free again.
-    pub fn closed(&mut self, connection: ConnectionId) {
+    /// Records that a connection was closed and its file descriptor is free.
+    pub fn record_closed(&mut self, connection: ConnectionId) {
         self.open = self.open.saturating_sub(1);
-        self.attached(connection);
+        self.record_attached(connection);
     }
 
-    /// Connections that have not attached within the timeout.
-    pub fn overdue(&self, now: Duration) -> Vec<ConnectionId> {
-        // Connections are numbered in the order in which they are accepted, so the oldest come first.
-        let overdue =
+    /// Returns the connections that have not attached within the timeout.
+    pub fn timed_out(&self, now: Duration) -> Vec<ConnectionId> {
+        // Ids increase in the order of acceptance, so the oldest connections come first.
+        let timed_out =
             self.unattached.iter().take_while(|(_, accepted_at)| **accepted_at + ATTACH_TIMEOUT <= now);
-        overdue.map(|(connection, _)| *connection).collect()
+        timed_out.map(|(connection, _)| *connection).collect()
     }
 
-    /// When the next unattached connection becomes overdue.
+    /// Returns the time at which the next unattached connection times out.
     pub fn next_due(&self) -> Option<Duration> {
         self.unattached.first_key_value().map(|(_, accepted_at)| *accepted_at + ATTACH_TIMEOUT)
     }
--- a/crates/platform/src/control_plane/actions.rs
+++ b/crates/platform/src/control_plane/actions.rs
@@ -1,5 +1,5 @@
-//! Actions of the controller: they change what is published and assigned, and mark the proxies concerned, or become
-//! effects. Nothing is sent here.
+//! Application of the controller's actions. Actions change published or assigned tables and mark the affected proxies
+//! as pending, or become effects. Updates to proxies are sent in `updates`.
 
 use lockcroft::{Action, ClassId, EndpointId, ProxyId, TableId};
 use lockcroft_host::Admission;
@@ -34,11 +34,11 @@
         let name = self.endpoints.name(endpoint);
         debug!(target: "lockcroft::action", table, endpoint = name, weight, "set weight");
         self.published.set_weight(table, endpoint, weight);
-        self.mark_proxies_of(table);
+        self.mark_assigned_proxies(table);
     }
 
     fn assign_table(&mut self, table: TableId, classes: Vec<ClassId>, proxy: ProxyId) {
-        debug!(target: "lockcroft::action", table, proxy, "assign table");
+        debug!(target: "lockcroft::action", table, proxy, "assigned table");
         if let Some(stream) = self.streams.get_mut(&proxy) {
             stream.assign(table, classes);
             self.pending_proxies.insert(proxy);
@@ -49,11 +49,11 @@
         let Admission { fraction, retry } = admission;
         debug!(target: "lockcroft::action", table, class, fraction, retry, "set admission");
         self.published.set_admission(table, class, admission);
-        self.mark_proxies_of(table);
+        self.mark_assigned_proxies(table);
     }
 
     fn eject(&mut self, endpoint: EndpointId) {
-        debug!(target: "lockcroft::action", endpoint = self.endpoints.name(endpoint), "eject");
+        debug!(target: "lockcroft::action", endpoint = self.endpoints.name(endpoint), "ejected endpoint");
         self.published.set_ejected(endpoint, true);
         let class_count = self.names.classes.len();
         self.streams.values_mut().for_each(|stream| stream.eject(endpoint, class_count));
@@ -61,14 +61,15 @@
     }
 
     fn restore(&mut self, endpoint: EndpointId) {
-        debug!(target: "lockcroft::action", endpoint = self.endpoints.name(endpoint), "restore");
+        debug!(target: "lockcroft::action", endpoint = self.endpoints.name(endpoint), "restored endpoint");
         self.published.set_ejected(endpoint, false);
         self.streams.values_mut().for_each(|stream| stream.restore(endpoint));
         self.pending_proxies.extend(self.streams.keys());
     }
 
-    fn mark_proxies_of(&mut self, table: TableId) {
-        let concerned = self.streams.iter().filter(|(_, stream)| stream.has_table(table));
-        self.pending_proxies.extend(concerned.map(|(proxy, _)| *proxy));
+    /// Marks all proxies that are assigned to a table as pending.
+    fn mark_assigned_proxies(&mut self, table: TableId) {
+        let affected = self.streams.iter().filter(|(_, stream)| stream.has_table(table));
+        self.pending_proxies.extend(affected.map(|(proxy, _)| *proxy));
     }
 }
--- a/crates/platform/src/control_plane/messages.rs
+++ b/crates/platform/src/control_plane/messages.rs
@@ -1,4 +1,4 @@
-//! What proxies and collectors say: each line is checked against the role of its connection and becomes a call of the
+//! Messages from proxies and collectors. Each line is checked against the role of its connection and passed on to the
 //! controller.
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::outbound::HEARTBEAT_REPLY;
 
 impl ControlPlane {
-    /// The most bytes of a line on this connection.
+    /// Returns the maximum length of a line on this connection, in bytes.
     #[must_use]
     pub fn max_line_bytes(&self, connection: ConnectionId) -> usize {
         match self.roles.get(&connection) {
@@ -25,7 +25,8 @@
         }
     }
 
-    /// A line came, given without its end.
+    /// Handles a line that was received on a connection, given without its terminator. Lines of a connection that has
+    /// ended are ignored.
     pub fn line_received(&mut self, now: Duration, connection: ConnectionId, line: &[u8]) {
         let Some(role) = self.roles.get(&connection).copied() else { return };
         let context =
@@ -42,7 +43,7 @@
         self.effects.push_back(Effect::Write { connection, text: HEARTBEAT_REPLY.into() });
     }
 
-    /// The first message of a connection, heartbeats aside.
+    /// Handles the first message of a connection that is not a heartbeat.
     fn attach(&mut self, now: Duration, connection: ConnectionId, message: InboundMessage) {
         match message {
             InboundMessage::CollectorAttach { zone } => self.attach_collector(connection, zone),
@@ -51,7 +52,8 @@
         }
     }
 
-    /// A message of a collector or a proxy that is attached. Any collector may report requests, a proxy only its own.
+    /// Handles a message of an attached collector or proxy. Collectors may report the requests of any proxy, a proxy
+    /// only its own.
     fn handle_report(
         &mut self,
         now: Duration,
@@ -69,13 +71,13 @@
             (InboundMessage::RequestReport(report), Role::Proxy(proxy)) if report.proxy == proxy => {
                 self.handle_request_report(&report);
             }
-            (InboundMessage::Acknowledgement { proxy, nonce }, Role::Proxy(own)) if proxy == own => {
+            (InboundMessage::Acknowledgement { proxy, nonce }, Role::Proxy(sender)) if proxy == sender => {
                 match self.streams.get_mut(&proxy).and_then(|stream| stream.acknowledge(nonce)) {
                     Some(sent) => self.controller.record_acknowledged(sent.channel_position, sent.entries),
-                    None => self.drop_message(connection, "a nonce that is not pending"),
+                    None => self.drop_message(connection, "nonce is not pending"),
                 }
             }
-            _ => self.drop_message(connection, "not a message of this role"),
+            _ => self.drop_message(connection, "message is not allowed for this role"),
         }
     }
 
@@ -84,19 +86,18 @@
         let AttemptReport { endpoint, attempts, failed, mean_latency } = *report;
         let name = self.endpoints.name(endpoint);
         let latency_ms = mean_latency.as_millis() as u64;
-        debug!(target: "lockcroft::report", endpoint = name, attempts, failed, latency_ms, "attempts");
+        debug!(target: "lockcroft::report", endpoint = name, attempts, failed, latency_ms, "received attempt report");
         self.controller.record_attempts(now, endpoint, attempts, failed, mean_latency);
     }
 
     fn handle_request_report(&mut self, report: &RequestReport) {
         self.counters.reports += 1;
         let RequestReport { proxy, class, requests } = *report;
-        debug!(target: "lockcroft::report", proxy, class, requests, "requests");
+        debug!(target: "lockcroft::report", proxy, class, requests, "received request report");
         self.controller.record_requests(proxy, class, requests);
     }
 
-    /// What can't be read ends the connection; a field that can't be used costs the message, or the connection if it
-    /// is not attached.
+    /// Closes the connection if the message is unreadable or the connection is unattached, else drops the message.
     fn handle_invalid_message(&mut self, connection: ConnectionId, role: Role, error: &MessageError) {
         let reason = error.to_string();
         if role == Role::Unattached || error.is_unreadable() {
--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -1,9 +1,9 @@
-//! The core of the controller on the platform: what arrives becomes calls of [`lockcroft::Controller`], and its actions
-//! become one message to each proxy concerned. Free of I/O and clock; nothing about endpoints, weights or requests is
-//! decided here.
+//! The core of the controller process on the platform. It translates inputs to calls of [`lockcroft::Controller`], and
+//! the controller's actions to one message per affected proxy. It does no I/O, reads no clock, and makes no decisions
+//! about endpoints, weights or requests.
 //!
-//! `messages` handles what proxies and collectors say, `sessions` who they are and how their connections end,
-//! `actions` what the controller decides, and `updates` sends what changed.
+//! `messages` handles messages from proxies and collectors, `sessions` the roles and the closing of connections,
+//! `actions` applies the controller's actions, and `updates` sends changes to proxies.
 
 mod actions;
 mod messages;
@@ -29,56 +29,59 @@
 use self::sessions::Role;
 use self::updates::NonceSequence;
 
-/// What is to be done on sockets.
+/// An I/O operation that the caller of [`ControlPlane`] has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Write this text, then call [`ControlPlane::write_completed`].
     Write {
-        /// Where to write.
+        /// The connection to write to.
         connection: ConnectionId,
-        /// Whole messages.
+        /// One or more complete lines.
         text: String,
     },
-    /// Write what waits, then close the connection.
+    /// Write all pending messages, then close the connection.
     Close {
-        /// Which connection to close.
+        /// The connection to close.
         connection: ConnectionId,
     },
-    /// Read what has come on the connection, then call [`ControlPlane::final_read_completed`].
+    /// Read the bytes that have arrived on the connection, then call [`ControlPlane::final_read_completed`].
     FinalRead {
-        /// Which connection to read.
+        /// The connection to read from.
         connection: ConnectionId,
     },
-    /// Close the connection at once.
+    /// Close the connection immediately, discarding pending messages.
     Abort {
-        /// Which connection to close.
+        /// The connection to close.
         connection: ConnectionId,
     },
     /// Check an endpoint, then call [`ControlPlane::health_check_finished`].
     CheckHealth {
         /// The endpoint to check.
         endpoint: EndpointId,
-        /// Where it listens.
+        /// The address of the endpoint.
         address: SocketAddr,
     },
 }
 
-/// Counts since the start, for the log.
+/// Counts of events since startup.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Messages to proxies.
+    /// Update messages sent to proxies.
     pub messages: u64,
-    /// Parts of these messages, before those that are too long for a line are split.
+    /// Parts of these messages, not counting the split of parts that are too long for a line.
     pub parts: u64,
-    /// Messages of attached connections that could not be used.
+    /// Messages of attached connections that were dropped as invalid.
     pub invalid_messages: u64,
-    /// Connections that were closed with a reason.
+    /// Connections that were closed with a `reject` message.
     pub rejected: u64,
-    /// Reports on attempts and on requests.
+    /// Reports of attempts and of requests that were accepted.
     pub reports: u64,
 }
 
-/// Sessions in, effects out; all state of the controller on the platform.
+/// The state of the controller process on the platform: the controller, its connections and what they were sent.
+///
+/// Times are durations since startup, on a monotonic clock. Methods that handle inputs queue effects, which
+/// [`ControlPlane::take_effects`] and [`ControlPlane::decide`] return.
 pub struct ControlPlane {
     controller: Controller,
     names: NameIndex,
@@ -88,19 +91,19 @@
     published: PublishedTables,
     /// Streams of the attached proxies.
     streams: BTreeMap<ProxyId, ProxyStream>,
-    /// Who is at the other end of each connection that has not ended.
+    /// The role of the peer of each connection that has not ended.
     roles: BTreeMap<ConnectionId, Role>,
     admission: ConnectionAdmission,
-    /// Proxies for which something may have to be sent.
+    /// Proxies that may have pending changes.
     pending_proxies: BTreeSet<ProxyId>,
-    /// What is to be done and was not given out yet.
+    /// Effects that were not returned yet.
     effects: VecDeque<Effect>,
     nonces: NonceSequence,
     counters: Counters,
 }
 
 impl ControlPlane {
-    /// A control plane without endpoints, proxies or collectors.
+    /// Creates a control plane without endpoints, proxies or collectors.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let settings = config.settings.clone();
@@ -121,10 +124,11 @@
         }
     }
 
-    /// Applies a message of discovery, or the list of before the start. `unix_ms` is the time in Unix milliseconds.
+    /// Applies an endpoint list message from discovery or from the configuration. `unix_ms` is the current time in Unix
+    /// milliseconds. Invalid entries are logged and skipped.
     ///
     /// # Errors
-    /// It can't be used; the list stays as it was.
+    /// Returns an error and leaves the list unchanged if the message as a whole is invalid or stale.
     pub fn update_endpoints(
         &mut self,
         now: Duration,
@@ -139,12 +143,15 @@
 
     fn log_list_update(&self, update: &ListUpdate) {
         for error in &update.errors {
-            warn!(target: "lockcroft::endpoints", %error, "an entry can't be used");
+            warn!(target: "lockcroft::endpoints", %error, "rejected an entry of the endpoint list");
         }
         for record in &update.records {
             let endpoint = self.endpoints.name(record.endpoint);
             let age_ms = record.age.map(|age| age.as_millis() as u64);
-            debug!(target: "lockcroft::endpoints", endpoint, status = ?record.status, age_ms, "listed");
+            debug!(
+                target: "lockcroft::endpoints",
+                endpoint, status = ?record.status, age_ms, "received endpoint entry"
+            );
         }
         if !update.records.is_empty() {
             info!(
@@ -152,30 +159,30 @@
                 version = update.version,
                 complete = update.is_complete,
                 entries = update.records.len(),
-                "list updated"
+                "updated the endpoint list"
             );
         }
     }
 
-    /// The version of the endpoint list that is held.
+    /// Returns the version of the current endpoint list; `None` before the first list.
     #[must_use]
     pub fn list_version(&self) -> Option<u64> {
         self.endpoints.version()
     }
 
-    /// Whether health checks ask for the load report.
+    /// Returns true if health checks request the load report.
     #[must_use]
     pub fn requests_load_reports(&self) -> bool {
         self.requests_load_reports
     }
 
-    /// Counts since the start.
+    /// Returns the counts since startup.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// A health check of this address ended after `duration`.
+    /// Records the outcome of a health check of this address, and how long it took.
     pub fn health_check_finished(
         &mut self,
         now: Duration,
@@ -185,7 +192,7 @@
         duration: Duration,
     ) {
         let name = self.endpoints.name(endpoint);
-        // What answers at a former address says nothing about the endpoint that has moved on.
+        // The result of a former address says nothing about an endpoint whose address has changed.
         let is_current = self.endpoints.address(endpoint) == Some(address);
         let outcome = if is_current { outcome } else { HealthCheckOutcome::AddressChanged };
         let duration_us = duration.as_micros() as u64;
@@ -193,16 +200,17 @@
         self.controller.health_check_finished(now, endpoint, outcome, duration);
     }
 
-    /// When [`ControlPlane::decide`] has to be called at the latest.
+    /// Returns the time by which [`ControlPlane::decide`] has to be called.
     #[must_use]
     pub fn next_due(&self) -> Duration {
         let controller = self.controller.next_due();
         self.admission.next_due().map_or(controller, |admission| admission.min(controller))
     }
 
-    /// Takes actions of the controller until there is none, and returns what is to be done.
+    /// Requests the final read of connections that did not attach in time, applies all actions of the controller, sends
+    /// updates to proxies, and returns the effects to carry out.
     pub fn decide(&mut self, now: Duration) -> Vec<Effect> {
-        for connection in self.admission.overdue(now) {
+        for connection in self.admission.timed_out(now) {
             let effect = self.request_final_read(connection);
             self.effects.push_back(effect);
         }
@@ -213,7 +221,7 @@
         self.take_effects()
     }
 
-    /// What is to be done at once, without a decision.
+    /// Returns the queued effects without running the controller.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.effects.drain(..).collect()
     }
--- a/crates/platform/src/control_plane/sessions.rs
+++ b/crates/platform/src/control_plane/sessions.rs
@@ -1,4 +1,4 @@
-//! Connections from their acceptance to their end: who is at the other end, and what its end means for the controller.
+//! The lifecycle of connections: acceptance, attachment of proxies and collectors, and closing.
 
 use std::time::Duration;
 
@@ -11,60 +11,61 @@
 use crate::outbound::encode_reject;
 use crate::proxy_stream::ProxyStream;
 
-/// Who is at the other end of a connection.
+/// The role of the peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It has not said who it is.
+    /// The peer has not attached.
     Unattached,
-    /// A collector for the proxies of this zone.
+    /// A collector that reports for the proxies of this zone.
     Collector(ZoneId),
-    /// A proxy; the connection is its stream.
+    /// A proxy; the connection is its update stream.
     Proxy(ProxyId),
 }
 
 impl ControlPlane {
-    /// What to do about the next connection in the listener's queue.
+    /// Decides whether the next connection in the listener's queue may be accepted.
     #[must_use]
     pub fn accept_decision(&self, now: Duration) -> AcceptDecision {
         self.admission.accept_decision(now, self.endpoints.len())
     }
 
-    /// Whether descriptors are left for more connections.
+    /// Returns true if file descriptors are available for more connections.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.admission.has_capacity(self.endpoints.len())
     }
 
-    /// A connection was accepted.
+    /// Records that a connection was accepted.
     pub fn connection_accepted(&mut self, now: Duration, connection: ConnectionId) {
-        self.admission.accepted(now, connection);
+        self.admission.record_accepted(now, connection);
         self.roles.insert(connection, Role::Unattached);
     }
 
-    /// The connection is to be closed, unless what it has sent by now attaches it. Returns what is to be done.
+    /// Starts closing an unattached connection and returns the effect that reads what it has sent so far. If that
+    /// attaches the connection, it stays open.
     pub fn request_final_read(&mut self, connection: ConnectionId) -> Effect {
-        self.admission.closing(connection);
+        self.admission.record_closing(connection);
         Effect::FinalRead { connection }
     }
 
-    /// What the connection had sent before its final read was handled.
+    /// Rejects the connection if it is still unattached after its final read.
     pub fn final_read_completed(&mut self, connection: ConnectionId) {
         if self.roles.get(&connection) == Some(&Role::Unattached) {
             self.reject(connection, "no joining in time");
         }
     }
 
-    /// Tells the other end why, and closes the connection.
+    /// Sends a `reject` message with the reason and closes the connection.
     pub fn reject(&mut self, connection: ConnectionId, reason: &str) {
         self.counters.rejected += 1;
         let role = self.roles.get(&connection);
-        debug!(target: "lockcroft::input", connection, reason, ?role, "rejected");
+        debug!(target: "lockcroft::input", connection, reason, ?role, "rejected connection");
         self.effects.push_back(Effect::Write { connection, text: encode_reject(reason) });
         self.effects.push_back(Effect::Close { connection });
         self.connection_ended(connection);
     }
 
-    /// Attaches a collector. Where its zone has too many, the oldest is taken for one that is not seen to end.
+    /// Attaches a collector. If its zone has too many, the connection of the oldest is assumed dead and aborted.
     pub(super) fn attach_collector(&mut self, connection: ConnectionId, zone: ZoneId) {
         let mut same_zone = self.roles.iter().filter(|(_, role)| **role == Role::Collector(zone));
         let oldest = same_zone.next().map(|(connection, _)| *connection);
@@ -75,10 +76,11 @@
         let zone_name = &self.names.zones[zone];
         info!(target: "lockcroft::input", connection, zone = zone_name, "collector attached");
         self.roles.insert(connection, Role::Collector(zone));
-        self.admission.attached(connection);
+        self.admission.record_attached(connection);
     }
 
-    /// Attaches a proxy. Its new stream may come before the old one is seen to end, whose end then detaches nobody.
+    /// Attaches a proxy. A proxy may reconnect before the end of its old stream is detected; the old stream is aborted
+    /// first, so that its end does not detach the new one.
     pub(super) fn attach_proxy(&mut self, now: Duration, connection: ConnectionId, attach: &ProxyAttach) {
         let ProxyAttach { proxy, zone, request_rate, without_table } = *attach;
         let replaces = self.streams.get(&proxy).map(|stream| stream.connection);
@@ -90,27 +92,29 @@
             connection, proxy, without_table, request_rate, replaces, "proxy attached"
         );
         self.roles.insert(connection, Role::Proxy(proxy));
-        self.admission.attached(connection);
+        self.admission.record_attached(connection);
         self.streams.insert(proxy, ProxyStream::new(connection, without_table));
         self.controller.attach_proxy(now, proxy, zone, request_rate, without_table);
     }
 
+    /// Ends the session and closes the connection immediately.
     fn abort(&mut self, connection: ConnectionId) {
         self.connection_ended(connection);
         self.effects.push_back(Effect::Abort { connection });
     }
 
-    /// The connection is closed, and its descriptor is free again.
+    /// Records that a connection was closed and its file descriptor is free.
     pub fn connection_closed(&mut self, connection: ConnectionId) {
         self.connection_ended(connection);
-        self.admission.closed(connection);
+        self.admission.record_closed(connection);
     }
 
-    /// Nothing more is to be heard on the connection, whoever ended it; its descriptor may still be held.
+    /// Ends the session of a connection from which no more input is handled, and detaches its proxy. The socket may
+    /// still be open.
     pub fn connection_ended(&mut self, connection: ConnectionId) {
         match self.roles.remove(&connection) {
             None | Some(Role::Collector(_)) => {}
-            Some(Role::Unattached) => self.admission.closing(connection),
+            Some(Role::Unattached) => self.admission.record_closing(connection),
             Some(Role::Proxy(proxy)) => {
                 info!(target: "lockcroft::input", connection, proxy, "proxy detached");
                 self.streams.remove(&proxy);
@@ -119,7 +123,7 @@
         }
     }
 
-    /// All that was to be written to the connection is out.
+    /// Records that all pending output of a connection was written, so that its proxy may get the next update.
     pub fn write_completed(&mut self, connection: ConnectionId) {
         let Some(Role::Proxy(proxy)) = self.roles.get(&connection) else { return };
         if let Some(stream) = self.streams.get_mut(proxy) {
--- a/crates/platform/src/control_plane/updates.rs
+++ b/crates/platform/src/control_plane/updates.rs
@@ -1,8 +1,8 @@
-//! Sending: all that was decided at one time goes out as one message to each proxy concerned.
+//! Sends updates to proxies. All changes of one decision go out as one message to each affected proxy.
 //!
-//! Whole tables and the last message of one time carry a nonce. The platform's channel sends in the order in which
-//! messages have come whole, so an acknowledgement says that this message has left the channel, and so has all that
-//! went out at times before.
+//! Messages with a complete table and the last message of a batch carry a nonce. The platform's channel forwards
+//! messages in the order in which it has received them completely, so an acknowledgement shows that this message and
+//! all messages of earlier batches have left the channel.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,24 +12,24 @@
 use super::{ControlPlane, Effect};
 use crate::assigned_table::PublishedView;
 use crate::connection_admission::ConnectionId;
-use crate::outbound::{NONCES, UpdatePart, encode_message};
+use crate::outbound::{NONCE_COUNT, UpdatePart, encode_message};
 use crate::proxy_stream::{ProxyStream, SentNonce};
 
-/// Numbers the nonces of all streams.
+/// Generates the nonces of all streams.
 #[derive(Debug, Default)]
 pub(super) struct NonceSequence {
     next: u64,
 }
 
 impl NonceSequence {
-    fn take(&mut self) -> u64 {
+    fn allocate(&mut self) -> u64 {
         let nonce = self.next;
-        self.next = (nonce + 1) % NONCES;
+        self.next = (nonce + 1) % NONCE_COUNT;
         nonce
     }
 }
 
-/// One message to a proxy, not encoded yet.
+/// A message to a proxy before encoding.
 struct ProxyMessage<'a> {
     proxy: ProxyId,
     connection: ConnectionId,
@@ -37,7 +37,7 @@
 }
 
 impl ProxyMessage<'_> {
-    /// As many entries as the channel counts for the message, its overhead aside.
+    /// Returns the number of entries that the platform's channel counts for the message, without its fixed overhead.
     fn channel_entries(&self, class_count: usize) -> usize {
         self.parts.iter().map(|part| part.channel_entries(class_count)).sum()
     }
@@ -58,7 +58,7 @@
 }
 
 impl ControlPlane {
-    /// Sends each proxy that is marked what changed since its last message.
+    /// Sends each pending proxy the changes since its last message.
     pub(super) fn send_updates(&mut self) {
         let view = PublishedView {
             published: &self.published,
@@ -85,15 +85,15 @@
             let text = encode_message(message.parts);
             debug!(
                 target: "lockcroft::update",
-                proxy = message.proxy, entries, bytes = text.len(), "sent"
+                proxy = message.proxy, entries, bytes = text.len(), "sent update"
             );
             self.effects.push_back(Effect::Write { connection: message.connection, text });
         }
     }
 }
 
-/// The messages to these proxies, in their order. One that is still writing gets none: its next message is made from
-/// what is published once it is done.
+/// Returns the messages to these proxies, ordered by proxy. A proxy whose previous message is still being written gets
+/// none: its next message is built from the published state when the write completes.
 fn take_messages<'a>(
     proxies: BTreeSet<ProxyId>,
     streams: &mut BTreeMap<ProxyId, ProxyStream>,
@@ -111,11 +111,12 @@
     messages
 }
 
+/// Adds a nonce to the last message and to each message with a complete table.
 fn add_nonces(messages: &mut [ProxyMessage], nonces: &mut NonceSequence) {
     let last = messages.len().saturating_sub(1);
     for (index, message) in messages.iter_mut().enumerate() {
         if index == last || message.replaces_table() {
-            message.set_nonce(nonces.take());
+            message.set_nonce(nonces.allocate());
         }
     }
 }
--- a/crates/platform/src/ejections.rs
+++ b/crates/platform/src/ejections.rs
@@ -1,7 +1,7 @@
-//! The endpoints that one proxy is not to use whatever its tables say, and what was sent of that on its stream.
+//! The endpoints that are ejected at a proxy, and the ejections that were sent on its stream.
 //!
-//! A proxy keeps its ejections over a change of streams and does not say which ones it has. So endpoints that some
-//! controller may have ejected are restored together with their entries, once a stream.
+//! A proxy keeps its ejections when it reconnects and does not report them. So endpoints that any controller may have
+//! ejected are restored once per stream, in the message that sends their entries.
 
 use std::collections::BTreeSet;
 
@@ -12,16 +12,17 @@
 /// The ejections of one proxy.
 #[derive(Debug)]
 pub struct ProxyEjections {
-    /// The proxy may hold ejections of an earlier stream.
-    may_hold_earlier: bool,
+    /// True if the proxy may have ejections from an earlier stream.
+    may_have_earlier: bool,
+    /// Endpoints that should be ejected.
     desired: BTreeSet<EndpointId>,
-    /// Ejections that were sent on this stream and not taken back.
+    /// Ejections that were sent on this stream and not restored since.
     sent: BTreeSet<EndpointId>,
-    /// Endpoints that were restored on this stream, so that the proxy surely uses them again.
+    /// Endpoints that were restored on this stream, so that no earlier ejection of them remains.
     restored: BTreeSet<EndpointId>,
 }
 
-/// What to send of ejections.
+/// Changes of ejections to send.
 #[derive(Debug, Default)]
 pub struct EjectionChanges {
     pub eject: Vec<EndpointId>,
@@ -29,34 +30,35 @@
 }
 
 impl EjectionChanges {
-    /// Whether there is nothing to send.
+    /// Returns true if there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.eject.is_empty() && self.restore.is_empty()
     }
 }
 
 impl ProxyEjections {
-    /// `without_table`: the proxy holds nothing that any controller assigned.
+    /// Creates the state for a new stream. `without_table` is true if the proxy has no table, and so no ejections, from
+    /// any controller.
     pub fn new(without_table: bool) -> Self {
         ProxyEjections {
-            may_hold_earlier: !without_table,
+            may_have_earlier: !without_table,
             desired: BTreeSet::new(),
             sent: BTreeSet::new(),
             restored: BTreeSet::new(),
         }
     }
 
-    /// The proxy is not to use the endpoint.
+    /// Ejects an endpoint.
     pub fn eject(&mut self, endpoint: EndpointId) {
         self.desired.insert(endpoint);
     }
 
-    /// The proxy may use the endpoint again.
+    /// Restores an endpoint.
     pub fn restore(&mut self, endpoint: EndpointId) {
         self.desired.remove(&endpoint);
     }
 
-    /// What changed since the last call, which counts as sent.
+    /// Returns the changes since the last call; they count as sent.
     pub fn take_changes(&mut self) -> EjectionChanges {
         let changes = EjectionChanges {
             eject: self.desired.difference(&self.sent).copied().collect(),
@@ -67,18 +69,18 @@
         changes
     }
 
-    /// Those of the endpoints that are to be restored with their entries, as the proxy may hold their ejection since
-    /// an earlier stream. They count as sent.
-    pub fn take_earlier<'a>(
+    /// Returns the endpoints of these entries that have to be restored, as the proxy may have ejected them on an
+    /// earlier stream. They count as sent.
+    pub fn take_earlier_ejections<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a EndpointId>,
         endpoints: &EndpointList,
     ) -> Vec<EndpointId> {
-        if !self.may_hold_earlier {
+        if !self.may_have_earlier {
             return Vec::new();
         }
-        let suspects = entries.copied().filter(|endpoint| endpoints.may_be_ejected(*endpoint));
-        let suspects = suspects.filter(|endpoint| !self.desired.contains(endpoint));
-        suspects.filter(|endpoint| self.restored.insert(*endpoint)).collect()
+        let candidates = entries.copied().filter(|endpoint| endpoints.may_be_ejected(*endpoint));
+        let candidates = candidates.filter(|endpoint| !self.desired.contains(endpoint));
+        candidates.filter(|endpoint| self.restored.insert(*endpoint)).collect()
     }
 }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery reports it: versions, names, addresses, and the age of each endpoint's process.
+//! The endpoint list as reported by discovery: its version, and the name, address and process age of each endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,94 +10,100 @@
 
 use crate::list_message::{EntryError, ListEntry, ListError, ListMessage};
 
-/// Discovery reports a change at the latest this long after it (the protocol's page). Until then a whole list older
-/// than the one that is held is a late one; after that, discovery has begun to count anew.
+/// The maximum time from a change to its report by discovery, as the protocol states. For this time, complete lists
+/// with a lower version than the current one are treated as late; if they still arrive after it, discovery has
+/// restarted its version numbers.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// What a message of discovery changes.
+/// The content of a discovery message.
 pub struct ListUpdate {
-    /// The records are the whole list.
+    /// True if the records are the complete list, false if they are changes.
     pub is_complete: bool,
     /// The version of the list after this update.
     pub version: u64,
     pub records: Vec<EndpointRecord>,
-    /// Why entries could not be used; the others count.
+    /// Errors of invalid entries, which are skipped.
     pub errors: Vec<EntryError>,
 }
 
-/// The two clocks at one instant.
+/// The current time on both clocks.
 #[derive(Clone, Copy)]
 pub struct Now {
-    /// Time since the start of this controller.
+    /// The time since this controller started, on a monotonic clock.
     pub elapsed: Duration,
-    /// Unix milliseconds, as all machines read them.
+    /// The wall clock time in Unix milliseconds.
     pub unix_ms: u64,
 }
 
-/// When a process started, as discovery says, and how old it was when that start was first reported.
+/// The start time of an endpoint's process, and its age when discovery first reported this start.
 #[derive(Clone)]
 struct ProcessStart {
     started_unix_ms: u64,
     age_when_reported: Duration,
+    /// When this start was first reported, since the controller started.
     reported_at: Duration,
 }
 
-/// The endpoint list that is held.
+/// The current endpoint list.
 #[derive(Default)]
 pub struct EndpointList {
     names: NameInterner,
     addresses: BTreeMap<EndpointId, SocketAddr>,
     starts: BTreeMap<EndpointId, ProcessStart>,
-    /// Endpoints that drained, were removed or started since this controller runs: some controller may have ejected
-    /// them.
-    ever_changed: BTreeSet<EndpointId>,
-    /// Endpoints on the list now.
+    /// Endpoints that any controller may have ejected: those that were ever removed, or reported as draining or with a
+    /// start time.
+    possibly_ejected: BTreeSet<EndpointId>,
+    /// Endpoints that are currently on the list.
     listed: BTreeSet<EndpointId>,
     version: Option<u64>,
-    /// Since when only whole lists older than the one that is held came.
+    /// When a complete list with a lower version than the current one was first rejected since the last applied
+    /// message.
     stale_since: Option<Duration>,
 }
 
 impl EndpointList {
-    /// The name of an endpoint that was listed at some time.
+    /// Returns the name of an endpoint that was ever listed.
+    ///
+    /// # Panics
+    /// Panics if no endpoint has this id.
     pub fn name(&self, endpoint: EndpointId) -> &str {
         self.names.name(endpoint)
     }
 
-    /// The endpoint of this name, if it was listed at some time.
+    /// Returns the endpoint with this name, if it was ever listed.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.find(name)
     }
 
-    /// Where the endpoint listens, as last listed.
+    /// Returns the last listed address of an endpoint.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.addresses.get(&endpoint).copied()
     }
 
-    /// How many endpoints are on the list.
+    /// Returns the number of endpoints on the list.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Whether some controller may have ejected it at a proxy that still keeps the ejection.
+    /// Returns true if a proxy may still have an ejection of this endpoint from any controller.
     pub fn may_be_ejected(&self, endpoint: EndpointId) -> bool {
-        self.ever_changed.contains(&endpoint)
+        self.possibly_ejected.contains(&endpoint)
     }
 
-    /// The version that is held, to ask for changes since.
+    /// Returns the current version; `None` before the first list.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Applies a message of discovery.
+    /// Applies a discovery message and returns its valid entries.
     ///
     /// # Errors
-    /// It can't be used as a whole; the list stays as it was.
+    /// Returns an error and leaves the list unchanged if the message as a whole is invalid or stale.
     pub fn apply(&mut self, now: Now, message: &Value, names: &NameIndex) -> Result<ListUpdate, ListError> {
         let message = ListMessage::parse(message)?;
         self.check_version(now, &message)?;
         let update = self.read_entries(now, &message, names);
-        // A list of which nothing can be used must not take away all that is held.
+        // A complete list without a valid entry must not remove all endpoints.
         if update.is_complete && update.records.is_empty() && !self.listed.is_empty() {
             return Err(ListError::NoUsableEntry { rejected: update.errors.len() });
         }
@@ -112,14 +118,14 @@
 
     fn check_version(&mut self, now: Now, message: &ListMessage) -> Result<(), ListError> {
         let version = message.version;
-        let held = self.version;
-        if !message.is_complete && held.is_none_or(|held| version < held) {
-            return Err(ListError::ChangesWithoutBase { version, current: held });
+        let current = self.version;
+        if !message.is_complete && current.is_none_or(|current| version < current) {
+            return Err(ListError::ChangesWithoutBase { version, current });
         }
-        if held.is_some_and(|held| version < held) {
+        if current.is_some_and(|current| version < current) {
             let stale_since = *self.stale_since.get_or_insert(now.elapsed);
             if now.elapsed < stale_since + MAX_DISCOVERY_DELAY {
-                return Err(ListError::Stale { version, current: held });
+                return Err(ListError::Stale { version, current });
             }
         }
         Ok(())
@@ -134,17 +140,18 @@
         };
         for entry in message.entries {
             match ListEntry::parse(entry, names) {
-                Ok(entry) => update.records.push(self.record(now, &entry)),
+                Ok(entry) => update.records.push(self.record_of(now, &entry)),
                 Err(error) => update.errors.push(error),
             }
         }
         update
     }
 
-    fn record(&mut self, now: Now, entry: &ListEntry) -> EndpointRecord {
+    fn record_of(&mut self, now: Now, entry: &ListEntry) -> EndpointRecord {
         let endpoint = self.names.intern(entry.name);
         self.addresses.insert(endpoint, entry.address);
-        let age = entry.started_unix_ms.map(|started_unix_ms| self.age(now, endpoint, started_unix_ms));
+        let age =
+            entry.started_unix_ms.map(|started_unix_ms| self.process_age(now, endpoint, started_unix_ms));
         EndpointRecord {
             endpoint,
             zone: entry.zone,
@@ -155,9 +162,9 @@
         }
     }
 
-    /// How long ago the process started. A start that was reported before keeps its age on the controller's clock, so
-    /// that two reports of one start never look like two starts.
-    fn age(&mut self, now: Now, endpoint: EndpointId, started_unix_ms: u64) -> Duration {
+    /// Returns the time since the endpoint's process started. The age of a start that was reported before advances with
+    /// the controller's monotonic clock, so that two reports of the same start never look like two starts.
+    fn process_age(&mut self, now: Now, endpoint: EndpointId, started_unix_ms: u64) -> Duration {
         let reported = ProcessStart {
             started_unix_ms,
             age_when_reported: Duration::from_millis(now.unix_ms.saturating_sub(started_unix_ms)),
@@ -172,7 +179,7 @@
 
     fn remove_unlisted(&mut self, records: &[EndpointRecord]) {
         let remaining: BTreeSet<EndpointId> = records.iter().map(|record| record.endpoint).collect();
-        self.ever_changed.extend(self.listed.difference(&remaining));
+        self.possibly_ejected.extend(self.listed.difference(&remaining));
         self.listed.clear();
     }
 
@@ -184,7 +191,7 @@
             self.listed.insert(endpoint);
         }
         if record.status != EndpointStatus::Ready || self.starts.contains_key(&endpoint) {
-            self.ever_changed.insert(endpoint);
+            self.possibly_ejected.insert(endpoint);
         }
     }
 }
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -1,6 +1,6 @@
-//! Messages of proxies and collectors: one JSON object on a line becomes a typed message. This is the only place with
-//! the names of their fields. Errors differ by what they cost: after a line that can't be read nothing on the
-//! connection can be trusted, while a field that can't be used costs that one message.
+//! Parses messages from proxies and collectors: lines with one JSON object each. The field names of these messages
+//! appear only in this module. A line that is not a JSON object makes the rest of the connection untrustworthy, while
+//! an invalid field invalidates only its message.
 
 use std::time::Duration;
 
@@ -11,29 +11,30 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// The most bytes of a message.
+/// The maximum length of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The most bytes of a first message: an attachment is short, and strangers send without end.
+/// The maximum length of a message on an unattached connection in bytes. Attach messages are short, and an unidentified
+/// client may send any amount of data.
 pub const MAX_FIRST_MESSAGE_BYTES: usize = 1 << 14;
-/// Counts, rates and milliseconds above this can't be true of one report.
-const MAX_REPORTED: f64 = 1e7;
-/// The most time of an attempt where no class states a client timeout.
+/// The maximum of a count, a rate or a time in milliseconds in a message; higher values can't be correct.
+const MAX_REPORTED_NUMBER: f64 = 1e7;
+/// The maximum latency of an attempt if no class has a client timeout.
 const DEFAULT_MAX_ATTEMPT_LATENCY: Duration = Duration::from_secs(600);
 
-/// What proxies and collectors say.
+/// A message from a proxy or a collector.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InboundMessage {
-    /// Asks whether the controller is alive.
+    /// A check that the controller is alive, which gets a reply on any connection.
     Heartbeat,
-    /// A collector attaches; it reports for the proxies of this zone.
+    /// A collector that reports for the proxies of this zone attaches.
     CollectorAttach { zone: ZoneId },
     /// A proxy attaches.
     ProxyAttach(ProxyAttach),
-    /// What the proxies of a zone met at an endpoint.
+    /// The results of attempts of a zone's proxies at an endpoint.
     AttemptReport(AttemptReport),
-    /// How many requests came to a proxy.
+    /// The number of requests that a proxy received.
     RequestReport(RequestReport),
-    /// A proxy has applied everything up to this nonce.
+    /// A proxy has applied all messages up to this nonce.
     Acknowledgement { proxy: ProxyId, nonce: u64 },
 }
 
@@ -42,23 +43,23 @@
 pub struct ProxyAttach {
     pub proxy: ProxyId,
     pub zone: ZoneId,
-    /// A rough figure of its requests per second.
+    /// The proxy's estimate of its requests per second.
     pub request_rate: f64,
-    /// It holds no table that any controller assigned.
+    /// True if the proxy has no table from any controller.
     pub without_table: bool,
 }
 
-/// The attempts at one endpoint over the interval of a report.
+/// The attempts at an endpoint in the interval of a report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReport {
     pub endpoint: EndpointId,
     pub attempts: u32,
     pub failed: u32,
-    /// The mean of the attempts that did not fail; zero where all failed.
+    /// The mean latency of successful attempts; it may be zero if all failed.
     pub mean_latency: Duration,
 }
 
-/// The requests of one class that came to one proxy over the interval of a report.
+/// The requests of a class that a proxy received in the interval of a report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestReport {
     pub proxy: ProxyId,
@@ -66,53 +67,53 @@
     pub requests: u32,
 }
 
-/// Why a line is no message that can be used.
+/// An error of parsing a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// The line is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The line is a JSON value, but not an object.
+    /// The line is valid JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field is missing, or its value can't be used.
+    /// A field is missing, or its value is not allowed.
     #[error("{field}: {found}; allowed: {allowed}")]
     InvalidField { field: &'static str, found: Value, allowed: String },
-    /// Discovery never listed this endpoint.
+    /// Discovery has never listed this endpoint.
     #[error("endpoint: {0:?} was never listed")]
     UnknownEndpoint(String),
-    /// The settings state no such zone or class.
+    /// The settings define no such zone or class.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// Messages of this kind are not for a controller.
+    /// The controller does not accept messages of this kind.
     #[error("t: {0:?} is nothing that a pilot is told")]
     UnknownKind(String),
 }
 
 impl MessageError {
-    /// Whether nothing that follows on the connection can be trusted.
+    /// Returns true if the following lines of the connection can't be trusted.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, MessageError::Json(_) | MessageError::NotAnObject)
     }
 }
 
-/// What a message is checked against.
+/// The state that messages are validated against.
 pub struct MessageContext<'a> {
     pub names: &'a NameIndex,
     pub endpoints: &'a EndpointList,
     pub limits: &'a ReportLimits,
 }
 
-/// Limits beyond which a reported figure can't be true.
+/// Limits beyond which reported values can't be correct.
 pub struct ReportLimits {
-    /// Proxies are numbered from 0 to below this.
+    /// The number of proxies; their ids are below it.
     pub proxies: usize,
-    /// No attempt lasts longer than the longest client timeout, with a margin for noise.
+    /// The maximum latency of an attempt: twice the longest client timeout, which leaves a margin for noise.
     pub max_attempt_latency: Duration,
 }
 
 impl ReportLimits {
-    /// Limits that follow from the settings.
+    /// Derives the limits from the settings.
     pub fn new(settings: &Settings) -> Self {
         let longest_timeout = settings.classes.iter().filter_map(|class| class.client_timeout).max();
         let max_attempt_latency = longest_timeout.map_or(DEFAULT_MAX_ATTEMPT_LATENCY, |timeout| timeout * 2);
@@ -121,17 +122,17 @@
     }
 }
 
-/// Reads a line, without its end.
+/// Parses a line, given without its terminator.
 ///
 /// # Errors
-/// The line is no message, or a field of it can't be used.
+/// Returns an error if the line is not a message, or if one of its fields is missing or invalid.
 pub fn parse_message(line: &[u8], context: &MessageContext) -> Result<InboundMessage, MessageError> {
     let value: Value = serde_json::from_slice(line)?;
     if !value.is_object() {
         return Err(MessageError::NotAnObject);
     }
     let fields = Fields { message: &value, context };
-    match fields.text("t")? {
+    match fields.string("t")? {
         "hb" => Ok(InboundMessage::Heartbeat),
         "telemetry" => Ok(InboundMessage::CollectorAttach { zone: fields.zone()? }),
         "attach" => fields.proxy_attach().map(InboundMessage::ProxyAttach),
@@ -151,25 +152,25 @@
 impl<'a> Fields<'a> {
     fn proxy_attach(&self) -> Result<ProxyAttach, MessageError> {
         let without_table = self.flag("cold")?;
-        let request_rate = self.number("w", MAX_REPORTED)?;
+        let request_rate = self.number("w", MAX_REPORTED_NUMBER)?;
         Ok(ProxyAttach { proxy: self.proxy()?, zone: self.zone()?, request_rate, without_table })
     }
 
     fn acknowledgement(&self) -> Result<InboundMessage, MessageError> {
-        self.number("latency", MAX_REPORTED)?;
+        self.number("latency", MAX_REPORTED_NUMBER)?;
         let nonce = u64::from(self.count("nonce")?);
         Ok(InboundMessage::Acknowledgement { proxy: self.proxy()?, nonce })
     }
 
     fn attempt_report(&self) -> Result<AttemptReport, MessageError> {
-        let name = self.text("endpoint")?;
+        let name = self.string("endpoint")?;
         let endpoint = self.context.endpoints.find(name);
         let endpoint = endpoint.ok_or_else(|| MessageError::UnknownEndpoint(name.into()))?;
         self.zone()?;
         self.check_interval()?;
         let attempts = self.count("total")?;
         let failed = self.count("errors")?;
-        self.check_failed(failed, attempts)?;
+        self.check_failed_count(failed, attempts)?;
         if !matches!(self.message["metrics"], Value::Null | Value::Object(_)) {
             return Err(self.invalid("metrics", "an object"));
         }
@@ -181,12 +182,12 @@
         let requests = self.count("total")?;
         let failed = self.count("errors")?;
         self.check_interval()?;
-        let class = self.context.names.class(self.text("route")?)?;
-        self.check_failed(failed, requests)?;
+        let class = self.context.names.class(self.string("route")?)?;
+        self.check_failed_count(failed, requests)?;
         Ok(RequestReport { proxy: self.proxy()?, class, requests })
     }
 
-    /// The mean time of the attempts that did not fail. Where all failed, the field may be null.
+    /// Returns the mean latency of successful attempts. If all failed, the field may be null.
     fn mean_latency(&self, all_failed: bool) -> Result<Duration, MessageError> {
         if all_failed && self.message["rtt"].is_null() {
             return Ok(Duration::ZERO);
@@ -196,12 +197,12 @@
         Ok(Duration::from_secs_f64(millis / 1e3))
     }
 
-    fn check_failed(&self, failed: u32, total: u32) -> Result<(), MessageError> {
+    fn check_failed_count(&self, failed: u32, total: u32) -> Result<(), MessageError> {
         if failed > total { Err(self.invalid("errors", "at most total")) } else { Ok(()) }
     }
 
     fn check_interval(&self) -> Result<(), MessageError> {
-        let interval = self.number("interval", MAX_REPORTED)?;
+        let interval = self.number("interval", MAX_REPORTED_NUMBER)?;
         if interval > 0.0 { Ok(()) } else { Err(self.invalid("interval", "more than 0")) }
     }
 
@@ -212,10 +213,10 @@
     }
 
     fn zone(&self) -> Result<ZoneId, MessageError> {
-        Ok(self.context.names.zone(self.text("locality")?)?)
+        Ok(self.context.names.zone(self.string("locality")?)?)
     }
 
-    fn text(&self, field: &'static str) -> Result<&'a str, MessageError> {
+    fn string(&self, field: &'static str) -> Result<&'a str, MessageError> {
         self.message[field].as_str().ok_or_else(|| self.invalid(field, "a text"))
     }
 
@@ -229,7 +230,7 @@
     }
 
     fn count(&self, field: &'static str) -> Result<u32, MessageError> {
-        let count = self.number(field, MAX_REPORTED)?;
+        let count = self.number(field, MAX_REPORTED_NUMBER)?;
         if count.fract() == 0.0 { Ok(count as u32) } else { Err(self.invalid(field, "a whole number")) }
     }
 
--- a/crates/platform/src/io/connection.rs
+++ b/crates/platform/src/io/connection.rs
@@ -1,5 +1,5 @@
-//! One connection from a proxy, a collector or anybody else: its task reads lines and writes what is pending. However
-//! the connection ends, what is owed at that instant is paid first: docs/platform.md lists the endings.
+//! The task of an accepted connection, which reads lines and writes pending output. Unless the connection is aborted or
+//! fails, pending output is written before it is closed; docs/platform.md lists the ways in which a connection ends.
 
 use std::io;
 use std::rc::Rc;
@@ -17,18 +17,18 @@
 use super::shared::Shared;
 use crate::connection_admission::ConnectionId;
 
-/// A buffer that a long message has grown beyond this is given back.
-const MAX_KEPT_BUFFER_BYTES: usize = 1 << 16;
-/// How long the last bytes of a connection may take to be written, and the other end to close after that.
+/// An empty read buffer with a larger capacity, as after a long message, is freed.
+const MAX_RETAINED_BUFFER_BYTES: usize = 1 << 16;
+/// The timeout for writing the last bytes of a connection, and the timeout for the peer to close it afterwards.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most bytes that are read and dropped while the other end closes.
-const MAX_DROPPED_BYTES: usize = 1 << 20;
-const DROP_BUFFER_BYTES: usize = 1 << 12;
+/// The maximum number of bytes that are read and discarded until the peer closes.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+const DISCARD_BUFFER_BYTES: usize = 1 << 12;
 
-/// Reads and writes until the connection ends.
+/// Serves a connection until it is closed.
 ///
 /// # Errors
-/// The connection broke.
+/// Returns an error if reading or writing fails, or if the last bytes can't be written in time before a close.
 pub async fn run(
     mut stream: TcpStream,
     connection: ConnectionId,
@@ -43,56 +43,56 @@
         shared,
         reader,
         writer,
-        inbox: LineBuffer::default(),
-        outbox: BytesMut::new(),
+        read_buffer: LineBuffer::default(),
+        write_buffer: BytesMut::new(),
         has_received: false,
     };
     task.run().await
 }
 
-/// The state of the task of a connection.
+/// The state of a connection's task.
 struct ConnectionTask<'a> {
     connection: ConnectionId,
     handle: &'a ConnectionHandle,
     shared: &'a Rc<Shared>,
     reader: ReadHalf<'a>,
     writer: WriteHalf<'a>,
-    inbox: LineBuffer,
-    /// What is being written.
-    outbox: BytesMut,
-    /// Bytes came at some time.
+    read_buffer: LineBuffer,
+    /// The bytes that are being written.
+    write_buffer: BytesMut,
+    /// True once any bytes were received.
     has_received: bool,
 }
 
 impl ConnectionTask<'_> {
     async fn run(mut self) -> io::Result<()> {
         loop {
-            if self.outbox.is_empty() {
-                self.outbox = self.handle.pending.take();
+            if self.write_buffer.is_empty() {
+                self.write_buffer = self.handle.pending.take();
             }
-            self.handle.writing_bytes.set(self.outbox.len());
+            self.handle.writing_bytes.set(self.write_buffer.len());
             match self.handle.shutdown.get() {
                 Some(Shutdown::Now) => return Ok(()),
                 Some(Shutdown::AfterWrites) => return self.close_after_writes().await,
                 None => {}
             }
             if self.handle.final_read.take() {
-                self.read_what_came().await?;
+                self.read_available().await?;
                 self.shared.control_plane.borrow_mut().final_read_completed(self.connection);
                 self.shared.after_input();
                 continue;
             }
             self.release_large_buffer();
             tokio::select! {
-                read = self.reader.read_buf(self.inbox.buffer()) => {
+                read = self.reader.read_buf(self.read_buffer.buffer()) => {
                     if read? == 0 {
-                        return self.end_of_input().await;
+                        return self.handle_end_of_input().await;
                     }
                     self.has_received = true;
                     self.handle_lines();
                 }
-                written = self.writer.write(&self.outbox), if !self.outbox.is_empty() => {
-                    self.bytes_written(written?);
+                written = self.writer.write(&self.write_buffer), if !self.write_buffer.is_empty() => {
+                    self.record_written(written?);
                 }
                 () = self.handle.wake.notified() => {}
             }
@@ -100,39 +100,42 @@
     }
 
     fn release_large_buffer(&mut self) {
-        if self.inbox.pending().is_empty() && self.inbox.buffer().capacity() > MAX_KEPT_BUFFER_BYTES {
-            self.inbox = LineBuffer::default();
+        if self.read_buffer.pending().is_empty()
+            && self.read_buffer.buffer().capacity() > MAX_RETAINED_BUFFER_BYTES
+        {
+            self.read_buffer = LineBuffer::default();
         }
     }
 
-    fn bytes_written(&mut self, written: usize) {
-        self.outbox.advance(written);
-        if self.outbox.is_empty() && self.handle.pending.borrow().is_empty() {
+    fn record_written(&mut self, written: usize) {
+        self.write_buffer.advance(written);
+        if self.write_buffer.is_empty() && self.handle.pending.borrow().is_empty() {
             self.shared.control_plane.borrow_mut().write_completed(self.connection);
             self.shared.input_arrived.notify_one();
         }
     }
 
-    /// Hands whole lines on; the rest stays. A line without an end can't be read.
+    /// Passes complete lines to the control plane; an incomplete line stays in the buffer. Rejects the connection if
+    /// that line is too long.
     fn handle_lines(&mut self) {
         let mut control_plane = self.shared.control_plane.borrow_mut();
         let connection = self.connection;
         let mut handle_line = |line: &[u8]| {
             control_plane.line_received(self.shared.now(), connection, line);
         };
-        while self.inbox.next_line(&mut handle_line).is_some() {}
-        if self.inbox.pending().len() > control_plane.max_line_bytes(connection) {
+        while self.read_buffer.next_line(&mut handle_line).is_some() {}
+        if self.read_buffer.pending().len() > control_plane.max_line_bytes(connection) {
             control_plane.reject(connection, "a message without end");
         }
         drop(control_plane);
         self.shared.after_input();
     }
 
-    /// Reads what lies in the socket by now, without waiting for more.
-    async fn read_what_came(&mut self) -> io::Result<()> {
+    /// Reads and handles the bytes that have already arrived, without waiting for more.
+    async fn read_available(&mut self) -> io::Result<()> {
         tokio::select! {
             biased;
-            read = self.reader.read_buf(self.inbox.buffer()) => {
+            read = self.reader.read_buf(self.read_buffer.buffer()) => {
                 read?;
                 self.handle_lines();
             }
@@ -141,48 +144,49 @@
         Ok(())
     }
 
-    /// The other end sends no more. Its last line may lack its end; it still gets what is pending, as it may have
-    /// closed its sending side only.
-    async fn end_of_input(mut self) -> io::Result<()> {
-        let rest = self.inbox.pending();
-        if !rest.is_empty() {
+    /// Handles the end of the input. The last line may lack its terminator. Pending output is still written, as the
+    /// peer may have closed only its sending side.
+    async fn handle_end_of_input(mut self) -> io::Result<()> {
+        let last_line = self.read_buffer.pending();
+        if !last_line.is_empty() {
             let now = self.shared.now();
-            self.shared.control_plane.borrow_mut().line_received(now, self.connection, rest);
+            self.shared.control_plane.borrow_mut().line_received(now, self.connection, last_line);
         }
         self.shared.control_plane.borrow_mut().connection_ended(self.connection);
         self.shared.after_input();
-        // What can't be written in time is owed to nobody any more.
+        // The session has ended, so output that can't be written in time is discarded.
         let _ = self.write_remaining().await;
         Ok(())
     }
 
-    /// Writes what is pending, then closes. Bytes that lie unread at a close make a reset of it, which may take the
-    /// last message along: who has sent something is read on for a while, where descriptors allow.
+    /// Writes pending output, then closes the connection. Closing a socket with unread input sends a reset, which may
+    /// discard the last message before the peer reads it. So if the peer has sent anything, its input is read and
+    /// discarded for a limited time, provided that file descriptors are available.
     async fn close_after_writes(mut self) -> io::Result<()> {
         self.write_remaining().await?;
         self.writer.shutdown().await?;
         if self.has_received && self.shared.control_plane.borrow().has_capacity() {
-            // It is closed in any case.
-            let _ = timeout(CLOSE_TIMEOUT, self.drop_what_comes()).await;
+            // The connection is closed whether or not the peer closes in time.
+            let _ = timeout(CLOSE_TIMEOUT, self.discard_input()).await;
         }
         Ok(())
     }
 
-    /// Writes the rest of what is being written and all that became pending since: the last message of a connection
-    /// often comes while an earlier one is half written.
+    /// Writes the rest of the current output and everything that became pending since. The last message of a connection
+    /// is often queued while an earlier one is partly written.
     async fn write_remaining(&mut self) -> io::Result<()> {
-        self.outbox.extend_from_slice(&self.handle.pending.take());
-        self.handle.writing_bytes.set(self.outbox.len());
-        timeout(CLOSE_TIMEOUT, self.writer.write_all(&self.outbox)).await?
+        self.write_buffer.extend_from_slice(&self.handle.pending.take());
+        self.handle.writing_bytes.set(self.write_buffer.len());
+        timeout(CLOSE_TIMEOUT, self.writer.write_all(&self.write_buffer)).await?
     }
 
-    async fn drop_what_comes(&mut self) -> io::Result<()> {
-        let mut buffer = vec![0; DROP_BUFFER_BYTES];
-        let mut dropped = 0;
-        while dropped < MAX_DROPPED_BYTES {
+    async fn discard_input(&mut self) -> io::Result<()> {
+        let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
+        let mut discarded = 0;
+        while discarded < MAX_DISCARDED_BYTES {
             match self.reader.read(&mut buffer).await? {
                 0 => break,
-                read => dropped += read,
+                read => discarded += read,
             }
         }
         Ok(())
--- a/crates/platform/src/io/discovery.rs
+++ b/crates/platform/src/io/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list: the whole list first, then a watch that goes on from version to version.
+//! Follows the endpoint list of discovery: fetches the complete list, then long-polls for changes since each version.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,29 +15,30 @@
 use super::shared::{Shared, unix_ms};
 use crate::list_message::ListError;
 
-/// How long discovery may hold a watch open without changes, and how long after that its answer is due. Both are
-/// short: what discovery has to report counts as reported soon after a call has ended, whether it came or not, and a
-/// connection that has gone silent looks like one without changes.
+/// How long discovery may delay its answer to a long poll without changes, and the timeout for the answer beyond that.
+/// Both are short, because discovery counts a change as reported soon after a call has ended, even if the answer was
+/// lost, and because a dead connection looks like one without changes.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// The time between a call that failed and the next connection.
+/// The delay between a failed call and the next connection.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest list that is read.
+/// The maximum size of an answer from discovery.
 const MAX_LIST_BYTES: usize = 8 << 20;
-/// How long a former address of discovery is still followed, unless the new one gives its list before: what the former
-/// one has written by then counts as reported.
-const FORMER_ADDRESS_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The maximum time for which the previous address of discovery is still followed after a change of the address. It
+/// ends earlier when the new address has delivered a list. Answers that the previous address has sent by then count as
+/// reported.
+const PREVIOUS_ADDRESS_TIMEOUT: Duration = Duration::from_millis(1500);
 
 const LIST_PATH: &str = "/discovery/hosts";
 
-/// Why a connection to discovery was given up.
+/// An error of a call to discovery, after which the connection is closed.
 #[derive(Debug, Error)]
 enum DiscoveryError {
-    #[error("no connection in time")]
+    #[error("connect timed out")]
     ConnectTimeout,
-    #[error("no answer in time")]
+    #[error("answer timed out")]
     AnswerTimeout,
-    #[error("status {0}")]
+    #[error("answer has status {0}")]
     Status(String),
     #[error(transparent)]
     Call(#[from] CallError),
@@ -47,49 +48,50 @@
     List(#[from] ListError),
 }
 
-/// Follows discovery at the address that was set last, for as long as the controller runs.
+/// Follows discovery at the latest address until the sender of addresses is dropped. After a change of the address, the
+/// previous one is followed as well for a limited time.
 pub async fn follow(mut addresses: watch::Receiver<SocketAddr>, shared: Rc<Shared>) {
-    let mut former: Vec<JoinHandle<()>> = Vec::new();
+    let mut previous: Vec<JoinHandle<()>> = Vec::new();
     loop {
         let address = *addresses.borrow_and_update();
         let list_received = Rc::new(Notify::new());
         let current = spawn_local(follow_address(address, list_received.clone(), shared.clone()));
         let changed = tokio::select! {
             changed = addresses.changed() => changed,
-            _ = timeout(FORMER_ADDRESS_TIMEOUT, list_received.notified()) => {
-                former.drain(..).for_each(|former| former.abort());
+            _ = timeout(PREVIOUS_ADDRESS_TIMEOUT, list_received.notified()) => {
+                previous.drain(..).for_each(|task| task.abort());
                 addresses.changed().await
             }
         };
-        former.push(current);
+        previous.push(current);
         if changed.is_err() {
-            former.drain(..).for_each(|former| former.abort());
+            previous.drain(..).for_each(|task| task.abort());
             return;
         }
     }
 }
 
 async fn follow_address(address: SocketAddr, list_received: Rc<Notify>, shared: Rc<Shared>) {
-    let mut watcher = Watcher { address, needs_whole_list: true, list_received, shared };
+    let mut watcher = Watcher { address, needs_complete_list: true, list_received, shared };
     loop {
         let Err(error) = watcher.watch().await;
-        warn!(target: "lockcroft::endpoints", %address, %error, "discovery");
+        warn!(target: "lockcroft::endpoints", %address, %error, "discovery call failed, reconnecting");
         sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Follows one address of discovery.
+/// Follows one address of discovery. The next call fetches the complete list at first and after a failed update.
 struct Watcher {
     address: SocketAddr,
-    /// Until the first list, and after one that could not be used.
-    needs_whole_list: bool,
-    /// Notified of each list that was applied.
+    /// True until the first message was applied, and after one that was rejected.
+    needs_complete_list: bool,
+    /// Notified after each message that was applied.
     list_received: Rc<Notify>,
     shared: Rc<Shared>,
 }
 
 impl Watcher {
-    /// Calls on one connection until a call fails.
+    /// Opens a connection and calls discovery on it until a call fails.
     async fn watch(&mut self) -> Result<std::convert::Infallible, DiscoveryError> {
         let connection = timeout(ANSWER_TIMEOUT, HttpConnection::open(self.address)).await;
         let mut connection = connection.map_err(|_| DiscoveryError::ConnectTimeout)??;
@@ -103,10 +105,10 @@
         }
     }
 
-    /// Asks for changes since the version that is held, or for the whole list.
+    /// Requests the changes since the current version, or the complete list.
     async fn call(&self, connection: &mut HttpConnection) -> Result<HttpResponse, DiscoveryError> {
-        let held_version = self.shared.control_plane.borrow().list_version();
-        let (path, max_wait) = match held_version.filter(|_| !self.needs_whole_list) {
+        let current_version = self.shared.control_plane.borrow().list_version();
+        let (path, max_wait) = match current_version.filter(|_| !self.needs_complete_list) {
             Some(version) => {
                 let timeout_ms = WATCH_TIMEOUT.as_millis();
                 let path = format!("{LIST_PATH}?since={version}&timeout_ms={timeout_ms}");
@@ -118,10 +120,11 @@
         Ok(response.map_err(|_| DiscoveryError::AnswerTimeout)??)
     }
 
+    /// Applies a message, and makes the next call fetch the complete list if that fails.
     fn apply(&mut self, message: &Value) -> Result<(), ListError> {
         let now = self.shared.now();
         let applied = self.shared.control_plane.borrow_mut().update_endpoints(now, unix_ms(), message);
-        self.needs_whole_list = applied.is_err();
+        self.needs_complete_list = applied.is_err();
         applied?;
         self.list_received.notify_one();
         self.shared.after_input();
--- a/crates/platform/src/io/error.rs
+++ b/crates/platform/src/io/error.rs
@@ -1,4 +1,4 @@
-//! Why the controller does not start.
+//! Errors of loading the configuration file and of starting to serve.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 
 use crate::config::ConfigError;
 
-/// Why a configuration file can't be used.
+/// An error of loading a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// What stands in the file can't be used.
+    /// The content of the file is invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error in the content.
         source: ConfigError,
     },
 }
 
-/// Why the controller can't serve.
+/// An error of starting to serve.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The address to listen on can't be had.
+    /// The controller can't listen on its address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
 }
--- a/crates/platform/src/io/health_checks.rs
+++ b/crates/platform/src/io/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: one call to an endpoint, and what its response says.
+//! Health checks of endpoints on the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,15 @@
 
 use crate::load_report::parse_load_report;
 
-/// Load reports are short.
+/// The maximum size of a response body; load reports are short.
 const MAX_REPORT_BYTES: usize = 4096;
-/// Answers with the load report; for deployments that have reports.
+/// The path that answers with the load report, in deployments with load reports.
 const LOAD_PATH: &str = "/metrics/load";
+/// The path for health checks without load reports.
 const ALIVE_PATH: &str = "/alive";
 
-/// Checks an endpoint; gives the outcome and how long it took.
+/// Checks an endpoint, requesting its load report if `requests_load` is true. Returns the outcome and the duration of
+/// the check.
 pub async fn check(address: SocketAddr, requests_load: bool) -> (HealthCheckOutcome, Duration) {
     let path = if requests_load { LOAD_PATH } else { ALIVE_PATH };
     let classify = |response: &HttpResponse| classify(address, response);
--- a/crates/platform/src/io/listener.rs
+++ b/crates/platform/src/io/listener.rs
@@ -1,4 +1,4 @@
-//! The address where proxies and collectors connect, and the task that accepts their connections.
+//! The listener for proxies and collectors, and the task that accepts their connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,18 +15,18 @@
 use crate::config::Config;
 use crate::connection_admission::AcceptDecision;
 
-/// How long the address may still be held by the process of before a restart.
+/// How long binding is retried, as the previous process may still use the address after a restart.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// All proxies of a fleet may connect at once, and this many others with them: the listener's queue takes them.
+/// The size of the listener's queue beyond the number of proxies, which may all connect at the same time.
 const BACKLOG_BESIDE_PROXIES: u32 = 1024;
-/// How long to wait after a connection that could not be accepted for want of a descriptor or memory.
+/// The delay after a failed accept, which is most often due to a lack of file descriptors or memory.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens on the configured address, as soon as it is free.
+/// Listens on the configured address, retrying while it is not available.
 ///
 /// # Errors
-/// The address can't be had in time.
+/// Returns the last error if the address does not become available in time.
 pub async fn bind(config: &Config) -> Result<TcpListener, ServeError> {
     let started_at = Instant::now();
     let address = config.listen;
@@ -47,10 +47,10 @@
     socket.listen(backlog)
 }
 
-/// Accepts connections for as long as the controller runs.
+/// Accepts connections until the future is dropped.
 pub async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
-        // Asked before a connection is accepted, as one that is accepted holds a descriptor.
+        // This is decided before a connection is accepted, as an accepted connection needs a file descriptor.
         let accept_decision = shared.control_plane.borrow().accept_decision(shared.now());
         match accept_decision {
             AcceptDecision::Accept => accept_next(&listener, &shared).await,
@@ -67,13 +67,13 @@
 async fn accept_next(listener: &TcpListener, shared: &Rc<Shared>) {
     match listener.accept().await {
         Ok((stream, _)) => start_connection(stream, shared.clone()),
-        // It ended before it was accepted: there may be others behind it.
-        Err(error) if is_gone(&error) => {}
+        // The connection ended before it was accepted; others may be queued behind it.
+        Err(error) if is_aborted_connection(&error) => {}
         Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
     }
 }
 
-fn is_gone(error: &io::Error) -> bool {
+fn is_aborted_connection(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionReset, Interrupted};
     matches!(error.kind(), ConnectionAborted | ConnectionReset | Interrupted)
 }
@@ -81,7 +81,7 @@
 fn start_connection(stream: TcpStream, shared: Rc<Shared>) {
     let AcceptedConnection { connection, handle } = shared.add_connection();
     spawn_local(async move {
-        // Whatever ended it, nothing more is to be heard.
+        // The connection is closed whether or not the task failed.
         let _ = connection::run(stream, connection, &handle, &shared).await;
         shared.remove_connection(connection);
     });
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets, signals and clock of the controller on the platform. All tasks run on one thread and belong to the
-//! [`LocalSet`] of [`serve`]: when it returns, those that still run end with it.
+//! Sockets, signals and the clock of the controller process on the platform. All tasks run on one thread in the
+//! [`LocalSet`] of [`serve`], and those that still run when it returns are dropped.
 
 mod connection;
 mod connection_handle;
@@ -22,10 +22,11 @@
 pub use self::error::{ConfigFileError, ServeError};
 pub use self::reload::read_config;
 
-/// Runs the controller until SIGTERM; proxies keep their tables then. SIGHUP reads the file at `path` again.
+/// Runs the controller until SIGTERM; proxies keep their tables afterwards. SIGHUP reloads the configuration file at
+/// `path`. Blocks the calling thread.
 ///
 /// # Errors
-/// The listener's address can't be had.
+/// Returns an error if the controller can't listen on the configured address.
 pub fn serve(path: &Path, config: Config, runtime: &Runtime, mut signals: Signals) -> Result<(), ServeError> {
     let tasks = LocalSet::new();
     tasks.block_on(runtime, async {
--- a/crates/platform/src/io/shared.rs
+++ b/crates/platform/src/io/shared.rs
@@ -1,5 +1,5 @@
-//! The state that all tasks share: the control plane, the clock and the handles of connections. All tasks run on one thread, and
-//! none holds a borrow of the control plane over an await.
+//! State shared by all tasks: the control plane, the clock and the handles of connections. All tasks run on one thread,
+//! and none keeps a borrow of the control plane across an await point.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,24 +17,24 @@
 use crate::connection_admission::ConnectionId;
 use crate::control_plane::{ControlPlane, Effect};
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub struct Shared {
     pub control_plane: RefCell<ControlPlane>,
     started_at: Instant,
-    /// Wakes the loop of ticks: something came that may have to be decided on.
+    /// Wakes the tick loop after input that the controller may have to act on.
     pub input_arrived: Notify,
     handles: RefCell<BTreeMap<ConnectionId, Rc<ConnectionHandle>>>,
     last_connection: Cell<ConnectionId>,
 }
 
-/// A connection that was added, and how its task is reached.
+/// An accepted connection and the handle of its task.
 pub struct AcceptedConnection {
     pub connection: ConnectionId,
     pub handle: Rc<ConnectionHandle>,
 }
 
 impl Shared {
-    /// A control plane that has not begun; its clock starts now.
+    /// Creates the shared state with a new control plane and starts the clock.
     pub fn new(config: &Config) -> Rc<Self> {
         Rc::new(Shared {
             control_plane: RefCell::new(ControlPlane::new(config)),
@@ -45,17 +45,17 @@
         })
     }
 
-    /// The time since the start, as decisions count it.
+    /// Returns the time since startup, the clock of the control plane.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// A time since the start as an instant of the runtime's clock.
+    /// Converts a time since startup to an instant of the runtime's clock.
     pub fn instant(&self, time: Duration) -> tokio::time::Instant {
         (self.started_at + time).into()
     }
 
-    /// Adds a connection that was accepted.
+    /// Adds an accepted connection.
     pub fn add_connection(&self) -> AcceptedConnection {
         let connection = self.last_connection.get() + 1;
         self.last_connection.set(connection);
@@ -73,46 +73,51 @@
         self.after_input();
     }
 
-    /// How many connections hold a descriptor.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.handles.borrow().len()
     }
 
-    /// Whether all that was to be written to any connection is out.
+    /// Returns true if all output of all connections was written.
     pub fn all_written(&self) -> bool {
         self.handles.borrow().values().all(|handle| handle.is_idle())
     }
 
-    /// Does what can't wait for the next decisions, and has those made soon.
+    /// Carries out queued effects, and wakes the tick loop to run the controller.
     pub fn after_input(self: &Rc<Self>) {
         let effects = self.control_plane.borrow_mut().take_effects();
         self.carry_out(effects);
         self.input_arrived.notify_one();
     }
 
-    /// Decides by now, and does what comes of it.
+    /// Runs the controller and carries out its effects.
     pub fn decide(self: &Rc<Self>) {
         let effects = self.control_plane.borrow_mut().decide(self.now());
         self.carry_out(effects);
     }
 
+    /// Carries out effects. Those on closed connections are ignored.
     pub fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Write { connection, text } => self.with(connection, |handle| handle.write(&text)),
+                Effect::Write { connection, text } => {
+                    self.with_handle(connection, |handle| handle.write(&text))
+                }
                 Effect::Close { connection } => {
-                    self.with(connection, |handle| handle.shut_down(Shutdown::AfterWrites));
+                    self.with_handle(connection, |handle| handle.shut_down(Shutdown::AfterWrites));
+                }
+                Effect::FinalRead { connection } => {
+                    self.with_handle(connection, ConnectionHandle::request_final_read)
                 }
-                Effect::FinalRead { connection } => self.with(connection, ConnectionHandle::final_read),
                 Effect::Abort { connection } => {
-                    self.with(connection, |handle| handle.shut_down(Shutdown::Now));
+                    self.with_handle(connection, |handle| handle.shut_down(Shutdown::Now));
                 }
                 Effect::CheckHealth { endpoint, address } => self.start_health_check(endpoint, address),
             }
         }
     }
 
-    /// Starts a health check, which ends within its timeout and hands its outcome on.
+    /// Starts a task that checks an endpoint and passes the outcome to the control plane.
     fn start_health_check(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) {
         let shared = self.clone();
         spawn_local(async move {
@@ -126,15 +131,15 @@
         });
     }
 
-    /// Calls this on the handle of a connection, unless its socket is closed by now.
-    fn with(&self, connection: ConnectionId, call: impl FnOnce(&ConnectionHandle)) {
+    /// Calls a function with the handle of a connection, unless its socket is closed.
+    fn with_handle(&self, connection: ConnectionId, call: impl FnOnce(&ConnectionHandle)) {
         if let Some(handle) = self.handles.borrow().get(&connection) {
             call(handle);
         }
     }
 }
 
-/// The time in Unix milliseconds.
+/// Returns the current time in Unix milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of a running controller: it decides whenever something came or a time that decisions wait for is reached,
-//! until SIGTERM. What comes within one tick is decided on together.
+//! The main loop, which runs the controller after inputs and at its due times until SIGTERM. Inputs that arrive within
+//! one decision interval are handled in one run of the controller.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -16,15 +16,15 @@
 use super::{discovery, listener, reload};
 use crate::config::Config;
 
-/// How long inputs are gathered for one decision where the settings state no interval.
+/// How long inputs are collected before the controller runs, if the settings give no interval.
 const DEFAULT_DECISION_INTERVAL: Duration = Duration::from_millis(5);
-/// How long what was decided may be written at the end; well below what the platform grants after SIGTERM.
+/// The maximum time for writing the last updates after SIGTERM; well below the platform's grace period.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 const FINAL_WRITE_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How often counters are logged.
+/// The interval between logs of the counters.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Serves on the listener until SIGTERM.
+/// Serves connections of the listener until SIGTERM, then writes the last updates and returns.
 pub async fn run(path: &Path, config: Config, listener: TcpListener, mut signals: Signals) {
     let shared = Shared::new(&config);
     apply_last_known_endpoint_list(&shared, &config);
@@ -48,7 +48,7 @@
         }
         shared.decide();
     }
-    info!(target: "lockcroft::platform", "SIGTERM received; proxies keep their tables");
+    info!(target: "lockcroft::platform", "received SIGTERM, shutting down; proxies keep their tables");
     accepting.abort();
     shared.decide();
     tokio::select! {
@@ -58,16 +58,16 @@
     }
 }
 
-/// Starts from the list that the platform kept of this controller's last run.
+/// Applies the endpoint list of this controller's previous run, if the configuration has one.
 fn apply_last_known_endpoint_list(shared: &Shared, config: &Config) {
     let Some(list) = &config.last_known_endpoint_list else { return };
     let applied = shared.control_plane.borrow_mut().update_endpoints(shared.now(), unix_ms(), list);
     if let Err(error) = applied {
-        warn!(target: "lockcroft::endpoints", %error, "the list of before can't be used");
+        warn!(target: "lockcroft::endpoints", %error, "cannot use the last known endpoint list");
     }
 }
 
-/// Waits until nothing that was begun or decided waits for a socket any more.
+/// Waits until all output of all connections was written.
 async fn all_written(shared: &Shared) {
     loop {
         sleep(FINAL_WRITE_POLL_INTERVAL).await;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! The controller on the users' platform: streams of proxies, collectors, discovery and health checks as one more way
-//! in and out of the decisions of [`lockcroft::Controller`].
+//! The controller process on the users' platform. It connects [`lockcroft::Controller`] to proxy streams, collectors,
+//! service discovery and health checks.
 //!
-//! The core is free of I/O and clock: [`ControlPlane`] takes what arrives and returns the [`Effect`]s to carry out.
-//! Sockets, signals and the clock are in [`io`]. The names of the protocol's fields stand in three modules only:
-//! `inbound` (messages of proxies and collectors), `list_message` (discovery) and `outbound` (messages to proxies).
+//! [`ControlPlane`] does no I/O and reads no clock: it takes inputs and returns the [`Effect`]s to carry out. Sockets,
+//! signals and the clock are in [`io`]. The field names of the protocol appear in three modules only: `inbound`
+//! (messages from proxies and collectors), `list_message` (messages from discovery) and `outbound` (messages to
+//! proxies).
 
 #![warn(missing_docs)]
 
--- a/crates/platform/src/list_message.rs
+++ b/crates/platform/src/list_message.rs
@@ -1,5 +1,5 @@
-//! Messages of discovery: a JSON object with the whole endpoint list or its changes. This is the only place with the
-//! names of its fields.
+//! Parses messages of discovery: JSON objects with the complete endpoint list or with changes to it. The field names of
+//! these messages appear only in this module.
 
 use std::net::SocketAddr;
 
@@ -8,93 +8,95 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a message of discovery changes nothing.
+/// An error that makes a discovery message unusable as a whole.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ListError {
-    /// The version is missing.
-    #[error("index: not a whole number")]
+    /// The version is missing or invalid.
+    #[error("index is missing or not a whole number")]
     MissingVersion,
-    /// It does not say whether it is the whole list.
-    #[error("snapshot: neither true nor false")]
+    /// The flag that distinguishes a complete list from changes is missing or invalid.
+    #[error("snapshot is missing or not a boolean")]
     MissingSnapshotFlag,
-    /// There is no list of entries.
-    #[error("endpoints: not a list")]
+    /// The array of entries is missing or invalid.
+    #[error("endpoints is missing or not an array")]
     MissingEntries,
-    /// Changes that do not continue the list that is held.
-    #[error("changes to version {version} on top of {current:?}")]
+    /// The message has changes, but no list was received yet, or the current list has a higher version.
+    #[error("changes to version {version} don't apply to current version {current:?}")]
     ChangesWithoutBase {
         /// The version of the changes.
         version: u64,
-        /// The version that is held.
+        /// The version of the current list.
         current: Option<u64>,
     },
-    /// A whole list that is older than the one that is held.
-    #[error("a whole list of version {version}, older than {current:?}")]
+    /// The message has a complete list with a lower version than the current one.
+    #[error("complete list of version {version} is older than current version {current:?}")]
     Stale {
-        /// The version of the whole list.
+        /// The version of the complete list.
         version: u64,
-        /// The version that is held.
+        /// The version of the current list.
         current: Option<u64>,
     },
-    /// A whole list of which nothing can be used, while endpoints are held.
-    #[error("a whole list without a usable entry, {rejected} faults")]
+    /// The message has a complete list without a valid entry, while the current list has endpoints.
+    #[error("complete list has no valid entry, {rejected} rejected")]
     NoUsableEntry {
-        /// How many entries could not be used.
+        /// The number of invalid entries.
         rejected: usize,
     },
 }
 
-/// Why one entry of the list can't be used.
+/// An error that makes an entry of the list unusable.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EntryError {
-    /// A field is missing, or no text.
-    #[error("{field} of {entry}: not a text")]
+    /// A field is missing or not a string.
+    #[error("{field} of {entry} is missing or not a string")]
     NotText {
         /// The name of the field.
         field: &'static str,
-        /// The whole entry.
+        /// The entry.
         entry: Value,
     },
-    /// The status is none of the protocol's.
+    /// The status is not one of the protocol.
     #[error("status of {name}: {status:?}; allowed: up, draining, removed")]
     UnknownStatus {
         /// The name of the endpoint.
         name: String,
-        /// The status that stands there.
+        /// The status that was found.
         status: String,
     },
-    /// The settings do not state its zone or machine type.
+    /// The settings don't define its zone or machine type.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The weight is below 0.
+    /// The weight is negative.
     #[error("weight of {name}: {weight}; allowed: 0 or more")]
     InvalidWeight {
         /// The name of the endpoint.
         name: String,
-        /// The weight that stands there.
+        /// The weight that was found.
         weight: f64,
     },
-    /// The address can't be read.
-    #[error("address of {name}: {address:?}")]
+    /// The address is invalid.
+    #[error("address of {name}: {address:?}; allowed: an IP address and a port")]
     InvalidAddress {
         /// The name of the endpoint.
         name: String,
-        /// The address that stands there.
+        /// The address that was found.
         address: String,
     },
 }
 
-/// A message of discovery, with its entries not read yet.
+/// A discovery message whose entries are not parsed yet.
 pub struct ListMessage<'a> {
     pub version: u64,
-    /// The entries are the whole list; else they are changes.
+    /// True if the entries are the complete list, false if they are changes.
     pub is_complete: bool,
     pub entries: &'a [Value],
 }
 
 impl<'a> ListMessage<'a> {
+    /// Parses a message except for its entries.
+    ///
     /// # Errors
-    /// The message as a whole can't be used.
+    /// Returns an error if a field of the message is missing or invalid.
     pub fn parse(message: &'a Value) -> Result<Self, ListError> {
         let version = message["index"].as_u64().ok_or(ListError::MissingVersion)?;
         let is_complete = message["snapshot"].as_bool().ok_or(ListError::MissingSnapshotFlag)?;
@@ -103,7 +105,7 @@
     }
 }
 
-/// One entry of the list.
+/// An entry of the endpoint list.
 pub struct ListEntry<'a> {
     pub name: &'a str,
     pub address: SocketAddr,
@@ -111,29 +113,31 @@
     pub machine_type: MachineTypeId,
     pub status: EndpointStatus,
     pub weight: f64,
-    /// When its process last started, in Unix milliseconds; `None` for long ago.
+    /// The start time of the endpoint's process in Unix milliseconds; `None` if it started long ago.
     pub started_unix_ms: Option<u64>,
 }
 
 impl<'a> ListEntry<'a> {
+    /// Parses an entry. A weight that is missing or not a number counts as 1.
+    ///
     /// # Errors
-    /// The entry can't be used.
+    /// Returns an error if a field is missing or invalid, or if the settings don't define its zone or machine type.
     pub fn parse(entry: &'a Value, names: &NameIndex) -> Result<Self, EntryError> {
-        let name = text(entry, "name")?;
-        let status = status(name, text(entry, "status")?)?;
-        let zone = names.zone(text(entry, "zone")?)?;
-        let machine_type = names.machine_type(text(entry, "type")?)?;
+        let name = string_field(entry, "name")?;
+        let status = status(name, string_field(entry, "status")?)?;
+        let zone = names.zone(string_field(entry, "zone")?)?;
+        let machine_type = names.machine_type(string_field(entry, "type")?)?;
         let weight = entry["weight"].as_f64().unwrap_or(1.0);
         if !(weight >= 0.0 && weight.is_finite()) {
             return Err(EntryError::InvalidWeight { name: name.into(), weight });
         }
-        let address = address(name, text(entry, "address")?)?;
+        let address = address(name, string_field(entry, "address")?)?;
         let started_unix_ms = entry["since_ms"].as_u64().filter(|started| *started != 0);
         Ok(ListEntry { name, address, zone, machine_type, status, weight, started_unix_ms })
     }
 }
 
-fn text<'a>(entry: &'a Value, field: &'static str) -> Result<&'a str, EntryError> {
+fn string_field<'a>(entry: &'a Value, field: &'static str) -> Result<&'a str, EntryError> {
     entry[field].as_str().ok_or_else(|| EntryError::NotText { field, entry: entry.clone() })
 }
 
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -1,9 +1,9 @@
-//! The load report that an endpoint answers a health check with: `inflight=7,queue=2,util=0.61`.
+//! Parses the load report in an endpoint's answer to a health check, such as `inflight=7,queue=2,util=0.61`.
 
-/// Names of the fraction of cores in use: as the settings list it, and as the protocol's page has it.
+/// The names of the fraction of cores in use: the one in the settings and the one in the protocol's documentation.
 const LOAD_NAMES: [&str; 2] = ["busy", "util"];
 
-/// The fraction of its cores in use that an endpoint reports, if it reports one of 0 or more.
+/// Returns the fraction of its cores in use that an endpoint reports; `None` if it is absent, negative or not finite.
 #[must_use]
 pub fn parse_load_report(report: &str) -> Option<f64> {
     let mut pairs = report.split(',').filter_map(|pair| pair.trim().split_once('='));
--- a/crates/platform/src/outbound.rs
+++ b/crates/platform/src/outbound.rs
@@ -1,4 +1,5 @@
-//! Messages to proxies and collectors, as JSON objects on lines. This is the only place with the names of their fields.
+//! Encodes messages to proxies and collectors as lines with one JSON object each. The field names of these messages
+//! appear only in this module.
 
 use lockcroft_host::Admission;
 use serde::{Serialize, Serializer};
@@ -6,53 +7,53 @@
 
 use crate::inbound::MAX_MESSAGE_BYTES;
 
-/// Nonces are numbered from 0 to below this, and then from 0 again.
-pub const NONCES: u64 = 1 << 16;
-/// The answer to a heartbeat.
+/// The number of distinct nonces: they count from 0 to below this and then start again from 0.
+pub const NONCE_COUNT: u64 = 1 << 16;
+/// The reply to a heartbeat.
 pub const HEARTBEAT_REPLY: &str = "{\"t\":\"hb_ok\"}\n";
-/// The most bytes of entries in one part: a line holds [`MAX_MESSAGE_BYTES`], with all else in it.
+/// The maximum size of the entries in a part. A line is limited to [`MAX_MESSAGE_BYTES`], with all other fields.
 const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 2;
-/// The most bytes that an entry takes beside the endpoint's name.
+/// The maximum size of an encoded entry without the endpoint's name.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Says why a connection is closed.
+/// Encodes the message that gives the reason for closing a connection.
 pub fn encode_reject(reason: &str) -> String {
     encode_line(&json!({"t": "reject", "reason": reason}))
 }
 
-/// One part of a message to a proxy: what changes for some of its classes.
+/// A part of a message to a proxy, with the changes for some of its classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdatePart<'a> {
     /// The kind of the message.
     #[serde(rename = "t")]
     pub kind: MessageKind,
-    /// The classes whose table is meant; all of them if `None`.
+    /// The classes that the part applies to; `None` for all classes.
     #[serde(rename = "routes", skip_serializing_if = "Option::is_none")]
     pub classes: Option<Vec<&'a str>>,
-    /// The entries are the whole table, and admission starts anew.
+    /// True if the entries are the complete table. This also resets admission.
     #[serde(rename = "full", skip_serializing_if = "is_false")]
     pub replaces_table: bool,
-    /// Entries that change.
+    /// The changed entries.
     #[serde(rename = "endpoints", skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<EntryChange<'a>>,
-    /// What is admitted of the classes, if that changes.
+    /// The new admission of the classes, if it changes.
     #[serde(flatten)]
     pub admission: Option<AdmissionChange>,
-    /// Endpoints that the proxy is not to use.
+    /// Endpoints that the proxy must not use.
     #[serde(rename = "eject", skip_serializing_if = "Vec::is_empty")]
     pub eject: Vec<&'a str>,
     /// Endpoints that the proxy may use again.
     #[serde(rename = "restore", skip_serializing_if = "Vec::is_empty")]
     pub restore: Vec<&'a str>,
-    /// To be acknowledged once everything up to here is applied.
+    /// The nonce that the proxy acknowledges after it has applied all messages up to this one.
     #[serde(rename = "nonce_out", skip_serializing_if = "Option::is_none")]
     pub nonce: Option<u64>,
-    /// A further part of the same message follows.
+    /// True if another part of the same message follows.
     #[serde(rename = "continued", skip_serializing_if = "is_false")]
     pub is_continued: bool,
 }
 
-/// The kind of a message; there is one kind to proxies.
+/// The kind of an update message; there is only one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub enum MessageKind {
     #[default]
@@ -78,7 +79,7 @@
 pub struct AdmissionChange {
     #[serde(rename = "admit")]
     fraction: f64,
-    /// 1 for one retry after proof of non-execution, else 0.
+    /// 1 if a request may be retried once after proof that the attempt was not executed, else 0.
     #[serde(rename = "policy")]
     retry_policy: u8,
 }
@@ -90,7 +91,8 @@
 }
 
 impl<'a> UpdatePart<'a> {
-    /// As many entries as the platform's channel counts for this part, in a fleet with so many classes.
+    /// Returns the number of entries that the platform's channel counts for this part, in a fleet with `class_count`
+    /// classes.
     pub fn channel_entries(&self, class_count: usize) -> usize {
         let endpoints = self.entries.len() + self.eject.len() + self.restore.len();
         let classes = self.classes.as_ref().map_or(class_count, Vec::len);
@@ -98,9 +100,9 @@
         endpoints + admissions + usize::from(self.replaces_table) + usize::from(self.nonce.is_some())
     }
 
-    /// Splits a part whose entries are too many for a line.
+    /// Splits the part into parts that each fit in a line.
     fn into_lines(mut self) -> Vec<UpdatePart<'a>> {
-        let mut chunks = chunks_of_entries(std::mem::take(&mut self.entries)).into_iter();
+        let mut chunks = split_entries(std::mem::take(&mut self.entries)).into_iter();
         let classes = self.classes.clone();
         let nonce = self.nonce.take();
         self.entries = chunks.next().unwrap_or_default();
@@ -110,7 +112,7 @@
             entries,
             ..UpdatePart::default()
         }));
-        // The nonce stands behind all entries, as it acknowledges them.
+        // The nonce acknowledges all entries, so it is sent with the last of them.
         if let Some(last) = lines.last_mut() {
             last.nonce = nonce;
         }
@@ -118,25 +120,25 @@
     }
 }
 
-/// Splits entries so that each chunk fits in a line; there is always one chunk.
-fn chunks_of_entries(entries: Vec<EntryChange>) -> Vec<Vec<EntryChange>> {
-    let mut full = Vec::new();
+/// Splits entries into chunks that each fit in a line; there is always at least one chunk.
+fn split_entries(entries: Vec<EntryChange>) -> Vec<Vec<EntryChange>> {
+    let mut chunks = Vec::new();
     let mut chunk = Vec::new();
     let mut chunk_bytes = 0;
     for entry in entries {
         let entry_bytes = entry.endpoint.len() + ENTRY_OVERHEAD_BYTES;
         if chunk_bytes + entry_bytes > MAX_PART_BYTES {
-            full.push(std::mem::take(&mut chunk));
+            chunks.push(std::mem::take(&mut chunk));
             chunk_bytes = 0;
         }
         chunk_bytes += entry_bytes;
         chunk.push(entry);
     }
-    full.push(chunk);
-    full
+    chunks.push(chunk);
+    chunks
 }
 
-/// The parts of one message, as they go on a stream.
+/// Encodes the parts of a message as lines of a stream.
 pub fn encode_message(parts: Vec<UpdatePart>) -> String {
     let mut lines: Vec<UpdatePart> = parts.into_iter().flat_map(UpdatePart::into_lines).collect();
     if let Some((_last, others)) = lines.split_last_mut() {
@@ -146,7 +148,7 @@
 }
 
 fn encode_line(value: &impl Serialize) -> String {
-    // Texts, numbers and lists of them always have a form in JSON.
+    // Serialization can't fail: the values contain only strings, numbers, booleans and arrays of them.
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
--- a/crates/platform/src/proxy_stream.rs
+++ b/crates/platform/src/proxy_stream.rs
@@ -1,5 +1,5 @@
-//! One proxy's stream: what was sent on it, what the proxy should hold, and the message between the two. A proxy that
-//! is slow to read gets no second message while one is being written, and then only the latest state.
+//! The update stream of a proxy: its assigned tables, the state that was sent, and the changes between them. While a
+//! message to a slow proxy is still being written, no further message is created; the next one has the latest state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,17 +11,16 @@
 use crate::ejections::{EjectionChanges, ProxyEjections};
 use crate::outbound::UpdatePart;
 
-/// How many nonces of one stream may wait for their acknowledgement; the oldest of a proxy that sends none is
-/// forgotten.
+/// The maximum number of unacknowledged nonces of a stream; beyond it, the oldest is discarded.
 const MAX_PENDING_NONCES: usize = 64;
 
-/// A nonce that was sent, and the message that carries it.
+/// A nonce that was sent, and the message that carried it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentNonce {
     pub nonce: u64,
-    /// Where the decisions count this message in the platform's channel.
+    /// The position of the message in the platform's channel, as returned by the controller.
     pub channel_position: f64,
-    /// How many entries the channel counts for this message.
+    /// The number of entries that the channel counts for this message.
     pub entries: usize,
 }
 
@@ -31,14 +30,14 @@
     pub connection: ConnectionId,
     tables: BTreeMap<TableId, AssignedTable>,
     ejections: ProxyEjections,
-    /// A message is still being written.
+    /// True while a message is being written.
     pub is_writing: bool,
-    /// Nonces that were sent on this stream and are not acknowledged, in the order of sending.
+    /// Unacknowledged nonces, in the order of sending.
     pending_nonces: VecDeque<SentNonce>,
 }
 
 impl ProxyStream {
-    /// `without_table`: the proxy holds nothing that any controller assigned.
+    /// Creates a stream without tables. `without_table` is true if the proxy has no table from any controller.
     pub fn new(connection: ConnectionId, without_table: bool) -> Self {
         ProxyStream {
             connection,
@@ -49,7 +48,7 @@
         }
     }
 
-    /// A nonce was sent on this stream.
+    /// Records that a nonce was sent on this stream.
     pub fn record_nonce(&mut self, nonce: SentNonce) {
         self.pending_nonces.push_back(nonce);
         if self.pending_nonces.len() > MAX_PENDING_NONCES {
@@ -57,24 +56,25 @@
         }
     }
 
-    /// The proxy has applied everything up to this nonce; `None` if it was not asked for on this stream.
+    /// Records that the proxy has applied all messages up to this nonce, and returns the nonce; `None` if it is not
+    /// pending on this stream.
     pub fn acknowledge(&mut self, nonce: u64) -> Option<SentNonce> {
         let position = self.pending_nonces.iter().position(|sent| sent.nonce == nonce)?;
         self.pending_nonces.drain(..=position).next_back()
     }
 
-    /// Assigns a table for these classes; it is sent as a whole.
+    /// Assigns a table to these classes; its complete content is sent next.
     pub fn assign(&mut self, table: TableId, classes: Vec<ClassId>) {
         self.tables.insert(table, AssignedTable::new(classes));
     }
 
-    /// Whether the proxy is assigned to this table.
+    /// Returns true if the table is assigned to the proxy.
     pub fn has_table(&self, table: TableId) -> bool {
         self.tables.contains_key(&table)
     }
 
-    /// Ejects an endpoint at this proxy. A proxy whose classes are all on assigned tables needs no message for that:
-    /// the endpoint leaves those tables.
+    /// Ejects an endpoint at this proxy. If all classes of the proxy have an assigned table, no message is necessary:
+    /// the endpoint is removed from those tables.
     pub fn eject(&mut self, endpoint: EndpointId, class_count: usize) {
         let assigned: usize = self.tables.values().map(|table| table.classes.len()).sum();
         if assigned < class_count {
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Ends the ejection of an endpoint.
+    /// Restores an ejected endpoint.
     pub fn restore(&mut self, endpoint: EndpointId) {
         self.ejections.restore(endpoint);
     }
 
-    /// The message that brings the proxy from what was sent to what is published; no part if nothing changed. What is
-    /// returned counts as sent.
+    /// Returns the parts of a message that brings the proxy from the last sent to the published state; none if nothing
+    /// changed. The returned changes count as sent.
     pub fn next_message<'a>(&mut self, view: &PublishedView<'a>) -> Vec<UpdatePart<'a>> {
         let mut ejection_changes = self.ejections.take_changes();
         let mut parts = Vec::new();
@@ -100,8 +100,8 @@
                 continue;
             }
             parts.extend(changes);
-            let earlier = self.ejections.take_earlier(published.entries.keys(), view.endpoints);
-            ejection_changes.restore.extend(earlier);
+            let restored = self.ejections.take_earlier_ejections(published.entries.keys(), view.endpoints);
+            ejection_changes.restore.extend(restored);
             assigned.record_sent(published.clone());
         }
         add_ejections(&mut parts, &ejection_changes, view);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Puts changes of ejections into the first part, or into one of their own.
+/// Adds changes of ejections to the first part, or as the only part if there is none.
 fn add_ejections<'a>(parts: &mut Vec<UpdatePart<'a>>, changes: &EjectionChanges, view: &PublishedView<'a>) {
     if changes.is_empty() {
         return;
--- a/crates/platform/tests/controller/channel.rs
+++ b/crates/platform/tests/controller/channel.rs
@@ -1,4 +1,5 @@
-//! What waits in the platform's channel behind the streams, and what acknowledged nonces say of it.
+//! The queue of the platform's channel that forwards messages from the streams to proxies, and the controller's
+//! estimate of it from acknowledged nonces.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,42 +11,42 @@
 use crate::harness::{Harness, START_UNIX_MS, config, entry, list};
 
 const MAX_QUEUED_ENTRIES: usize = 8000;
-/// Entries per second that the settings state for the channel.
-const STATED_RATE: f64 = 5000.0;
+/// The channel rate in the settings, in entries per second.
+const CONFIGURED_RATE: f64 = 5000.0;
 const MESSAGE_OVERHEAD_ENTRIES: usize = 4;
 const ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_millis(260);
 const STEP: Duration = Duration::from_millis(10);
 const ENDPOINTS: usize = 200;
-/// Endpoints that started long ago; the others have just started.
+/// The number of endpoints that started long ago; the others have just started.
 const OLD_ENDPOINTS: usize = 100;
 const REMOVED_ENDPOINTS: usize = 60;
 const REMOVAL_AT: Duration = Duration::from_millis(5500);
 const FIRST_ATTACHMENT_AT: Duration = Duration::from_secs(6);
 const END_AT: Duration = Duration::from_secs(40);
 
-/// A message that is still to be sent to its proxy.
+/// A message that is queued for its proxy.
 struct QueuedMessage {
     connection: ConnectionId,
     replaces_table: bool,
     remaining_entries: f64,
-    /// The nonce that the message carries, and on which connection.
+    /// The nonce of the message and its connection.
     nonce: Option<(ConnectionId, u64)>,
 }
 
-/// An acknowledgement that is due at some time.
+/// An acknowledgement that the controller receives at `due_at`.
 struct DueAcknowledgement {
     due_at: Duration,
     connection: ConnectionId,
     nonce: u64,
 }
 
-/// A channel that sends messages one after the other, and proxies that acknowledge nonces.
+/// A channel that forwards messages sequentially, and proxies that acknowledge nonces.
 struct Channel {
     entries_per_second: f64,
     queue: VecDeque<QueuedMessage>,
     acknowledgements: VecDeque<DueAcknowledgement>,
     max_queued_entries: usize,
-    /// When each proxy's first table has left the channel.
+    /// When the first table of each proxy left the channel.
     table_sent_at: BTreeMap<ConnectionId, Duration>,
 }
 
@@ -101,8 +102,8 @@
     }
 }
 
-/// A controller that starts during a release: some endpoints are removed and others have just started, while proxies
-/// of another controller attach one after the other.
+/// A controller that starts during a rolling release: some endpoints are removed and others have just started, while
+/// proxies of another controller attach one after the other.
 struct Release {
     control_plane: ControlPlane,
     channel: Channel,
@@ -110,19 +111,19 @@
     now: Duration,
     removals_reported: bool,
     attached: usize,
-    /// The requests a second that each proxy states.
+    /// Returns the request rate that the proxy with this index reports.
     request_rates: fn(usize) -> f64,
     attached_at: Vec<Duration>,
-    /// When each proxy was written its first table.
+    /// When the first table of each proxy was written.
     table_written_at: Vec<Option<Duration>>,
 }
 
-/// What came of a release.
+/// The result of a release.
 struct ReleaseResult {
     max_queued_entries: usize,
-    /// From the first attachment until the last proxy was written its table.
+    /// The time from the first attachment until the last table was written.
     last_table_after: Duration,
-    /// The longest time from an attachment until that proxy's table had left the channel.
+    /// The longest time from an attachment until the proxy's table left the channel.
     longest_wait: Duration,
 }
 
@@ -132,17 +133,18 @@
         for (name, value) in [
             ("agents", 500.0),
             ("queue_cap", MAX_QUEUED_ENTRIES as f64),
-            ("egress_per_s", STATED_RATE),
+            ("egress_per_s", CONFIGURED_RATE),
             ("overhead", MESSAGE_OVERHEAD_ENTRIES as f64),
         ] {
             settings["settings"]["specifics"][name] = json!(value);
         }
-        let mut control_plane = ControlPlane::new(&Config::parse(&settings.to_string()).expect("sound"));
+        let mut control_plane =
+            ControlPlane::new(&Config::parse(&settings.to_string()).expect("valid configuration"));
         let names: Vec<String> = (0..ENDPOINTS).map(|index| format!("s-{index}")).collect();
         let since = |index: usize| if index < OLD_ENDPOINTS { 0 } else { START_UNIX_MS - 1000 };
         let entries = names.iter().enumerate().map(|(index, name)| entry(name, "up", since(index)));
-        let whole = list(2, true, &entries.collect::<Vec<Value>>());
-        control_plane.update_endpoints(Duration::ZERO, START_UNIX_MS, &whole).expect("sound");
+        let complete = list(2, true, &entries.collect::<Vec<Value>>());
+        control_plane.update_endpoints(Duration::ZERO, START_UNIX_MS, &complete).expect("valid list");
         Release {
             control_plane,
             channel: Channel::new(entries_per_second),
@@ -195,7 +197,7 @@
         }
         let removed = self.names[..REMOVED_ENDPOINTS].iter().map(|name| entry(name, "removed", 0));
         let changes = list(3, false, &removed.collect::<Vec<Value>>());
-        self.control_plane.update_endpoints(self.now, START_UNIX_MS + 5500, &changes).expect("sound");
+        self.control_plane.update_endpoints(self.now, START_UNIX_MS + 5500, &changes).expect("valid changes");
         self.removals_reported = true;
     }
 
@@ -216,7 +218,7 @@
     }
 
     fn decide(&mut self) {
-        // The platform takes what was written at one time in an order of its own.
+        // The platform may take messages that were written at the same time in any order.
         for effect in self.control_plane.decide(self.now).into_iter().rev() {
             match effect {
                 Effect::Write { connection, text } => self.write(connection, &text),
@@ -246,48 +248,48 @@
     release.run(Duration::from_micros(attachment_interval_us))
 }
 
-/// The entries that restore what other controllers have ejected count for the channel too, and a channel that is as
-/// fast as stated must not be taken for a slower one.
+/// Guards against ignoring the entries that restore ejections of other controllers, which also load the channel, and
+/// against underestimating the rate of a channel that is as fast as configured.
 #[test]
 fn attachments_during_a_release_keep_the_queue_limit_and_get_tables_at_the_channel_rate() {
-    let ReleaseResult { max_queued_entries, last_table_after, .. } = release(STATED_RATE, 250, 1000);
-    assert!(max_queued_entries <= MAX_QUEUED_ENTRIES, "{max_queued_entries} entries waited");
+    let ReleaseResult { max_queued_entries, last_table_after, .. } = release(CONFIGURED_RATE, 250, 1000);
+    assert!(max_queued_entries <= MAX_QUEUED_ENTRIES, "{max_queued_entries} queued entries");
     let limit = Duration::from_secs(3);
     assert!(last_table_after <= limit, "the last table was written after {last_table_after:?}");
 }
 
-/// Guards against a proxy that sends to removed endpoints past the grace, as others with more requests that attached
-/// after it got their tables first.
+/// Guards against a proxy that sends to removed endpoints after the drain grace period, because proxies that attached
+/// later with higher request rates got their tables first.
 #[test]
 fn proxies_that_attached_first_are_the_first_to_leave_removed_endpoints() {
-    let release = Release::new(STATED_RATE, 480, |index| 1.0 + index as f64);
+    let release = Release::new(CONFIGURED_RATE, 480, |index| 1.0 + index as f64);
     let result = release.run(Duration::from_millis(2));
     assert!(result.max_queued_entries <= MAX_QUEUED_ENTRIES);
-    // All tables take the channel 4.5 s, and the last proxy attaches a second after the first.
+    // The channel takes 4.5 s for all tables, and the last proxy attaches a second after the first.
     assert!(result.longest_wait <= Duration::from_millis(3800), "{:?}", result.longest_wait);
 }
 
 #[test]
-fn a_channel_far_slower_than_stated_is_not_filled_beyond_its_limit() {
+fn a_channel_far_slower_than_configured_stays_within_its_queue_limit() {
     for slower in [1.0, 4.0, 8.0] {
         for (proxies, interval_us) in [(150, 1000), (250, 1000), (250, 0), (250, 4000)] {
-            let max_queued = release(STATED_RATE / slower, proxies, interval_us).max_queued_entries;
+            let max_queued = release(CONFIGURED_RATE / slower, proxies, interval_us).max_queued_entries;
             assert!(
                 max_queued <= MAX_QUEUED_ENTRIES,
-                "{max_queued} entries waited, {proxies} proxies, {interval_us} us, {slower} times slower"
+                "{max_queued} queued entries, {proxies} proxies, {interval_us} us, {slower} times slower"
             );
         }
     }
 }
 
 #[test]
-fn acknowledgements_count_only_for_nonces_sent_on_that_stream() {
+fn only_pending_nonces_of_the_same_stream_can_be_acknowledged() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true).attach(2, 4, true);
     let trace = harness.run_to(6.0);
     assert!(trace.contains("\"nonce_out\":0"), "{trace}");
     let done = |node: usize, nonce: u64| json!({"t": "done", "node": node, "nonce": nonce, "latency": 3.0});
-    // Each whole table carries a nonce of its own.
+    // Each complete table has its own nonce.
     for (connection, node, nonce) in [(1, 3, 1), (2, 4, 0), (2, 4, 7), (1, 4, 0)] {
         harness.receive(connection, &done(node, nonce).to_string());
     }
@@ -295,5 +297,5 @@
     harness.receive(1, &done(3, 0).to_string()).receive(2, &done(4, 1).to_string());
     assert_eq!(harness.control_plane.counters().invalid_messages, 4);
     harness.receive(2, &done(4, 1).to_string());
-    assert_eq!(harness.control_plane.counters().invalid_messages, 5, "a nonce is acknowledged once");
+    assert_eq!(harness.control_plane.counters().invalid_messages, 5, "a nonce can be acknowledged only once");
 }
--- a/crates/platform/tests/controller/framing.rs
+++ b/crates/platform/tests/controller/framing.rs
@@ -1,13 +1,13 @@
-//! Any bytes, in any pieces.
+//! Arbitrary input bytes, split at arbitrary positions.
 
 use lockcroft_runtime_api::LineBuffer;
 use proptest::prelude::*;
 
 use crate::harness::Harness;
 
-/// Sound messages, some of which have a byte changed, and bytes that are no message.
+/// Generates valid messages, some with one changed byte, and random bytes.
 fn any_line() -> impl Strategy<Value = Vec<u8>> {
-    let sound = prop_oneof![
+    let valid = prop_oneof![
         Just(r#"{"t":"hb"}"#),
         Just(r#"{"t":"attach","node":5,"locality":"a","w":21.5,"cold":true}"#),
         Just(r#"{"t":"telemetry","locality":"a"}"#),
@@ -17,7 +17,7 @@
             r#"{"t":"upstream_stats","locality":"a","endpoint":"s-a","total":9,"errors":1,"rtt":4,"interval":9}"#
         ),
     ];
-    let changed = (sound, any::<prop::sample::Index>(), any::<u8>(), any::<bool>());
+    let changed = (valid, any::<prop::sample::Index>(), any::<u8>(), any::<bool>());
     let changed = changed.prop_map(|(line, at, byte, change)| {
         let mut line = line.as_bytes().to_vec();
         let at = at.index(line.len());
@@ -29,17 +29,17 @@
 
 proptest! {
     #[test]
-    fn lines_are_the_same_however_bytes_are_split(bytes in prop::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>()], 0..200),
+    fn lines_do_not_depend_on_how_the_input_is_split(bytes in prop::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>()], 0..200),
             cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..8)) {
         let lines = |pieces: &[&[u8]]| {
-            let (mut inbox, mut lines) = (LineBuffer::default(), Vec::new());
+            let (mut line_buffer, mut lines) = (LineBuffer::default(), Vec::new());
             for piece in pieces {
-                inbox.buffer().extend_from_slice(piece);
-                while let Some(line) = inbox.next_line(<[u8]>::to_vec) {
+                line_buffer.buffer().extend_from_slice(piece);
+                while let Some(line) = line_buffer.next_line(<[u8]>::to_vec) {
                     lines.push(line);
                 }
             }
-            (lines, inbox.pending().to_vec())
+            (lines, line_buffer.pending().to_vec())
         };
         let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
@@ -48,9 +48,10 @@
         prop_assert_eq!(lines(&pieces), lines(&[&bytes]));
     }
 
-    /// Whatever strangers, collectors and proxies send, proxies that keep to the protocol are served on.
+    /// Unidentified clients, collectors and proxies may send any bytes; a proxy that follows the protocol still gets
+    /// its table.
     #[test]
-    fn no_message_breaks_the_controller_for_others(messages in prop::collection::vec((1..6_u64, any_line()), 0..60)) {
+    fn arbitrary_messages_do_not_affect_other_proxies(messages in prop::collection::vec((1..6_u64, any_line()), 0..60)) {
         let mut harness = Harness::new();
         harness.attach(9, 7, true);
         for (at, (connection, line)) in messages.iter().enumerate() {
--- a/crates/platform/tests/controller/harness.rs
+++ b/crates/platform/tests/controller/harness.rs
@@ -1,4 +1,5 @@
-//! A control plane with two classes and four endpoints in simulated time, and a trace of what it does.
+//! A test harness that runs a control plane with two classes and four endpoints in simulated time, and traces its
+//! effects.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 use lockcroft_platform::{Config, ConnectionId, ControlPlane, Effect};
 use serde_json::{Value, json};
 
-/// Unix milliseconds at the start of a test.
+/// The time at the start of a test, in Unix milliseconds.
 pub const START_UNIX_MS: u64 = 1_800_000_000_000;
 
 pub fn config() -> Value {
@@ -41,17 +42,18 @@
 pub struct Harness {
     pub control_plane: ControlPlane,
     pub now: Duration,
+    /// One line per message that was written, closed connection and rejected endpoint list.
     pub trace: String,
-    /// Streams that read nothing: their writes never complete.
+    /// Connections whose peers read nothing, so that writes never complete.
     pub stalled: Vec<ConnectionId>,
-    /// Health checks end as if they had gone to a former address.
+    /// True if health checks finish with an address that the endpoint no longer has.
     pub checks_former_address: bool,
     /// The endpoint whose health checks are refused.
     pub refusing: Option<EndpointId>,
 }
 
 impl Harness {
-    /// Four endpoints on the list, started long ago.
+    /// Creates a harness with four endpoints that started long ago.
     pub fn new() -> Self {
         let mut harness = Harness::without_endpoints();
         let entries = ["s-a", "s-bb", "s-ccc", "s-dddd"].map(|name| entry(name, "up", 0));
@@ -60,7 +62,7 @@
     }
 
     pub fn without_endpoints() -> Self {
-        let config = Config::parse(&config().to_string()).expect("sound");
+        let config = Config::parse(&config().to_string()).expect("valid configuration");
         Harness {
             control_plane: ControlPlane::new(&config),
             now: Duration::ZERO,
@@ -74,7 +76,7 @@
     pub fn update_list(&mut self, value: &Value) {
         let unix_ms = START_UNIX_MS + self.now.as_millis() as u64;
         if let Err(error) = self.control_plane.update_endpoints(self.now, unix_ms, value) {
-            let _ = writeln!(self.trace, "{:.1} refused: {error}", self.now.as_secs_f64());
+            let _ = writeln!(self.trace, "{:.1} rejected: {error}", self.now.as_secs_f64());
         }
     }
 
@@ -95,7 +97,7 @@
         self.accept(connection).receive(connection, &line.to_string())
     }
 
-    /// Runs to this time in steps of 50 ms and gives out what happened since the last call.
+    /// Advances to this time in steps of 50 ms, and returns the trace since the last call.
     pub fn run_to(&mut self, seconds: f64) -> String {
         while self.now.as_secs_f64() < seconds {
             self.now += Duration::from_millis(50);
@@ -118,7 +120,7 @@
                     }
                 }
                 Effect::Close { connection } => {
-                    let _ = writeln!(self.trace, "{at:.1} {connection} ends");
+                    let _ = writeln!(self.trace, "{at:.1} {connection} closed");
                 }
                 Effect::FinalRead { connection } => {
                     self.control_plane.final_read_completed(connection);
@@ -126,7 +128,7 @@
                     self.carry_out(effects);
                 }
                 Effect::Abort { connection } => {
-                    let _ = writeln!(self.trace, "{at:.1} {connection} is dropped");
+                    let _ = writeln!(self.trace, "{at:.1} {connection} aborted");
                 }
                 Effect::CheckHealth { endpoint, address } => {
                     let refuses = self.refusing == Some(endpoint);
--- a/crates/platform/tests/controller/interleavings.rs
+++ b/crates/platform/tests/controller/interleavings.rs
@@ -1,5 +1,5 @@
-//! Any order of list updates, attachments, ends, decisions and messages that are written or not: in the end every
-//! attached proxy has what is published, and none may send to an endpoint that drains or is removed.
+//! Random sequences of list updates, attachments, detachments, decisions and stalled writes. At the end, all attached
+//! proxies have the same table, and none may send to an endpoint that is draining or removed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,17 +18,17 @@
 enum Step {
     ProxyAttaches(usize),
     ProxyDetaches(usize),
-    /// Reads nothing for now, or reads again.
+    /// The proxy stops reading if true, else reads again.
     ProxyStalls(usize, bool),
     EndpointDrains(usize),
     EndpointIsRemoved(usize),
     EndpointStarts(usize),
-    /// The whole list is reported instead of a change.
-    WholeList,
+    /// Discovery reports the complete list instead of a change.
+    CompleteList,
     TimePasses(u64),
 }
 
-/// What a proxy holds; it keeps its ejections and its table over a change of streams.
+/// The state of a proxy, which keeps its ejections and its table when it reconnects.
 #[derive(Default)]
 struct Proxy {
     connection: Option<ConnectionId>,
@@ -36,7 +36,7 @@
     table: BTreeMap<String, f64>,
     ejected: BTreeSet<String>,
     stalled: bool,
-    /// A message that it has not read yet.
+    /// The message that the proxy has not read yet.
     unread: Option<String>,
 }
 
@@ -46,7 +46,7 @@
     list_version: u64,
     connection: ConnectionId,
     proxies: Vec<Proxy>,
-    /// Status and start of each endpoint.
+    /// The status and start time of each endpoint.
     endpoints: Vec<(&'static str, u64)>,
     acknowledgements: Vec<(ConnectionId, usize, u64)>,
 }
@@ -92,7 +92,7 @@
                     .connection
                     .take()
                     .into_iter()
-                    .for_each(|it| self.control_plane.connection_closed(it));
+                    .for_each(|connection| self.control_plane.connection_closed(connection));
             }
             Step::ProxyStalls(at, stalled) => {
                 self.proxies[*at].stalled = *stalled;
@@ -103,7 +103,7 @@
             Step::EndpointStarts(at) => {
                 self.change_endpoint(*at, "up", START_UNIX_MS + self.now.as_millis() as u64)
             }
-            Step::WholeList => {
+            Step::CompleteList => {
                 self.list_version += 1;
                 self.report_list(true, &Simulation::entries(&self.endpoints));
             }
@@ -118,7 +118,7 @@
     }
 
     fn change_endpoint(&mut self, at: usize, state: &'static str, since: u64) {
-        // One endpoint is always up.
+        // At least one endpoint stays up.
         let others =
             self.endpoints.iter().enumerate().filter(|(other, (state, _))| *other != at && *state == "up");
         if state != "up" && others.count() == 0 {
@@ -133,7 +133,7 @@
         let unix_ms = START_UNIX_MS + self.now.as_millis() as u64;
         self.control_plane
             .update_endpoints(self.now, unix_ms, &list(self.list_version, is_complete, entries))
-            .expect("sound");
+            .expect("valid list");
     }
 
     fn decide(&mut self) {
@@ -145,8 +145,11 @@
             match effect {
                 Effect::Write { connection, text } => {
                     let at = self.proxies.iter().position(|proxy| proxy.connection == Some(connection));
-                    let at = at.expect("written to one that is attached");
-                    assert!(self.proxies[at].unread.replace(text).is_none(), "a second message at once");
+                    let at = at.expect("message goes to an attached proxy");
+                    assert!(
+                        self.proxies[at].unread.replace(text).is_none(),
+                        "second message before the first was read"
+                    );
                     self.read_message(at);
                 }
                 Effect::CheckHealth { endpoint, address } => {
@@ -200,7 +203,7 @@
         1 => (0..ENDPOINTS).prop_map(Step::EndpointDrains),
         1 => (0..ENDPOINTS).prop_map(Step::EndpointIsRemoved),
         2 => (0..ENDPOINTS).prop_map(Step::EndpointStarts),
-        1 => Just(Step::WholeList),
+        1 => Just(Step::CompleteList),
         4 => (0..40_u64).prop_map(|steps| Step::TimePasses(steps * 100)),
     ]
 }
@@ -208,11 +211,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
     #[test]
-    fn every_attached_proxy_ends_with_what_is_published(steps in prop::collection::vec(any_step(), 1..40)) {
+    fn attached_proxies_converge_to_the_published_state(steps in prop::collection::vec(any_step(), 1..40)) {
         let mut simulation = Simulation::new();
         steps.iter().for_each(|step| simulation.run(step));
         (0..PROXIES).for_each(|at| simulation.run(&Step::ProxyStalls(at, false)));
-        // Enough for slow start, the start-up hold and updates that wait for the rate limit.
+        // Long enough for slow start, the start-up hold and updates that are delayed by the rate limit.
         simulation.run(&Step::TimePasses(40_000));
         let attached: Vec<&Proxy> = simulation.proxies.iter().filter(|proxy| proxy.connection.is_some()).collect();
         for proxy in &attached {
--- a/crates/platform/tests/controller/load_reports.rs
+++ b/crates/platform/tests/controller/load_reports.rs
@@ -1,9 +1,9 @@
-//! Load reports of endpoints.
+//! Parsing of load reports of endpoints.
 
 use lockcroft_platform::parse_load_report;
 
 #[test]
-fn load_is_read_by_either_name() {
+fn the_load_is_parsed_under_both_names() {
     for (report, expected) in [
         ("busy=0", Some(0.0)),
         ("inflight=7,queue=2,util=0.61", Some(0.61)),
--- a/crates/platform/tests/controller/long_tables.rs
+++ b/crates/platform/tests/controller/long_tables.rs
@@ -1,11 +1,11 @@
-//! Tables that are too long for a line.
+//! Tables that exceed the maximum length of a line.
 
 use serde_json::Value;
 
 use crate::harness::{Harness, entry, list};
 
 #[test]
-fn a_table_too_long_for_a_line_goes_as_parts_of_one_message() {
+fn a_table_too_long_for_a_line_is_sent_in_parts_of_one_message() {
     let mut harness = Harness::without_endpoints();
     let names: Vec<String> = (0..3000).map(|at| format!("s-{at}-{}", "long".repeat(100))).collect();
     let entries: Vec<Value> = names.iter().map(|name| entry(name, "up", 0)).collect();
--- a/crates/platform/tests/controller/main.rs
+++ b/crates/platform/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! What goes out on streams for what comes in, in simulated time and without a socket.
+//! Tests of the control plane in simulated time and without sockets.
 
 mod channel;
 mod endpoint_lists;
--- a/crates/platform/tests/controller/recorded_bytes.rs
+++ b/crates/platform/tests/controller/recorded_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes in and bytes out: a scripted series of lines on many connections, each line that goes out recorded.
+//! A scripted sequence of input lines on several connections, whose complete output is compared with a recording.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::harness::{Harness, START_UNIX_MS, entry, list};
 
-/// Messages that a field or the role of the connection makes invalid, and a heartbeat.
+/// Messages that are invalid due to a field or the role of their connection, and a heartbeat.
 const INVALID_MESSAGES: [&str; 8] = [
     r#"{"t":"upstream_stats","endpoint":"nobody","locality":"a","total":1,"errors":0,"rtt":1,"interval":1000}"#,
     r#"{"t":"upstream_stats","endpoint":"s-a","locality":"a","total":1,"errors":2,"rtt":1,"interval":1000}"#,
@@ -19,7 +19,7 @@
     r#"{"t":"hb"}"#,
 ];
 
-fn reports(harness: &mut Harness, failed: u32, rtt: f64) {
+fn send_reports(harness: &mut Harness, failed: u32, rtt: f64) {
     for name in ["s-a", "s-bb", "s-ccc", "s-dddd"] {
         let line = json!({"t": "upstream_stats", "endpoint": name, "locality": "a", "total": 20,
             "errors": failed, "rtt": rtt, "interval": 1000, "metrics": null});
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn scripted_lines_in_give_the_recorded_lines_out() {
+fn scripted_input_produces_the_recorded_output() {
     let mut harness = Harness::new();
     let mut trace = String::new();
     harness.attach(1, 3, true).attach(2, 4, false);
@@ -93,10 +93,10 @@
             _ => {}
         }
         let slow = (10..16).contains(&second);
-        reports(&mut harness, if slow { 5 } else { 0 }, if slow { 900.0 } else { 60.0 });
-        let new = harness.run_to(f64::from(second));
-        acknowledge_nonces(&mut harness, &new);
-        trace += &new;
+        send_reports(&mut harness, if slow { 5 } else { 0 }, if slow { 900.0 } else { 60.0 });
+        let new_lines = harness.run_to(f64::from(second));
+        acknowledge_nonces(&mut harness, &new_lines);
+        trace += &new_lines;
     }
     assert_eq!(harness.now, Duration::from_secs(39));
     expect_file!["recorded/lines.txt"].assert_eq(&trace);
--- a/crates/platform/tests/controller/sessions.rs
+++ b/crates/platform/tests/controller/sessions.rs
@@ -1,4 +1,4 @@
-//! Who may attach and report, and which connections are closed.
+//! Attachment of proxies and collectors, handling of invalid messages, and closing of connections.
 
 use expect_test::expect;
 use lockcroft_platform::Effect;
@@ -6,10 +6,10 @@
 use crate::harness::Harness;
 
 #[test]
-fn invalid_messages_are_dropped_and_unreadable_ones_end_the_connection() {
+fn invalid_messages_are_dropped_and_unreadable_ones_close_the_connection() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true).accept(2).receive(2, r#"{"t":"telemetry","locality":"a"}"#);
-    let sound = r#"{"t":"upstream_stats","locality":"a","endpoint":"s-a","total":9,"errors":1,"rtt":41.7,"interval":1000.0}"#;
+    let valid = r#"{"t":"upstream_stats","locality":"a","endpoint":"s-a","total":9,"errors":1,"rtt":41.7,"interval":1000.0}"#;
     for (from, to) in [
         ("\"total\":9", "\"total\":-9"),
         ("\"total\":9", "\"total\":\"9\""),
@@ -23,13 +23,13 @@
         ("1000.0", "1000.0,\"metrics\":3"),
         ("upstream_stats", "assign"),
     ] {
-        harness.receive(2, &sound.replace(from, to));
+        harness.receive(2, &valid.replace(from, to));
     }
     assert_eq!(
         (harness.control_plane.counters().invalid_messages, harness.control_plane.counters().reports),
         (11, 0)
     );
-    harness.receive(2, sound);
+    harness.receive(2, valid);
     for line in [
         r#"{"t":"done","node":3,"nonce":"x","latency":1}"#,
         r#"{"t":"client_stats","node":4,"route":"look","total":9,"errors":0,"interval":1000.0}"#,
@@ -48,15 +48,15 @@
     harness.receive(1, "{\"t\":\"done\"").receive(2, "GET / HTTP/1.1");
     expect![[r#"
         0.0 1 < {"reason":"EOF while parsing an object at line 1 column 11","t":"reject"}
-        0.0 1 ends
+        0.0 1 closed
         0.0 2 < {"reason":"expected value at line 1 column 1","t":"reject"}
-        0.0 2 ends
+        0.0 2 closed
     "#]]
     .assert_eq(&harness.trace);
 }
 
 #[test]
-fn strangers_are_rejected_with_a_reason() {
+fn unidentified_clients_are_rejected_with_a_reason() {
     let mut harness = Harness::new();
     for (connection, line) in (1..).zip([
         "GET /discovery/hosts HTTP/1.1",
@@ -73,23 +73,23 @@
     }
     expect![[r#"
         0.0 1 < {"reason":"expected value at line 1 column 1","t":"reject"}
-        0.0 1 ends
+        0.0 1 closed
         0.0 2 < {"reason":"expected value at line 1 column 1","t":"reject"}
-        0.0 2 ends
+        0.0 2 closed
         0.0 3 < {"reason":"not an object","t":"reject"}
-        0.0 3 ends
+        0.0 3 closed
         0.0 4 < {"reason":"node: 8; allowed: below 8","t":"reject"}
-        0.0 4 ends
+        0.0 4 closed
         0.0 5 < {"reason":"node: -1; allowed: a number from 0 to 10000000","t":"reject"}
-        0.0 5 ends
+        0.0 5 closed
         0.0 6 < {"reason":"unknown zone \"z\"","t":"reject"}
-        0.0 6 ends
+        0.0 6 closed
         0.0 7 < {"reason":"unknown zone \"z\"","t":"reject"}
-        0.0 7 ends
+        0.0 7 closed
         0.0 8 < {"reason":"reports come after a joining","t":"reject"}
-        0.0 8 ends
+        0.0 8 closed
         0.0 9 < {"reason":"t: \"assign\" is nothing that a pilot is told","t":"reject"}
-        0.0 9 ends
+        0.0 9 closed
     "#]]
     .assert_eq(&harness.trace);
 }
@@ -105,12 +105,12 @@
     harness.accept(3);
     expect![[r#"
         1.5 1 < {"reason":"no joining in time","t":"reject"}
-        1.5 1 ends
+        1.5 1 closed
     "#]]
     .assert_eq(&harness.run_to(2.4));
     expect![[r#"
         2.5 3 < {"reason":"no joining in time","t":"reject"}
-        2.5 3 ends
+        2.5 3 closed
     "#]]
     .assert_eq(&harness.run_to(2.6));
 }
@@ -119,7 +119,7 @@
 fn the_oldest_unattached_connection_is_evicted_when_descriptors_run_short() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true);
-    // 60 descriptors, 32 reserved and one for each of four endpoints: capacity for 24.
+    // Of 60 file descriptors, 32 are reserved and 4 are for health checks, which leaves 24 for connections.
     (2..25).for_each(|connection| {
         harness.accept(connection);
     });
@@ -130,7 +130,7 @@
     assert_eq!(accept_decision(&harness), "Evict(2)");
     let effect = harness.control_plane.request_final_read(2);
     assert_eq!(effect, Effect::FinalRead { connection: 2 });
-    // One is closed at a time, and counts until its descriptor is free.
+    // One connection is evicted at a time, and counts as open until its file descriptor is free.
     harness.control_plane.final_read_completed(2);
     assert_eq!(accept_decision(&harness), "Wait(2ms)");
     harness.control_plane.connection_closed(2);
@@ -138,34 +138,34 @@
 }
 
 #[test]
-fn an_attachment_that_came_before_the_final_read_counts() {
+fn a_proxy_whose_attach_message_is_in_the_final_read_stays_connected() {
     let mut harness = Harness::new();
     harness.accept(1).accept(2);
     let effects = [1, 2].map(|connection| harness.control_plane.request_final_read(connection));
     assert_eq!(effects, [1, 2].map(|connection| Effect::FinalRead { connection }));
-    // What the first one had sent is read now.
+    // The final read of the first connection finds an attach message.
     let attachment = r#"{"t":"attach","node":3,"locality":"a","w":5,"cold":true}"#;
     harness.control_plane.line_received(harness.now, 1, attachment.as_bytes());
     [1, 2].into_iter().for_each(|connection| harness.control_plane.final_read_completed(connection));
     let trace = harness.run_to(6.0);
     assert!(trace.contains("1 < {\"t\":\"assign\",\"full\":true"), "{trace}");
-    assert!(trace.contains("2 ends") && !trace.contains("1 ends"), "{trace}");
+    assert!(trace.contains("2 closed") && !trace.contains("1 closed"), "{trace}");
 }
 
 #[test]
-fn collectors_of_a_zone_are_limited() {
+fn the_oldest_collector_of_a_zone_is_aborted_beyond_the_limit() {
     let mut harness = Harness::new();
     (1..=4).for_each(|connection| {
         harness.accept(connection).receive(connection, r#"{"t":"telemetry","locality":"a"}"#);
     });
     expect![[r#"
-        0.0 1 is dropped
+        0.0 1 aborted
     "#]]
     .assert_eq(&harness.trace);
 }
 
 #[test]
-fn an_endpoint_that_refuses_health_checks_leaves_the_table() {
+fn an_endpoint_that_refuses_health_checks_is_removed_from_the_table() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true).run_to(6.0);
     harness.refusing = Some(1);
--- a/crates/platform/tests/controller/updates.rs
+++ b/crates/platform/tests/controller/updates.rs
@@ -1,11 +1,11 @@
-//! Messages to proxies.
+//! Updates of tables and ejections that are sent to proxies.
 
 use expect_test::expect;
 
 use crate::harness::{Harness, START_UNIX_MS, entry, list};
 
 #[test]
-fn a_proxy_gets_a_whole_table_once_and_changed_entries_after() {
+fn a_proxy_gets_a_complete_table_once_and_changed_entries_afterwards() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true);
     expect![""].assert_eq(&harness.run_to(4.9));
@@ -39,7 +39,7 @@
 #[test]
 fn ejections_of_other_controllers_are_restored_with_their_entries() {
     let mut harness = Harness::new();
-    // It started 12 s before, and its slow start is over: another controller may have ejected it meanwhile.
+    // The endpoint started 12 s ago and its slow start is over, so another controller may have ejected it since.
     harness.update_list(&list(2, false, &[entry("s-bb", "up", START_UNIX_MS - 12_000)]));
     harness.attach(1, 3, false).attach(2, 4, true);
     expect![[r#"
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_endpoint_that_drains_during_the_hold_is_ejected_and_restored() {
+fn an_endpoint_that_drains_during_the_start_up_hold_is_ejected_and_restored() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true);
     harness.run_to(1.0);
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn a_new_stream_replaces_one_not_seen_to_end() {
+fn a_new_stream_replaces_one_whose_end_was_not_detected() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true).run_to(6.0);
     harness.attach(2, 3, false);
     harness.control_plane.connection_ended(1);
     expect![[r#"
-        6.0 1 is dropped
+        6.0 1 aborted
         6.0 2 < {"t":"assign","full":true,"endpoints":[["s-a",1.0],["s-bb",1.0],["s-ccc",1.0],["s-dddd",1.0]],"admit":1.0,"policy":1,"nonce_out":1}
     "#]].assert_eq(&harness.run_to(7.0));
 }
