--- a/crates/proxy/src/io/table_files.rs
+++ b/crates/proxy/src/io/table_files.rs
@@ -9,15 +9,15 @@
 use lockcroft_runtime_api::AccessLevel;
 use lockcroft_table_format::proto;
 use lockcroft_table_store::{
-    AppliedSnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, read_keys, write_status,
+    ProxySnapshot, RejectedSnapshot, ScanResult, SnapshotReader, StatusReader, read_keys, write_status,
 };
 use tracing::{info, warn};
 
 use super::blocking_pool::{Priority, run_blocking};
 use super::folder_watch::FolderWatch;
 use super::worker::Worker;
-use crate::command_queue::CommandQueue;
 use crate::config::TableFilesConfig;
+use crate::control_session::ControlSession;
 use crate::snapshot_commands::SnapshotCommands;
 
 /// Applied snapshots that the status file lists.
@@ -81,7 +81,7 @@
     worker: Rc<Worker>,
     folder: PathBuf,
     commands: SnapshotCommands,
-    queue: CommandQueue,
+    queue: ControlSession,
     status: proto::Status,
     /// The error that was logged last, so that it is not logged at each scan.
     logged_error: String,
@@ -94,7 +94,7 @@
             worker,
             folder: config.folder.clone(),
             commands: SnapshotCommands::default(),
-            queue: CommandQueue::new(AccessLevel::Admin),
+            queue: ControlSession::new(AccessLevel::Admin),
             logged_error: String::new(),
         }
     }
@@ -139,7 +139,7 @@
         true
     }
 
-    fn record_applied(&mut self, snapshot: &AppliedSnapshot, batch_version: u64) {
+    fn record_applied(&mut self, snapshot: &ProxySnapshot, batch_version: u64) {
         let (epoch, version, assigned) = (snapshot.epoch, snapshot.version, !snapshot.assignments.is_empty());
         info!(target: "lockcroft::table_files", epoch, version, batch = batch_version, assigned, "applied");
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -160,7 +160,7 @@
     }
 
     /// Applies a snapshot; the version of the batch that came of it, 0 if nothing changed.
-    async fn apply(&mut self, snapshot: &AppliedSnapshot) -> u64 {
+    async fn apply(&mut self, snapshot: &ProxySnapshot) -> u64 {
         let commands = self.commands.commands(&self.worker.state(), snapshot);
         if commands.is_empty() {
             return 0;
