--- a/crates/platform/tests/controller/endpoint_lists.rs
+++ b/crates/platform/tests/controller/endpoint_lists.rs
@@ -86,7 +86,7 @@
         assert!(rejected && !trace.contains("s-bb"), "{trace}");
     }
     harness.update_list(&list(4, true, &names.iter().map(up).collect::<Vec<_>>()));
-    assert!(harness.run_to(13.0).contains("rejected"));
+    assert!(harness.run_to(13.0).contains("rejected: complete list"));
     harness.update_list(&list(4, true, &names.iter().map(up).collect::<Vec<_>>()));
     let trace = harness.run_to(16.0);
     assert!(trace.contains(r#"["s-bb","#) && harness.control_plane.list_version() == Some(4), "{trace}");
