--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -171,7 +171,11 @@
     std::fs::write(&table, bytes).expect("written");
     let (code, output) = files("verify", &place, &[]);
     assert_eq!(code, Some(1));
-    assert_eq!(output.lines().next(), Some("e1g3 (current) table-3: not as the manifest has it"), "{output}");
+    assert_eq!(
+        output.lines().next(),
+        Some("e1g3 (current) table-3: does not match its recorded digest"),
+        "{output}"
+    );
     assert!(output.contains("e1g2 sound, sealed with k1"), "{output}");
     assert_eq!(files("show", &place, &[]).0, Some(1), "nothing sound is current");
     let (code, output) = files("back", &place, &["e1g2"]);
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -123,12 +123,12 @@
     let mut simulation = Simulation::with_file_readers(2, 1);
     simulation.run_to(6000);
     assert!(simulation.fleet.show_proxies().contains(" files:e1g"), "{}", simulation.fleet.show_proxies());
-    let reason = "table-0: not as the manifest has it".to_string();
+    let reason = "table-0: does not match its recorded digest".to_string();
     let rejected = Some(RejectedVersion { epoch: 1, version: 9, reason });
     let applied = Some(AppliedVersion { epoch: 1, version: 1, applied_at: ms(5100) });
     simulation.fleet.snapshot_applied(ms(6000), AppliedReport { proxy: "r0".into(), applied, rejected });
     let shown = simulation.fleet.show_proxies();
-    assert!(shown.contains("refuses e1 g9: table-0: not as the manifest has it"), "{shown}");
+    assert!(shown.contains("refuses e1 g9: table-0: does not match its recorded digest"), "{shown}");
     simulation
         .fleet
         .snapshot_applied(ms(6000), AppliedReport { proxy: "nobody".into(), ..AppliedReport::default() });
--- a/crates/table-format/src/codec.rs
+++ b/crates/table-format/src/codec.rs
@@ -1,4 +1,4 @@
-//! Maps tables, proxy groups and ejected endpoints to their stored messages and back.
+//! Converts tables, proxy groups and ejected endpoints to their stored messages and back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::error::FormatError;
 use crate::{EJECTED_MEMBER, MAX_ADMISSION_PER_MILLE, MAX_WEIGHT, proto};
 
-/// A table with the number that its file states.
+/// A table with the number that is stored in its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedTable {
     /// Number of the table.
@@ -47,10 +47,10 @@
     encode(&proto::Withdrawn { servers: endpoints.iter().cloned().collect(), ..Default::default() })
 }
 
-/// Decodes the member of this name as a table.
+/// Decodes the bytes of the named member as a table. The name is used in errors only.
 ///
 /// # Errors
-/// The bytes are no table, or a value in it is out of its range.
+/// Fails if the bytes are not a table, if an address or weight is invalid, or if an endpoint is listed twice.
 pub fn decode_table(member: &str, bytes: &[u8]) -> Result<NumberedTable, FormatError> {
     let message: proto::Table = decode(member, bytes)?;
     let mut table = Table::default();
@@ -68,16 +68,16 @@
         }
         let entry = TableEntry { address, weight: line.weight };
         if table.entries.insert(line.server.clone(), entry).is_some() {
-            return Err(out_of_range("stands twice".into(), "each server once"));
+            return Err(out_of_range("listed more than once".into(), "one entry per endpoint"));
         }
     }
     Ok(NumberedTable { number: message.number, table })
 }
 
-/// Decodes the member of this name as a proxy group.
+/// Decodes the bytes of the named member as a proxy group. The name is used in errors only.
 ///
 /// # Errors
-/// The bytes are no group, or an admission rate is out of its range.
+/// Fails if the bytes are not a proxy group, or if an admission rate is out of range.
 pub fn decode_group(member: &str, bytes: &[u8]) -> Result<ProxyGroup, FormatError> {
     let message: proto::Group = decode(member, bytes)?;
     let mut assignments = BTreeMap::new();
@@ -85,7 +85,7 @@
         if bound.level > MAX_ADMISSION_PER_MILLE {
             return Err(FormatError::OutOfRange {
                 location: format!("{member}, {}", bound.class),
-                value: format!("level {}", bound.level),
+                value: format!("admission rate {}", bound.level),
                 limit: "0 to 1000".into(),
             });
         }
@@ -99,22 +99,24 @@
     Ok(ProxyGroup { proxies: message.proxies.into_iter().collect(), assignments })
 }
 
-/// Decodes the member [`EJECTED_MEMBER`]: the names of the ejected endpoints.
+/// Decodes the bytes of the member [`EJECTED_MEMBER`] and returns the names of the ejected endpoints.
 ///
 /// # Errors
-/// The bytes are no list of endpoints.
+/// Fails if the bytes are not a list of endpoint names.
 pub fn decode_ejected(bytes: &[u8]) -> Result<BTreeSet<String>, FormatError> {
     let message: proto::Withdrawn = decode(EJECTED_MEMBER, bytes)?;
     Ok(message.servers.into_iter().collect())
 }
 
-/// Encodes a message.
 pub(crate) fn encode(message: &impl Message) -> Vec<u8> {
-    message.write_to_bytes().expect("messages without required fields are written to memory")
+    message
+        .write_to_bytes()
+        .expect("encoding to memory fails only for missing required fields, and there are none")
 }
 
-/// Decodes a message. The library checks every length inside against the bytes that are there before it allocates.
-pub(crate) fn decode<M: Message>(what: &str, bytes: &[u8]) -> Result<M, FormatError> {
+/// Decodes a message; `file` names it in errors. The protobuf library checks each length field against the number of
+/// remaining bytes before it allocates, so a false length can't exhaust memory.
+pub(crate) fn decode<M: Message>(file: &str, bytes: &[u8]) -> Result<M, FormatError> {
     M::parse_from_bytes(bytes)
-        .map_err(|error| FormatError::Malformed { what: what.into(), reason: error.to_string() })
+        .map_err(|error| FormatError::Malformed { file: file.into(), reason: error.to_string() })
 }
--- a/crates/table-format/src/content.rs
+++ b/crates/table-format/src/content.rs
@@ -1,70 +1,70 @@
-//! What a snapshot says, independent of its encoding.
+//! Content of a snapshot, independent of its encoding.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Everything that a controller publishes for proxies that read files.
+/// Everything that a controller publishes to proxies that read table files.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SnapshotContent {
     /// Routing tables by number.
     pub tables: BTreeMap<u32, Table>,
     /// Proxy groups by number.
     pub groups: BTreeMap<u32, ProxyGroup>,
-    /// Names of the endpoints that are ejected at all proxies, whatever their tables say.
+    /// Names of the ejected endpoints. No proxy uses them, even if its tables list them.
     pub ejected: BTreeSet<String>,
 }
 
 /// A routing table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// Entries by name of the endpoint.
+    /// Entries by endpoint name.
     pub entries: BTreeMap<String, TableEntry>,
 }
 
 /// An endpoint's entry in a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableEntry {
-    /// Where the endpoint accepts requests.
+    /// Address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// From 1 to [`MAX_WEIGHT`](crate::MAX_WEIGHT); an endpoint without weight has no entry.
+    /// Load-balancing weight from 1 to [`MAX_WEIGHT`](crate::MAX_WEIGHT). An endpoint of weight 0 has no entry.
     pub weight: u32,
 }
 
-/// Proxies with the same assignments.
+/// Proxies that share the same assignments.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyGroup {
     /// Names of the proxies.
     pub proxies: BTreeSet<String>,
-    /// Assignments by name of the class.
+    /// Assignments by class name.
     pub assignments: BTreeMap<String, ProxyAssignment>,
 }
 
-/// What requests of one class may use.
+/// Table, admission rate and retry permission for the requests of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyAssignment {
-    /// Number of the table.
+    /// Number of the assigned table.
     pub table: u32,
-    /// Admission rate in thousandths.
+    /// Admission rate in thousandths, at most [`MAX_ADMISSION_PER_MILLE`](crate::MAX_ADMISSION_PER_MILLE).
     pub admission_per_mille: u32,
-    /// Whether the proxies may retry after proof of non-execution.
+    /// True if the proxies may retry a request after proof that the attempt was not executed.
     pub allows_retries: bool,
 }
 
 impl SnapshotContent {
-    /// The number of the group that has a proxy.
+    /// Returns the number of the first group that contains the proxy; `None` if no group does.
     #[must_use]
     pub fn group_number_of(&self, proxy: &str) -> Option<u32> {
         self.groups.iter().find(|(_, group)| group.proxies.contains(proxy)).map(|(number, _)| *number)
     }
 
-    /// How many table entries, groups and ejections differ from another snapshot's.
+    /// Returns the number of table entries, groups and ejections that differ from those of another snapshot.
     #[must_use]
     pub fn changed_entry_count(&self, other: &SnapshotContent) -> usize {
         let empty = Table::default();
         let table_numbers: BTreeSet<u32> = self.tables.keys().chain(other.tables.keys()).copied().collect();
         let table_entries = table_numbers.iter().map(|number| {
-            let own = self.tables.get(number).unwrap_or(&empty);
-            own.count_changed_entries(other.tables.get(number).unwrap_or(&empty))
+            let table = self.tables.get(number).unwrap_or(&empty);
+            table.count_changed_entries(other.tables.get(number).unwrap_or(&empty))
         });
         let group_numbers: BTreeSet<u32> = self.groups.keys().chain(other.groups.keys()).copied().collect();
         let groups =
--- a/crates/table-format/src/error.rs
+++ b/crates/table-format/src/error.rs
@@ -1,90 +1,91 @@
-//! The errors of reading untrusted bytes and key files.
+//! Errors of decoding untrusted bytes and of parsing key files.
 
 use crate::{FORMAT_VERSION, MAX_KEYS, MIN_KEY_BYTES};
 
-/// Why bytes are rejected.
+/// The reason why the bytes of a file are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
-    /// A file is longer than what is read.
-    #[error("{what}: {bytes} bytes, {max} at most")]
+    /// The file is longer than the limit for its type.
+    #[error("{file}: {bytes} bytes, expected at most {max_bytes}")]
     TooLong {
         /// Name of the file.
-        what: String,
-        /// Its length.
+        file: String,
+        /// Length of the file.
         bytes: u64,
-        /// The longest that is read.
-        max: u64,
+        /// Maximum length.
+        max_bytes: u64,
     },
     /// The bytes are not a message of the expected type, or not in its canonical encoding.
-    #[error("{what}: torn or foreign: {reason}")]
+    #[error("{file}: malformed: {reason}")]
     Malformed {
         /// Name of the file.
-        what: String,
-        /// What is wrong.
+        file: String,
+        /// Description of the fault.
         reason: String,
     },
-    /// No seal by a known key, or one that is wrong.
-    #[error("manifest: no seal of a key that is known here")]
+    /// No known key seals the manifest, or the seal of a known key does not verify.
+    // Proxies reload their keys on a rejection whose text contains "no seal".
+    #[error("manifest: no seal by a known key that verifies")]
     NoValidSeal,
-    /// A format that this program does not read.
-    #[error("manifest: format {0}, {FORMAT_VERSION} is read here")]
+    /// The manifest states a format that this version does not read.
+    #[error("manifest: unsupported format {0}, expected {FORMAT_VERSION}")]
     UnsupportedFormat(u32),
-    /// A name that no member may have, or that is listed twice.
-    #[error("manifest: member {0:?}: no such name may stand here")]
+    /// The member's name is not allowed, or the manifest lists it twice or not at all.
+    #[error("manifest: member {0:?}: invalid name, or not listed exactly once")]
     InvalidMemberName(String),
-    /// A member whose length or digest is not what the manifest lists.
-    #[error("{0}: not as the manifest has it")]
+    /// The file's length, digest or checksum differs from the recorded one, or the recorded digest has a wrong length.
+    #[error("{0}: does not match its recorded digest")]
     DigestMismatch(String),
-    /// A value that is out of its range.
-    #[error("{location}: {value}; {limit}")]
+    /// A value is outside of its allowed range.
+    #[error("{location}: {value}, expected {limit}")]
     OutOfRange {
-        /// The file, and the entry in it.
+        /// Name of the file, and of the entry in it.
         location: String,
-        /// The value.
+        /// Description of the value.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed range.
         limit: String,
     },
 }
 
-/// What is wrong with one key.
+/// The reason why a line of a key file is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The line has a name only.
-    #[error("a name and a secret in hex are wanted")]
+    /// The line has a name but no secret.
+    #[error("expected a name and a secret in hex digits")]
     MissingSecret,
-    /// An earlier line has a key of this name.
-    #[error("key {0} stands here twice")]
+    /// An earlier line defines a key of the same name.
+    #[error("duplicate key name {0}")]
     Duplicate(String),
     /// The secret is not an even number of hex digits.
-    #[error("the secret is not in hex")]
+    #[error("the secret is not in hex, expected an even number of hex digits")]
     NotHex,
-    /// The secret is shorter than the hash function's output.
-    #[error("key {name}: {bytes} bytes, {MIN_KEY_BYTES} at least")]
+    /// The secret is shorter than [`MIN_KEY_BYTES`].
+    #[error("key {name}: secret of {bytes} bytes, expected at least {MIN_KEY_BYTES}")]
     TooShort {
         /// Name of the key.
         name: String,
-        /// Length of its secret.
+        /// Length of the secret in bytes.
         bytes: usize,
     },
 }
 
-/// What is wrong with the text of a key file.
+/// The reason why the text of a key file is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRingError {
-    /// A line does not hold a key.
+    /// A line is not a valid key.
     #[error("line {line}: {error}")]
     Line {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error in this line.
         #[source]
         error: KeyError,
     },
-    /// There is no key.
-    #[error("no key; one line each is wanted, a name and 64 or more hex digits")]
+    /// The file defines no key.
+    #[error("no key found, expected one line per key: a name and at least 64 hex digits")]
     Empty,
-    /// There are more keys than are read.
-    #[error("{0} keys, {MAX_KEYS} at most")]
+    /// The file defines more than [`MAX_KEYS`] keys.
+    #[error("{0} keys, expected at most {MAX_KEYS}")]
     TooMany(usize),
 }
--- a/crates/table-format/src/keys.rs
+++ b/crates/table-format/src/keys.rs
@@ -1,5 +1,7 @@
-//! The keys that seal manifests. Two keys may be valid at once, so that keys can be rotated without a gap: first the
-//! readers get the new key beside the old one, then the writers, then the old one is removed.
+//! Keys that seal manifests.
+//!
+//! Several keys can be valid at once, so that keys are rotated without an interruption: the new key is added at the
+//! readers, then at the writers, and then the old key is removed.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,12 +15,12 @@
 /// A named key for HMAC-SHA-256.
 #[derive(Clone)]
 pub struct Key {
-    /// Its name, which a seal states.
+    /// Name of the key, which each of its seals states.
     pub name: String,
     secret: Vec<u8>,
 }
 
-/// Leaves the secret out, so that it reaches no log.
+/// Omits the secret, so that it never appears in a log.
 impl fmt::Debug for Key {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         write!(out, "Key({})", self.name)
@@ -26,10 +28,10 @@
 }
 
 impl Key {
-    /// A key of this name.
+    /// Returns a key of this name.
     ///
     /// # Errors
-    /// The secret is shorter than [`MIN_KEY_BYTES`].
+    /// Fails if the secret is shorter than [`MIN_KEY_BYTES`].
     pub fn new(name: &str, secret: &[u8]) -> Result<Self, KeyError> {
         if secret.len() < MIN_KEY_BYTES {
             return Err(KeyError::TooShort { name: name.into(), bytes: secret.len() });
@@ -39,36 +41,35 @@
 
     fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac =
-            <Hmac<Sha256> as KeyInit>::new_from_slice(&self.secret).expect("HMAC takes keys of any length");
+            <Hmac<Sha256> as KeyInit>::new_from_slice(&self.secret).expect("HMAC accepts keys of any length");
         mac.update(bytes);
         mac
     }
 
-    /// The message authentication code of these bytes.
+    /// Returns the message authentication code (MAC) of the bytes.
     #[must_use]
     pub fn sign(&self, bytes: &[u8]) -> Vec<u8> {
         self.mac(bytes).finalize().into_bytes().to_vec()
     }
 
-    /// Whether this is the message authentication code of these bytes; compares in constant time.
+    /// Returns true if `mac` is the message authentication code of the bytes. Compares in constant time.
     #[must_use]
     pub fn verify(&self, bytes: &[u8], mac: &[u8]) -> bool {
         self.mac(bytes).verify_slice(mac).is_ok()
     }
 }
 
-/// The keys of one side: a writer seals with each, a reader accepts any.
+/// The keys of a writer, which seals with each of them, or of a reader, which accepts a seal by any of them.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing(pub Vec<Key>);
 
 impl KeyRing {
-    /// The key of this name.
     pub(crate) fn get(&self, name: &str) -> Option<&Key> {
         self.0.iter().find(|key| key.name == name)
     }
 }
 
-/// Parses the text of a key file: one key a line, a name and the secret in hex; `#` starts a comment.
+/// Parses the text of a key file: one key per line, its name and its secret in hex digits; `#` starts a comment.
 impl FromStr for KeyRing {
     type Err = KeyRingError;
 
--- a/crates/table-format/src/seal.rs
+++ b/crates/table-format/src/seal.rs
@@ -1,4 +1,4 @@
-//! Encodes a snapshot's content into the bytes of its files.
+//! Encodes the content of a snapshot into the bytes of its files.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 /// A member file of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// SHA-256 of the bytes.
+    /// SHA-256 digest of the bytes.
     pub digest: Sha256Digest,
-    /// The bytes of the file.
+    /// Content of the file.
     pub bytes: Vec<u8>,
 }
 
@@ -25,20 +25,20 @@
     }
 }
 
-/// All files of a snapshot.
+/// The bytes of all files of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SealedSnapshot {
     /// Epoch (fencing token) of the writer.
     pub epoch: u64,
-    /// Version within the epoch.
+    /// Version of the snapshot within its epoch.
     pub version: u64,
-    /// The members by name.
+    /// Members by name.
     pub members: BTreeMap<String, Member>,
-    /// The sealed manifest.
+    /// Content of the file with the sealed manifest.
     pub manifest: Vec<u8>,
 }
 
-/// Encodes a snapshot and seals it with each key. The same arguments give the same bytes.
+/// Encodes a snapshot and seals it with each key. The output is deterministic: equal arguments give equal bytes.
 #[must_use]
 pub fn seal(
     controller: &str,
--- a/crates/table-format/tests/bytes.rs
+++ b/crates/table-format/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! Untrusted bytes: whatever they are, they are rejected or decoded, and nothing else happens.
+//! Encoding and decoding of snapshots: arbitrary bytes are either rejected or decoded within limits, without a panic.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,34 +24,34 @@
         TableEntry { address, weight }
     });
     let table =
-        proptest::collection::btree_map(any_name(), entry, 0..6).prop_map(|lines| Table { entries: lines });
+        proptest::collection::btree_map(any_name(), entry, 0..6).prop_map(|entries| Table { entries });
     let assignment = (0..4_u32, 0..=1000_u32, any::<bool>());
-    let assignment = assignment.prop_map(|(table, level, again)| ProxyAssignment {
+    let assignment = assignment.prop_map(|(table, admission_per_mille, allows_retries)| ProxyAssignment {
         table,
-        admission_per_mille: level,
-        allows_retries: again,
+        admission_per_mille,
+        allows_retries,
     });
     let group = (
         proptest::collection::btree_set(any_name(), 0..4),
         proptest::collection::btree_map(any_name(), assignment, 0..3),
     );
-    let group = group.prop_map(|(proxies, bound)| ProxyGroup { proxies, assignments: bound });
+    let group = group.prop_map(|(proxies, assignments)| ProxyGroup { proxies, assignments });
     (
         proptest::collection::btree_map(0..9_u32, table, 0..4),
         proptest::collection::btree_map(0..9_u32, group, 0..4),
         proptest::collection::btree_set(any_name(), 0..4),
     )
-        .prop_map(|(tables, groups, withdrawn)| SnapshotContent { tables, groups, ejected: withdrawn })
+        .prop_map(|(tables, groups, ejected)| SnapshotContent { tables, groups, ejected })
 }
 
-/// A manifest without the seals of unknown keys. Readers ignore these, so that keys can be rotated.
+/// Removes the seals of unknown keys from a manifest. Readers ignore these, so that keys can be rotated.
 fn without_unknown_seals(manifest: &[u8]) -> Vec<u8> {
-    let mut sealed = proto::Sealed::parse_from_bytes(manifest).expect("opened");
+    let mut sealed = proto::Sealed::parse_from_bytes(manifest).expect("valid message");
     sealed.seals.retain(|seal| seal.key == "k1");
-    sealed.write_to_bytes().expect("written")
+    sealed.write_to_bytes().expect("encoded")
 }
 
-/// The content of a snapshot, decoded from its files.
+/// Decodes the content of a snapshot from its files.
 fn decode(snapshot: &SealedSnapshot, keys: &KeyRing) -> Result<SnapshotContent, FormatError> {
     let opened = open_manifest(&snapshot.manifest, keys)?;
     let mut content = SnapshotContent::default();
@@ -78,13 +78,13 @@
         prop_assert_eq!(seal("p", epoch, version, &content, &keys()), snapshot);
     }
 
-    /// Bytes of a manifest and of its members are changed, removed, inserted and repeated.
+    /// Replaces, removes, inserts and duplicates bytes of a manifest and of its members.
     #[test]
     fn changed_bytes_are_rejected_or_decode_within_limits(
         content in any_content(),
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..4_u8), 1..6),
     ) {
-        let sound = seal("p", 1, 1, &content, &keys());
+        let valid = seal("p", 1, 1, &content, &keys());
         let change = |bytes: &[u8]| {
             let mut bytes = bytes.to_vec();
             for (index, byte, mutation) in &changes {
@@ -98,13 +98,13 @@
             }
             bytes
         };
-        let manifest = change(&sound.manifest);
-        prop_assert!(open_manifest(&manifest, &keys()).is_err() || without_unknown_seals(&manifest) == sound.manifest);
-        let opened = open_manifest(&sound.manifest, &keys()).expect("sound");
-        for (name, member) in &sound.members {
+        let manifest = change(&valid.manifest);
+        prop_assert!(open_manifest(&manifest, &keys()).is_err() || without_unknown_seals(&manifest) == valid.manifest);
+        let opened = open_manifest(&valid.manifest, &keys()).expect("valid manifest");
+        for (name, member) in &valid.members {
             let bytes = change(&member.bytes);
             prop_assert!(bytes == member.bytes || opened.verify_member(name, &bytes).is_err());
-            // Somebody with a key may have made the digest, so the limits still have to be checked.
+            // A writer that has a key can list a matching digest, so the decoders have to check the limits themselves.
             let table = decode_table(name, &bytes);
             prop_assert!(table.is_err() || table.is_ok_and(|numbered| numbered.table.entries.values().all(|entry| (1..=256).contains(&entry.weight))));
             let group = decode_group(name, &bytes);
@@ -120,7 +120,7 @@
     }
 }
 
-/// Opens a manifest with a right seal and a change in it.
+/// Changes a manifest, seals it with a known key and opens it.
 fn open_changed_manifest(change: impl Fn(&mut proto::Manifest)) -> Result<(), String> {
     let mut manifest = proto::Manifest { format: 1, epoch: 1, version: 1, ..Default::default() };
     manifest.members.push(proto::Member {
@@ -129,7 +129,7 @@
         ..Default::default()
     });
     change(&mut manifest);
-    let bytes = manifest.write_to_bytes().expect("written");
+    let bytes = manifest.write_to_bytes().expect("encoded");
     let keys = keys();
     let seals = keys.0.iter().map(|key| proto::Seal {
         key: key.name.clone(),
@@ -137,85 +137,98 @@
         ..Default::default()
     });
     let sealed = proto::Sealed { manifest: bytes.clone(), seals: seals.collect(), ..Default::default() };
-    open_manifest(&sealed.write_to_bytes().expect("written"), &keys)
+    open_manifest(&sealed.write_to_bytes().expect("encoded"), &keys)
         .map(|_| ())
         .map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_sealed_manifest_is_still_checked() {
+fn validly_sealed_manifests_with_invalid_content_are_rejected() {
     assert_eq!(open_changed_manifest(|_| ()), Ok(()));
-    let error_of = |change: &dyn Fn(&mut proto::Manifest)| open_changed_manifest(change).expect_err("wrong");
-    assert_eq!(error_of(&|m| m.format = 2), "manifest: format 2, 1 is read here");
+    let error_of =
+        |change: &dyn Fn(&mut proto::Manifest)| open_changed_manifest(change).expect_err("invalid content");
+    assert_eq!(error_of(&|m| m.format = 2), "manifest: unsupported format 2, expected 1");
     for name in ["../e9", "a/b", "", "manifest", "Table"] {
-        assert!(error_of(&|m| m.members[0].name = name.into()).contains("no such name"), "{name:?}");
+        assert!(error_of(&|m| m.members[0].name = name.into()).contains("invalid name, or not"), "{name:?}");
     }
-    assert!(error_of(&|m| m.members.push(m.members[0].clone())).contains("no such name"), "twice");
-    assert!(error_of(&|m| m.members[0].digest.truncate(31)).contains("not as the manifest has it"));
-    assert_eq!(error_of(&|m| m.members[0].bytes = 1 << 40), "table-1: 1099511627776 bytes, 16777216 at most");
-    let many = |m: &mut proto::Manifest| {
+    assert!(
+        error_of(&|m| m.members.push(m.members[0].clone())).contains("invalid name, or not"),
+        "listed twice"
+    );
+    assert!(error_of(&|m| m.members[0].digest.truncate(31)).contains("does not match its recorded digest"));
+    assert_eq!(
+        error_of(&|m| m.members[0].bytes = 1 << 40),
+        "table-1: 1099511627776 bytes, expected at most 16777216"
+    );
+    let too_many = |m: &mut proto::Manifest| {
         let member =
             |i| proto::Member { name: format!("table-{i}"), digest: vec![0; 32], ..Default::default() };
         m.members = (0..9000).map(member).collect();
     };
-    assert_eq!(error_of(&many), "manifest: 9000 members; 8192 at most");
+    assert_eq!(error_of(&too_many), "manifest: 9000 members, expected at most 8192");
 }
 
-/// The seal is the last field, so a message with a copy of it appended is well-formed.
+/// Seals are the last field of the message, so appending a copy of a seal yields a message in canonical encoding.
 #[test]
 fn a_repeated_seal_is_rejected() {
-    let sound = seal("p", 1, 1, &SnapshotContent::default(), &keys()).manifest;
-    let sealed = proto::Sealed::parse_from_bytes(&sound).expect("read");
+    let valid = seal("p", 1, 1, &SnapshotContent::default(), &keys()).manifest;
+    let sealed = proto::Sealed::parse_from_bytes(&valid).expect("valid message");
     let open_with = |seal: proto::Seal| {
         let mut sealed = sealed.clone();
         sealed.seals.push(seal);
-        open_manifest(&sealed.write_to_bytes().expect("written"), &keys())
+        open_manifest(&sealed.write_to_bytes().expect("encoded"), &keys())
     };
-    let error = open_with(sealed.seals[0].clone()).expect_err("repeated").to_string();
-    assert_eq!(error, "manifest: torn or foreign: a key seals it twice");
-    let foreign = proto::Seal { key: "k2".into(), mac: vec![1; 32], ..Default::default() };
-    assert_eq!(open_with(foreign), open_manifest(&sound, &keys()));
+    let error = open_with(sealed.seals[0].clone()).expect_err("repeated seal").to_string();
+    assert_eq!(error, "manifest: malformed: two seals by the same key");
+    let by_unknown_key = proto::Seal { key: "k2".into(), mac: vec![1; 32], ..Default::default() };
+    assert_eq!(open_with(by_unknown_key), open_manifest(&valid, &keys()));
 }
 
-/// A newer controller may write more fields: readers skip them, and a message that is encoded again still has them.
+/// A newer controller may write additional fields. Readers skip them, and re-encoding a message preserves them.
 #[test]
 fn unknown_fields_are_skipped_and_preserved() {
     let table = proto::Table { number: 3, ..Default::default() };
-    // Field 15, a length of 4.
-    let bytes = [table.write_to_bytes().expect("written"), vec![0x7a, 4, 1, 2, 3, 4]].concat();
+    // Field 15, of wire type "length-delimited", with a length of 4.
+    let bytes = [table.write_to_bytes().expect("encoded"), vec![0x7a, 4, 1, 2, 3, 4]].concat();
     assert_eq!(decode_table("table-3", &bytes), Ok(NumberedTable { number: 3, table: Table::default() }));
-    let decoded = proto::Table::parse_from_bytes(&bytes).expect("read");
-    assert_eq!(decoded.write_to_bytes().expect("written"), bytes);
+    let decoded = proto::Table::parse_from_bytes(&bytes).expect("valid message");
+    assert_eq!(decoded.write_to_bytes().expect("encoded"), bytes);
 }
 
 #[test]
-fn values_out_of_range_are_named_in_the_error() {
-    let line = |server: &str, address: &str, weight| proto::Line {
-        server: server.into(),
+fn errors_name_values_that_are_out_of_range() {
+    let entry = |endpoint: &str, address: &str, weight| proto::Line {
+        server: endpoint.into(),
         address: address.into(),
         weight,
         ..Default::default()
     };
     let error_of = |lines: Vec<proto::Line>| {
         let table = proto::Table { number: 1, lines, ..Default::default() };
-        decode_table("table-1", &table.write_to_bytes().expect("written")).expect_err("wrong").to_string()
+        decode_table("table-1", &table.write_to_bytes().expect("encoded"))
+            .expect_err("value out of range")
+            .to_string()
     };
-    assert_eq!(error_of(vec![line("e1", "127.0.0.1:1", 257)]), "table-1, e1: weight 257; 1 to 256");
-    assert_eq!(error_of(vec![line("e1", "nowhere", 1)]), "table-1, e1: address \"nowhere\"; IP:PORT");
-    let twice = vec![line("e1", "127.0.0.1:1", 1), line("e1", "127.0.0.1:2", 1)];
-    assert_eq!(error_of(twice), "table-1, e1: stands twice; each server once");
-    let bound = proto::Bound { class: "look".into(), level: 1001, ..Default::default() };
-    let group = proto::Group { bound: vec![bound], ..Default::default() };
-    let error =
-        decode_group("group-1", &group.write_to_bytes().expect("written")).expect_err("wrong").to_string();
-    assert_eq!(error, "group-1, look: level 1001; 0 to 1000");
+    assert_eq!(error_of(vec![entry("e1", "127.0.0.1:1", 257)]), "table-1, e1: weight 257, expected 1 to 256");
+    assert_eq!(
+        error_of(vec![entry("e1", "nowhere", 1)]),
+        "table-1, e1: address \"nowhere\", expected IP:PORT"
+    );
+    let twice = vec![entry("e1", "127.0.0.1:1", 1), entry("e1", "127.0.0.1:2", 1)];
+    assert_eq!(error_of(twice), "table-1, e1: listed more than once, expected one entry per endpoint");
+    let assignment = proto::Bound { class: "look".into(), level: 1001, ..Default::default() };
+    let group = proto::Group { bound: vec![assignment], ..Default::default() };
+    let error = decode_group("group-1", &group.write_to_bytes().expect("encoded"))
+        .expect_err("value out of range")
+        .to_string();
+    assert_eq!(error, "group-1, look: admission rate 1001, expected 0 to 1000");
 }
 
 #[test]
 fn changed_entries_and_ejections_are_counted() {
-    let line = |weight| TableEntry { address: "127.0.0.1:1".parse().expect("an address"), weight };
+    let entry = |weight| TableEntry { address: "127.0.0.1:1".parse().expect("valid address"), weight };
     let table = |weights: &[u32]| Table {
-        entries: weights.iter().enumerate().map(|(i, weight)| (format!("e{i}"), line(*weight))).collect(),
+        entries: weights.iter().enumerate().map(|(i, weight)| (format!("e{i}"), entry(*weight))).collect(),
     };
     let one =
         SnapshotContent { tables: BTreeMap::from([(1, table(&[1, 2, 3]))]), ..SnapshotContent::default() };
@@ -230,19 +243,19 @@
     );
 }
 
-/// The worked example of docs/table-files.md, to the byte: readers in other languages are built from it.
+/// Checks the bytes of the worked example in docs/table-files.md, from which readers in other languages are built.
 #[test]
 fn the_worked_example_is_encoded_byte_for_byte() {
     let key = Key::new("k1", &(0..32).collect::<Vec<u8>>()).expect("long enough");
-    let line = TableEntry { address: "127.0.0.1:8101".parse().expect("an address"), weight: 256 };
-    let bound = ProxyAssignment { table: 3, admission_per_mille: 500, allows_retries: true };
+    let entry = TableEntry { address: "127.0.0.1:8101".parse().expect("valid address"), weight: 256 };
+    let assignment = ProxyAssignment { table: 3, admission_per_mille: 500, allows_retries: true };
     let content = SnapshotContent {
-        tables: BTreeMap::from([(3, Table { entries: BTreeMap::from([("e1".into(), line)]) })]),
+        tables: BTreeMap::from([(3, Table { entries: BTreeMap::from([("e1".into(), entry)]) })]),
         groups: BTreeMap::from([(
             0,
             ProxyGroup {
                 proxies: BTreeSet::from(["r1".into()]),
-                assignments: BTreeMap::from([("look".into(), bound)]),
+                assignments: BTreeMap::from([("look".into(), assignment)]),
             },
         )]),
         ejected: BTreeSet::from(["e9".into()]),
--- a/crates/table-store/tests/directory/faults.rs
+++ b/crates/table-store/tests/directory/faults.rs
@@ -86,7 +86,10 @@
     let (directory, second) = directory_of_two_snapshots();
     fs::write(second.join("table-0"), b"damaged").expect("written");
     let (applied, reasons) = scan(&mut reader(directory.path(), "r0"));
-    assert_eq!((applied, reasons), (Some(1), vec!["table-0: not as the manifest has it".to_string()]));
+    assert_eq!(
+        (applied, reasons),
+        (Some(1), vec!["table-0: does not match its recorded digest".to_string()])
+    );
     assert_eq!(
         scan(&mut reader(directory.path(), "r1")).0,
         Some(2),
@@ -100,7 +103,7 @@
     // Field 1, of 2^40 bytes.
     let huge = [&[0x0a][..], &[0x80, 0x80, 0x80, 0x80, 0x80, 0x20], b"abc"].concat();
     fs::write(second.join(MANIFEST_FILE), &huge).expect("written");
-    assert!(rejection(directory.path()).expect("rejected").contains("torn or foreign"));
+    assert!(rejection(directory.path()).expect("rejected").contains("malformed"));
     // A sparse file that really is long.
     let file = fs::File::create(second.join(MANIFEST_FILE)).expect("made");
     file.set_len(1 << 40).expect("a sparse file");
--- a/crates/table-store/tests/directory/selection.rs
+++ b/crates/table-store/tests/directory/selection.rs
@@ -149,7 +149,7 @@
             assert_eq!((applied, reasons), (Some(stamp), vec![]));
         } else {
             assert_eq!((applied, reasons.len()), (None, 1));
-            assert!(reasons[0].contains("no seal of a key"), "{reasons:?}");
+            assert!(reasons[0].contains("no seal by a known key"), "{reasons:?}");
         }
     }
     lagging.replace_keys(both());
@@ -171,7 +171,7 @@
     fs::set_permissions(&path, fs::Permissions::from_mode(0o600)).expect("set");
     assert_eq!(read_keys(&path).expect("sound").0.len(), 2);
     for (text, expected) in [
-        ("k1 abcd", "2 bytes, 32 at least"),
+        ("k1 abcd", "secret of 2 bytes, expected at least 32"),
         ("k1", "a name and a secret"),
         ("", "no key"),
         ("k1 xyz", "not in hex"),
