--- a/crates/table-format/src/lib.rs
+++ b/crates/table-format/src/lib.rs
@@ -1,12 +1,12 @@
 //! The file format of published routing tables, without I/O or a clock.
 //!
 //! A snapshot consists of member files (tables, proxy groups, ejected endpoints) and a manifest that lists them with
-//! their digests and is sealed with shared keys. Untrusted bytes are checked in a fixed order: the length of the manifest
-//! file, the seals, the manifest, the length and digest of a member, the member itself. Nothing is used before the check
-//! that covers it has passed.
+//! their digests and is sealed with shared keys. Untrusted bytes are checked in a fixed order: the length of the
+//! manifest file, the seals, the manifest, the length and digest of a member, the member itself. Nothing is used before
+//! the check that covers it has passed.
 //!
-//! The stored messages are defined in `proto/tables.proto` and keep their own field names; `codec`, `manifest`, `seal` and
-//! `status` map them to the names used here. `docs/table-files.md` describes the format with a worked example.
+//! The stored messages are defined in `proto/tables.proto` and keep their own field names; `codec`, `manifest`, `seal`
+//! and `status` map them to the names used here. `docs/table-files.md` describes the format with a worked example.
 
 #![warn(missing_docs)]
 
--- a/crates/table-format/src/manifest.rs
+++ b/crates/table-format/src/manifest.rs
@@ -41,8 +41,8 @@
 /// Verifies and decodes the bytes of a sealed manifest.
 ///
 /// # Errors
-/// Fails if the manifest is too long, malformed, not sealed by a known key or of another format, or if it lists an invalid
-/// member.
+/// Fails if the manifest is too long, malformed, not sealed by a known key or of another format, or if it lists an
+/// invalid member.
 pub fn open_manifest(bytes: &[u8], keys: &KeyRing) -> Result<OpenedManifest, FormatError> {
     let length = bytes.len() as u64;
     if length > MAX_MANIFEST_BYTES {
--- a/crates/table-store/src/bounded_read.rs
+++ b/crates/table-store/src/bounded_read.rs
@@ -1,4 +1,4 @@
-//! Reads files of untrusted length.
+//! Reads files of untrusted length into memory.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -6,8 +6,7 @@
 
 use crate::error::ReadError;
 
-/// The bytes of a file that is not longer than this. A longer file is not read at all, so that nothing is allocated for
-/// it.
+/// Reads a file of at most `max_bytes` bytes. A longer file is rejected before anything is read or allocated for it.
 pub(crate) fn read_bounded(path: &Path, max_bytes: u64) -> Result<Vec<u8>, ReadError> {
     let file = || path.file_name().unwrap_or_default().to_string_lossy().into_owned();
     match try_read(path, max_bytes) {
@@ -17,7 +16,7 @@
     }
 }
 
-/// The bytes of a file, or `None` if it is longer than this.
+/// Reads a file; returns `None` if it is longer than `max_bytes`.
 fn try_read(path: &Path, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
     let file = File::open(path)?;
     let length = file.metadata()?.len();
@@ -25,7 +24,7 @@
         return Ok(None);
     }
     let mut bytes = Vec::with_capacity(length as usize);
-    // The file may have grown meanwhile.
+    // The file may have grown since its length was checked, so the number of bytes read is limited, too.
     file.take(max_bytes + 1).read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
--- a/crates/table-store/src/error.rs
+++ b/crates/table-store/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of reading and of writing snapshots.
+//! Errors of reading and of writing snapshots.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 
 use crate::layout::{Epoch, SnapshotId};
 
-/// Why a snapshot, or another file of the directory, is not used.
+/// The reason why a snapshot, or another file of the store, is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The file system reported an error.
@@ -14,49 +14,50 @@
     Io {
         /// Name of the file.
         file: String,
-        /// The error.
+        /// Error reported by the file system.
         source: io::Error,
     },
-    /// The file is longer than what is read.
-    #[error("{file}: over {max_bytes} bytes")]
+    /// The file is longer than the limit for its type.
+    #[error("{file}: longer than {max_bytes} bytes")]
     TooLong {
         /// Name of the file.
         file: String,
-        /// The longest that is read.
+        /// Maximum length.
         max_bytes: u64,
     },
-    /// The bytes are not sound.
+    /// The file is malformed or fails verification.
     #[error(transparent)]
     Format(#[from] FormatError),
-    /// The manifest belongs to another snapshot: somebody copied it here.
-    #[error("a copy of epoch {}, version {}", .stated.epoch, .stated.version)]
+    /// The manifest states another epoch or version than its directory: it was copied from another snapshot.
+    #[error("manifest: a copy of epoch {}, version {}", .stated.epoch, .stated.version)]
     Misplaced {
         /// The snapshot to which the manifest belongs.
         stated: SnapshotId,
     },
-    /// A group refers to a table that the manifest does not list.
-    #[error("{member}: named by a group and not there")]
+    /// A group assigns a table that the manifest does not list.
+    #[error("{member}: assigned by a group, but not listed in the manifest")]
     MissingTable {
         /// Name of the missing member.
         member: String,
     },
-    /// A member holds the table of another member.
-    #[error("{member}: says that it is table {stated}")]
+    /// The number stored in a table file is not the one in the file's name.
+    #[error("{member}: contains table {stated}")]
     WrongTable {
         /// Name of the member.
         member: String,
-        /// The number that it states.
+        /// The table number stored in the member.
         stated: u32,
     },
 }
 
-/// Why a snapshot was not published.
+/// The reason why a snapshot was not published.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// Another controller has acquired this higher epoch: the writer has to stop.
-    #[error("superseded: a pilot of epoch {0} has taken over")]
+    /// Another controller has acquired this higher epoch; this writer has to stop.
+    #[error("superseded: a controller of epoch {0} has taken over")]
     Fenced(Epoch),
-    /// The file system reported an error. The last published snapshot is still current.
+    /// The file system reported an error. The snapshot that was published last is still current, unless the error
+    /// occurred after the link to the current snapshot was replaced.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/table-store/src/key_file.rs
+++ b/crates/table-store/src/key_file.rs
@@ -1,4 +1,4 @@
-//! Key files, which only their owner may read.
+//! Reads key files, which only their owner may have access to.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -7,14 +7,14 @@
 
 use lockcroft_table_format::{KeyRing, KeyRingError};
 
-/// The longest key file that is read, in bytes.
+/// Maximum length of a key file, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 64 << 10;
-/// The permission bits of the group and of others; none may be set.
+/// Permission bits of the group and of others, none of which may be set.
 const GROUP_AND_OTHERS_MODE: u32 = 0o077;
-/// All permission bits.
+/// All permission bits of owner, group and others.
 const PERMISSIONS_MODE: u32 = 0o777;
 
-/// Why a key file is refused.
+/// The reason why a key file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
     /// The file system reported an error.
@@ -22,41 +22,42 @@
     Io {
         /// Path of the key file.
         path: PathBuf,
-        /// The error.
+        /// Error reported by the file system.
         source: io::Error,
     },
-    /// The path is no regular file, or the file is too long.
-    #[error("{}: no file of {MAX_KEY_FILE_BYTES} bytes at most", .path.display())]
+    /// The path is not a regular file, or the file is too long.
+    #[error("{}: not a regular file of at most {MAX_KEY_FILE_BYTES} bytes", .path.display())]
     NotRegularOrTooLong {
         /// Path of the key file.
         path: PathBuf,
     },
     /// The group or others have permissions on the file.
-    #[error("{}: others may use it (mode {mode:03o}); 600 or 400 is allowed", .path.display())]
+    #[error("{}: accessible to group or others (mode {mode:03o}), expected mode 600 or 400", .path.display())]
     OpenToOthers {
         /// Path of the key file.
         path: PathBuf,
-        /// Its permission bits.
+        /// Permission bits of the file.
         mode: u32,
     },
-    /// The text holds no valid keys.
+    /// The text of the file is not a valid list of keys.
     #[error("{}: {source}", .path.display())]
     InvalidKeys {
         /// Path of the key file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error in the text.
         source: KeyRingError,
     },
 }
 
-/// Reads a key file.
+/// Reads and parses a key file.
 ///
 /// # Errors
-/// The file can't be read, is open to others, or holds no valid keys. The text names the file and what is allowed.
+/// Fails if the file can't be read, is too long, is accessible to the group or others, or does not contain valid keys.
+/// The error's text names the file and what was expected.
 pub fn read_keys(path: &Path) -> Result<KeyRing, KeyFileError> {
     let io_error = |source: io::Error| KeyFileError::Io { path: path.into(), source };
     let mut file = File::open(path).map_err(io_error)?;
-    // The metadata of the open file: the path may be replaced between two look-ups.
+    // The metadata is that of the open file, because the path may lead to another file at a second lookup.
     let metadata = file.metadata().map_err(io_error)?;
     if !metadata.is_file() || metadata.len() > MAX_KEY_FILE_BYTES {
         return Err(KeyFileError::NotRegularOrTooLong { path: path.into() });
--- a/crates/table-store/src/lib.rs
+++ b/crates/table-store/src/lib.rs
@@ -1,21 +1,22 @@
 //! Versioned snapshots of table files in a directory, with fencing of writers.
 //!
-//! A controller acquires an epoch by creating its directory, which only one process can do, and writes whole snapshots
-//! into it; one rename makes the next snapshot current. Proxies read the highest epoch with a sound snapshot and apply
-//! nothing older than what they have applied. The epoch is the fencing token: a controller that was paused while another
-//! one took over goes on in a directory that nobody reads any more. `snapshot_selector` decides which snapshots are
-//! applied and `retention` which ones are kept, without I/O; the other modules carry that out.
+//! A controller acquires an epoch by creating its directory, which succeeds for one process only, and writes complete
+//! snapshots into it; an atomic rename makes the next snapshot current. Proxies read the highest epoch that has a valid
+//! snapshot and apply nothing older than the snapshot they applied last. The epoch is the fencing token: a controller
+//! that was paused while another one took over continues to write into a directory that is no longer read.
+//! `snapshot_selector` decides which snapshots are applied and `retention` which ones are kept, both without I/O; the
+//! other modules carry out these decisions.
 //!
 //! ```text
-//! DIR/e7/                 an epoch
-//! DIR/e7/g41/manifest     a snapshot: the sealed manifest, and its members
+//! DIR/e7/                 epoch 7
+//! DIR/e7/g41/manifest     snapshot version 41: the sealed manifest and the members
 //! DIR/e7/g41/table-3
-//! DIR/e7/current -> g41   replaced by rename
-//! DIR/status/NAME         what the proxy of this name has applied, written by it
+//! DIR/e7/current -> g41   link to the current snapshot, replaced by rename
+//! DIR/status/NAME         status of the proxy of this name, written by the proxy
 //! ```
 //!
-//! This has no lock to share with the state store: there, one process holds a file lock and others are refused; here a
-//! new writer always succeeds and fences the one before it.
+//! Unlike the state store, where a writer holds a file lock and further writers are refused, this store has no lock: a
+//! new writer always succeeds and fences the previous one.
 
 #![warn(missing_docs)]
 
--- a/crates/table-store/src/loaded_snapshot.rs
+++ b/crates/table-store/src/loaded_snapshot.rs
@@ -1,4 +1,4 @@
-//! Loads a whole snapshot, for programs that show, compare or publish it again.
+//! Loads complete snapshots, for commands that show, compare or republish them.
 
 use lockcroft_table_format::{
     EJECTED_MEMBER, GROUP_MEMBER_PREFIX, KeyRing, SnapshotContent, TABLE_MEMBER_PREFIX, decode_ejected,
@@ -9,23 +9,23 @@
 use crate::layout::{Epoch, SnapshotId, StoreLayout, Version};
 use crate::snapshot_files::SnapshotFiles;
 
-/// A sound snapshot with all its members.
+/// A verified snapshot with the content of all its members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadedSnapshot {
-    /// What it says.
+    /// Decoded content of all members.
     pub content: SnapshotContent,
-    /// Name of the controller that wrote it.
+    /// Name of the controller that wrote the snapshot.
     pub controller: String,
-    /// Name of the key that seals it.
+    /// Name of the first known key that seals the snapshot.
     pub key: String,
-    /// Length of all its files.
+    /// Total length of the manifest and all members, in bytes.
     pub bytes: u64,
 }
 
-/// Loads a snapshot and checks every member.
+/// Loads a snapshot and verifies all of its members.
 ///
 /// # Errors
-/// A file is missing or not sound.
+/// Fails if a file is missing or can't be read, or if it is invalid.
 pub fn load_snapshot(
     layout: &StoreLayout,
     epoch: Epoch,
@@ -44,7 +44,7 @@
     Ok(LoadedSnapshot { content, controller: manifest.controller, key: manifest.key, bytes: total_bytes })
 }
 
-/// Adds a member to the content. Members of unknown names are of a later program and skipped.
+/// Adds a member to the content. Members of unknown names are skipped: a newer version of the writer may add some.
 fn decode_member(name: &str, bytes: &[u8], content: &mut SnapshotContent) -> Result<(), ReadError> {
     let group_number = name.strip_prefix(GROUP_MEMBER_PREFIX).and_then(|number| number.parse().ok());
     if name == EJECTED_MEMBER {
--- a/crates/table-store/src/proxy_view.rs
+++ b/crates/table-store/src/proxy_view.rs
@@ -1,4 +1,4 @@
-//! Reads the part of a snapshot that concerns one proxy.
+//! Reads the part of a snapshot that applies to one proxy.
 
 use std::collections::BTreeSet;
 use std::collections::btree_map::{BTreeMap, Entry};
@@ -12,17 +12,17 @@
 use crate::layout::{Epoch, SnapshotId, Version};
 use crate::snapshot_files::SnapshotFiles;
 
-/// What a snapshot says to one proxy.
+/// The part of a snapshot that applies to one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxySnapshot {
-    /// Epoch of its writer.
+    /// Epoch of the writer.
     pub epoch: Epoch,
-    /// Its number within the epoch.
+    /// Version of the snapshot within its epoch.
     pub version: Version,
-    /// Assignments by class. Empty if the controller has assigned no table to the proxy yet: the proxy then keeps the
-    /// tables that it holds.
+    /// Assignments by class name. Empty if the controller has not assigned a table to the proxy yet; the proxy then
+    /// keeps the tables that it has applied.
     pub assignments: BTreeMap<String, ProxyAssignment>,
-    /// The assigned tables by number.
+    /// Assigned tables by number.
     pub tables: BTreeMap<u32, Table>,
     /// Names of the ejected endpoints.
     pub ejected: BTreeSet<String>,
@@ -40,7 +40,7 @@
     value: T,
 }
 
-/// Reads snapshots for one proxy, and only the members that changed since the last one.
+/// Reads snapshots for one proxy. Members that have not changed since an earlier snapshot are taken from a cache.
 pub(crate) struct ProxyView {
     proxy: String,
     groups: BTreeMap<String, CachedMember<ProxyGroup>>,
@@ -52,7 +52,7 @@
         ProxyView { proxy: proxy.into(), groups: BTreeMap::new(), tables: BTreeMap::new() }
     }
 
-    /// What a snapshot says to the proxy.
+    /// Reads the part of a snapshot that applies to the proxy.
     pub fn read(&mut self, files: &SnapshotFiles) -> Result<ProxySnapshot, ReadError> {
         let manifest = &files.manifest;
         let mut snapshot = ProxySnapshot {
@@ -72,7 +72,7 @@
         Ok(snapshot)
     }
 
-    /// The group that has the proxy.
+    /// Returns the first group that contains the proxy; `None` if no group does.
     fn find_group(&mut self, files: &SnapshotFiles) -> Result<Option<ProxyGroup>, ReadError> {
         for (name, info) in &files.manifest.members {
             if !name.starts_with(GROUP_MEMBER_PREFIX) {
@@ -90,7 +90,8 @@
         Ok(None)
     }
 
-    /// A group, which is left empty if it does not have the proxy: nothing else of it is needed.
+    /// Reads a group. Returns an empty one if it does not contain the proxy, so that the cache does not keep its
+    /// content.
     fn read_group(&self, files: &SnapshotFiles, name: &str) -> Result<ProxyGroup, ReadError> {
         let group = decode_group(name, &files.read_member(name)?)?;
         Ok(if group.proxies.contains(&self.proxy) { group } else { ProxyGroup::default() })
--- a/crates/table-store/src/reader.rs
+++ b/crates/table-store/src/reader.rs
@@ -1,4 +1,4 @@
-//! Follows a store for one proxy: finds the snapshots that it is to apply.
+//! Scans a store for the snapshots that a proxy has to apply.
 
 use std::io;
 use std::path::Path;
@@ -11,14 +11,14 @@
 use crate::snapshot_files::SnapshotFiles;
 use crate::snapshot_selector::{SnapshotDecision, SnapshotSelector};
 
-/// A snapshot that is not applied.
+/// A snapshot that was rejected, because it is invalid or older than the one that was applied last.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedSnapshot {
-    /// Epoch of its writer.
+    /// Epoch of the writer.
     pub epoch: Epoch,
-    /// Its number within the epoch.
+    /// Version of the snapshot within its epoch.
     pub version: Version,
-    /// The reason, as a text for people.
+    /// Human-readable reason.
     pub reason: String,
 }
 
@@ -28,55 +28,59 @@
     }
 }
 
-/// What one scan of the directory found.
+/// Result of one scan of the directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScanResult {
-    /// The snapshots to apply, in this order: after a start, tables of an earlier epoch may come before the ejections of
-    /// the current one.
+    /// Snapshots to apply, in this order. After a start there may be two: one with the tables of an earlier epoch,
+    /// followed by the newest one, which has ejections but no tables for the proxy yet.
     pub to_apply: Vec<ProxySnapshot>,
-    /// The snapshots that were rejected on the way.
+    /// Snapshots that were examined and rejected.
     pub rejected: Vec<RejectedSnapshot>,
 }
 
-/// A sound snapshot, and what to do with it.
+/// A verified snapshot and the decision about it.
 struct Candidate {
     snapshot: ProxySnapshot,
     decision: SnapshotDecision,
 }
 
-/// Follows a store for one proxy.
+/// Reads the snapshots of a store for one proxy.
 pub struct SnapshotReader {
     layout: StoreLayout,
     keys: KeyRing,
     selector: SnapshotSelector,
-    /// The snapshot that the last scan applied: it need not be read again.
+    /// The snapshot that was returned last for application; a scan does not read it again.
     last_applied: Option<SnapshotId>,
     view: ProxyView,
 }
 
 impl SnapshotReader {
-    /// A reader for this proxy. Nothing older than the floor, which is an epoch and a version, is applied unless nothing
-    /// else is left.
+    /// Returns a reader for this proxy that has applied nothing yet.
+    ///
+    /// `min_snapshot` is the epoch and version that the proxy applied last before it was restarted. An older snapshot
+    /// is applied only at the start, and only if there is no other valid one.
     #[must_use]
-    pub fn new(directory: &Path, proxy: &str, keys: KeyRing, floor: Option<(Epoch, Version)>) -> Self {
+    pub fn new(directory: &Path, proxy: &str, keys: KeyRing, min_snapshot: Option<(Epoch, Version)>) -> Self {
         SnapshotReader {
             layout: StoreLayout::new(directory),
             keys,
-            selector: SnapshotSelector::with_min_snapshot(floor.map(SnapshotId::from)),
+            selector: SnapshotSelector::with_min_snapshot(min_snapshot.map(SnapshotId::from)),
             last_applied: None,
             view: ProxyView::new(proxy),
         }
     }
 
-    /// Replaces the keys, after they were rotated.
+    /// Replaces the keys, for use after a key rotation.
     pub fn replace_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// Scans the directory for snapshots to apply. Where nothing is new this reads one link.
+    /// Scans the directory for snapshots to apply. All returned snapshots count as applied.
+    ///
+    /// Blocks on file I/O. If there is nothing new, it only lists the directory and reads links.
     ///
     /// # Errors
-    /// The directory can't be read.
+    /// Fails if the directory can't be listed.
     pub fn scan(&mut self) -> io::Result<ScanResult> {
         let epochs = self.layout.epochs()?;
         let result = if self.selector.has_applied() {
@@ -91,8 +95,8 @@
         Ok(result)
     }
 
-    /// Takes the first sound snapshot from the highest epoch down. Lower epochs are not read then: the tables that the
-    /// proxy holds are better than older ones.
+    /// Examines the current snapshots from the highest epoch down to the first valid one. Lower epochs are not read
+    /// after that, because the tables that the proxy has applied are newer than theirs.
     fn scan_for_newer(&mut self, epochs: &[Epoch]) -> ScanResult {
         let mut result = ScanResult::default();
         for epoch in epochs.iter().copied() {
@@ -104,7 +108,7 @@
             let Some(candidate) = self.examine_or_reject(id, &mut result) else { continue };
             match candidate.decision {
                 SnapshotDecision::Apply => result.to_apply.push(candidate.snapshot),
-                // One reason is enough, that of the snapshot which would have been the newest.
+                // Only reported if no newer snapshot was rejected: the first reason is that of the newest snapshot.
                 SnapshotDecision::Older if result.rejected.is_empty() => {
                     result.rejected.push(RejectedSnapshot::new(id, self.selector.older_reason()));
                 }
@@ -115,11 +119,12 @@
         result
     }
 
-    /// Takes the newest sound snapshot after a start, wherever its epoch's link leads; one that is older than the floor
-    /// only if there is no other.
+    /// Selects the snapshot to apply after a start: the first valid one in the order of [`Self::snapshots_of`], even if
+    /// its epoch's link leads to another one. A snapshot older than the minimum is selected only if there is no other
+    /// valid one.
     fn scan_at_start(&mut self, epochs: &[Epoch]) -> ScanResult {
         let mut result = ScanResult::default();
-        let mut newest_below_floor = None;
+        let mut newest_below_min = None;
         for id in self.snapshots_of(epochs) {
             let Some(candidate) = self.examine_or_reject(id, &mut result) else { continue };
             match candidate.decision {
@@ -129,18 +134,18 @@
                 }
                 SnapshotDecision::Older => {
                     result.rejected.push(RejectedSnapshot::new(id, self.selector.older_reason()));
-                    newest_below_floor.get_or_insert(candidate.snapshot);
+                    newest_below_min.get_or_insert(candidate.snapshot);
                 }
             }
         }
-        if let Some(snapshot) = newest_below_floor {
+        if let Some(snapshot) = newest_below_min {
             self.apply_first(snapshot, &mut result);
         }
         result
     }
 
-    /// All snapshots by epoch, of each epoch the current one first and then the others from the newest. An epoch without
-    /// a current snapshot is skipped.
+    /// Iterates over all snapshots in the order of the epochs; for each epoch, the current snapshot comes first,
+    /// followed by the others from the newest to the oldest. An epoch without a current snapshot is skipped.
     fn snapshots_of<'a>(&self, epochs: &'a [Epoch]) -> impl Iterator<Item = SnapshotId> + use<'a> {
         let layout = self.layout.clone();
         epochs.iter().copied().flat_map(move |epoch| {
@@ -154,7 +159,7 @@
         })
     }
 
-    /// Examines a snapshot; one that is not sound is noted as rejected.
+    /// Examines a snapshot. Adds an invalid one to the rejected snapshots and returns `None`.
     fn examine_or_reject(&mut self, id: SnapshotId, result: &mut ScanResult) -> Option<Candidate> {
         let examined = self.examine(id);
         examined.map_err(|error| result.rejected.push(RejectedSnapshot::new(id, error.to_string()))).ok()
@@ -170,7 +175,8 @@
         self.view.read(&files)
     }
 
-    /// Adds the first snapshot after a start. If it assigns no table to the proxy, those of an earlier epoch come first.
+    /// Adds the first snapshot after a start. If it assigns no table to the proxy, a snapshot with the tables of an
+    /// earlier epoch is added before it.
     fn apply_first(&mut self, snapshot: ProxySnapshot, result: &mut ScanResult) {
         if snapshot.assignments.is_empty() {
             result.to_apply.extend(self.find_earlier_tables(&snapshot));
@@ -178,8 +184,8 @@
         result.to_apply.push(snapshot);
     }
 
-    /// The current snapshot of the highest earlier epoch that assigns tables to the proxy, with the newer ejections
-    /// added: the controller that took over has not assigned any yet.
+    /// Returns the current snapshot of the highest earlier epoch that assigns tables to the proxy, with the newer
+    /// ejections added. Needed while the controller that took over has not assigned tables to all proxies yet.
     fn find_earlier_tables(&mut self, newer: &ProxySnapshot) -> Option<ProxySnapshot> {
         let epochs = self.layout.epochs().unwrap_or_default();
         for epoch in epochs.into_iter().filter(|epoch| *epoch < newer.epoch) {
--- a/crates/table-store/src/retention.rs
+++ b/crates/table-store/src/retention.rs
@@ -1,32 +1,32 @@
-//! Decides which snapshots and epochs are removed from the directory.
+//! Decides which snapshots and epochs are removed from the store.
 
 use crate::layout::{Epoch, Version};
 
-/// The fewest snapshots that stay: readers may still be reading the one before the current one.
+/// Minimum number of snapshots to keep: readers may still be reading the one before the current one.
 const MIN_SNAPSHOTS: usize = 2;
 
-/// How much stays in the directory.
+/// Rules for the snapshots and epochs that are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionPolicy {
-    /// How many snapshots of the writer's epoch stay, the current one included; 2 at least.
+    /// Maximum number of snapshots to keep in the writer's epoch, including the current one. Values below 2 count as 2.
     pub max_snapshots: usize,
-    /// Whether earlier epochs stay. They may go once the current snapshot assigns tables to every proxy, so that none
-    /// has to take its tables from an earlier epoch.
+    /// True if earlier epochs are kept. They may be removed once the current snapshot assigns tables to every proxy;
+    /// until then, a proxy that starts takes its tables from an earlier epoch.
     pub keep_earlier_epochs: bool,
 }
 
-/// What may be removed.
+/// Snapshots and epochs that may be removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutdatedSnapshots {
     /// Snapshots of the writer's own epoch, the newest first.
     pub versions: Vec<Version>,
-    /// Whole epochs.
+    /// Epochs to remove with all of their snapshots.
     pub epochs: Vec<Epoch>,
 }
 
 impl RetentionPolicy {
-    /// What may be removed, given all versions of the writer's epoch and all epochs. A later epoch is not this writer's
-    /// to judge and stays.
+    /// Selects what may be removed, given all versions in the writer's epoch and all epochs. Later epochs belong to
+    /// writers that have fenced this one and are always kept.
     #[must_use]
     pub fn outdated(
         &self,
--- a/crates/table-store/src/snapshot_selector.rs
+++ b/crates/table-store/src/snapshot_selector.rs
@@ -1,43 +1,45 @@
-//! Decides which sound snapshots a proxy applies.
+//! Decides which of the valid snapshots a proxy applies.
 //!
-//! This guards against a controller that was paused and goes on writing after another one has taken over, and against an
-//! old snapshot in the place of a new one. Epochs that somebody made up are no danger: a snapshot without a valid seal
-//! is never considered, whatever its number.
+//! This guards against a controller that was paused and continues to write after another one has taken over, and
+//! against an old snapshot that is put in place of a newer one. Forged epochs need no check here: a snapshot without a
+//! valid seal is rejected before this decision, whatever its epoch.
 
 use std::cmp::Ordering;
 
 use crate::layout::SnapshotId;
 
-/// What a proxy has applied.
+/// The newest snapshot that a proxy has applied, with which others are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotSelector {
-    /// The newest snapshot that it has applied; after a start, the one in its status file.
-    floor: SnapshotId,
+    /// The snapshot that was applied last; after a start, the last one in the proxy's status file.
+    min_snapshot: SnapshotId,
+    /// True if a snapshot has been applied since the start.
     has_applied: bool,
 }
 
-/// What to do with a sound snapshot.
+/// The decision about a valid snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotDecision {
-    /// It is to be applied.
+    /// The snapshot has to be applied.
     Apply,
-    /// It is applied already.
+    /// The snapshot is the one that was applied last.
     AlreadyApplied,
-    /// A newer one was applied.
+    /// A newer snapshot has been applied.
     Older,
 }
 
 impl SnapshotSelector {
-    /// The selector after a start: nothing is applied yet, and nothing older than the floor is to be.
+    /// Returns the selector of a proxy that has applied nothing since its start and had applied this snapshot before
+    /// it.
     #[must_use]
-    pub fn with_min_snapshot(floor: Option<SnapshotId>) -> Self {
-        SnapshotSelector { floor: floor.unwrap_or_default(), has_applied: false }
+    pub fn with_min_snapshot(min_snapshot: Option<SnapshotId>) -> Self {
+        SnapshotSelector { min_snapshot: min_snapshot.unwrap_or_default(), has_applied: false }
     }
 
-    /// What to do with this snapshot.
+    /// Decides about a snapshot. The minimum itself has to be applied once after a start.
     #[must_use]
     pub fn decide(&self, id: SnapshotId) -> SnapshotDecision {
-        match id.cmp(&self.floor) {
+        match id.cmp(&self.min_snapshot) {
             Ordering::Greater => SnapshotDecision::Apply,
             Ordering::Equal if self.has_applied => SnapshotDecision::AlreadyApplied,
             Ordering::Equal => SnapshotDecision::Apply,
@@ -45,21 +47,25 @@
         }
     }
 
-    /// Records that a snapshot was applied. Only the first one after a start may be older than the floor, where nothing
-    /// newer is left.
+    /// Records that a snapshot was applied. Only the first one after a start may be older than the minimum, if there is
+    /// no newer valid one. Debug builds panic if a later one is older.
     pub fn record_applied(&mut self, id: SnapshotId) {
-        debug_assert!(!self.has_applied || id >= self.floor, "a proxy goes back");
-        self.floor = id;
+        debug_assert!(
+            !self.has_applied || id >= self.min_snapshot,
+            "snapshot older than the one applied last"
+        );
+        self.min_snapshot = id;
         self.has_applied = true;
     }
 
-    /// The reason to state where an older snapshot is rejected.
+    /// Returns the reason for rejecting a snapshot as [`SnapshotDecision::Older`].
     #[must_use]
     pub fn older_reason(&self) -> String {
-        format!("older than epoch {}, version {}, which was laid", self.floor.epoch, self.floor.version)
+        let SnapshotId { epoch, version } = self.min_snapshot;
+        format!("older than epoch {epoch}, version {version}, which was applied")
     }
 
-    /// Whether anything was applied since the start.
+    /// Returns true if a snapshot has been applied since the start.
     #[must_use]
     pub fn has_applied(&self) -> bool {
         self.has_applied
--- a/crates/table-store/src/status.rs
+++ b/crates/table-store/src/status.rs
@@ -1,4 +1,4 @@
-//! The status files of the proxies, each overwritten in place by its proxy.
+//! Reads and writes the status files of proxies. Each proxy overwrites its own file in place.
 
 use std::collections::BTreeMap;
 use std::fs::{self, DirEntry, Metadata, OpenOptions};
@@ -13,14 +13,15 @@
 use crate::bounded_read::read_bounded;
 use crate::layout::StoreLayout;
 
-/// The longest status file that is read, in bytes.
+/// Maximum length of a status file, in bytes.
 const MAX_STATUS_BYTES: u64 = 64 << 10;
-/// Longer than the resolution of the time stamps of any file system.
+/// Assumed upper bound of the resolution of modification times, on any file system.
 const MAX_TIMESTAMP_RESOLUTION: Duration = Duration::from_millis(50);
-/// The longest name of a proxy that writes a status, in bytes.
+/// Maximum length of the name of a proxy that writes a status, in bytes.
 const MAX_PROXY_NAME_BYTES: usize = 128;
 
-/// Whether a proxy of this name may have a status file. No such name leads out of the directory.
+/// Returns true if the name of a proxy can be used as the name of its status file. An allowed name contains no path
+/// separator and does not start with a dot, so it can't refer to a file outside of the directory.
 fn is_file_name(proxy: &str) -> bool {
     let is_allowed = |char: char| char.is_ascii_alphanumeric() || "-_.".contains(char);
     (1..=MAX_PROXY_NAME_BYTES).contains(&proxy.len())
@@ -28,14 +29,17 @@
         && !proxy.starts_with('.')
 }
 
-/// Overwrites a proxy's status. It is not flushed: after a crash of the machine the proxy reads its tables anew.
+/// Overwrites the status file of a proxy. The file is not flushed to disk: after a crash of the machine the proxy reads
+/// its tables again.
 ///
 /// # Errors
-/// The file system reported an error, or the proxy's name can't be a file name.
+/// Fails if the file system reports an error, or with [`io::ErrorKind::InvalidInput`] if the proxy's name is not usable
+/// as a file name.
 pub fn write_status(directory: &Path, status: &Status) -> io::Result<()> {
     if !is_file_name(&status.proxy) {
         let text = format!(
-            "proxy {:?}: a name of letters, digits, dashes, dots and underlines is wanted",
+            "proxy {:?}: expected a name of 1 to {MAX_PROXY_NAME_BYTES} letters, digits, dashes, underscores and dots, \
+             not starting with a dot",
             status.proxy
         );
         return Err(io::Error::new(io::ErrorKind::InvalidInput, text));
@@ -52,7 +56,7 @@
     }
 }
 
-/// Overwrites a file without truncating it first: a file that was truncated is flushed by some file systems when it is
+/// Overwrites a file without truncating it first, because some file systems flush a truncated file to disk when it is
 /// closed.
 fn overwrite(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
@@ -63,20 +67,20 @@
     Ok(())
 }
 
-/// Reads the statuses of all proxies, and only those that changed since the last time.
+/// Reads the status files of all proxies, skipping files that have not changed since the previous call.
 #[derive(Default)]
 pub struct StatusReader {
     seen: BTreeMap<String, SeenStatus>,
 }
 
-/// What a proxy's file held.
+/// The status that was last read from a proxy's file.
 struct SeenStatus {
-    /// The file's stamp; `None` if the next write could have the same one.
+    /// Stamp of the file when it was read; `None` if a later write could yield the same stamp.
     stamp: Option<FileStamp>,
     status: Status,
 }
 
-/// Tells whether a file changed.
+/// Inode and modification time of a file. A different stamp means that the file has changed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -93,7 +97,8 @@
         }
     }
 
-    /// The stamp of a file, unless the file was modified so recently that another write could yield the same stamp.
+    /// Returns the stamp of a file, or `None` if it was modified so recently that another write could yield the same
+    /// stamp.
     fn if_settled(metadata: &Metadata) -> Option<Self> {
         let age = metadata.modified().ok().and_then(|modified| modified.elapsed().ok());
         let is_settled = age.is_none_or(|age| age > MAX_TIMESTAMP_RESOLUTION);
@@ -102,11 +107,11 @@
 }
 
 impl StatusReader {
-    /// The statuses that changed since the last call, by name of the proxy. A file that is no status is skipped until it
-    /// changes.
+    /// Returns the statuses that have changed since the previous call, sorted by proxy name. Files without a valid
+    /// status are skipped and read again at the next call. If the directory does not exist yet, the result is empty.
     ///
     /// # Errors
-    /// The directory can't be read; it need not exist yet.
+    /// Fails if the directory exists and can't be read.
     pub fn read_changed(&mut self, directory: &Path) -> io::Result<Vec<Status>> {
         let entries = match fs::read_dir(StoreLayout::new(directory).status_directory()) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -122,7 +127,7 @@
 
     fn read_if_changed(&mut self, entry: &DirEntry) -> Option<Status> {
         let name = entry.file_name().into_string().ok().filter(|name| is_file_name(name))?;
-        // The file may have been removed since the directory was read.
+        // The file may have been removed since the directory was listed.
         let metadata = entry.metadata().ok()?;
         let seen = self.seen.get(&name);
         if seen.is_some_and(|seen| seen.stamp == Some(FileStamp::of(&metadata))) {
@@ -134,7 +139,7 @@
         before.is_none_or(|before| before.status != status).then_some(status)
     }
 
-    /// The present status of one proxy.
+    /// Reads the current status of one proxy; `None` if there is no valid one.
     #[must_use]
     pub fn read_one(directory: &Path, proxy: &str) -> Option<Status> {
         if !is_file_name(proxy) {
@@ -144,7 +149,7 @@
     }
 }
 
-/// The status in a file, if it is sound and of this proxy.
+/// Reads the status in a file; `None` if it can't be read, is invalid, or belongs to another proxy.
 fn read_status(path: &Path, proxy: &str) -> Option<Status> {
     let bytes = read_bounded(path, MAX_STATUS_BYTES).ok()?;
     decode_status(&bytes).ok().filter(|status| status.proxy == proxy)
--- a/crates/table-store/src/writer.rs
+++ b/crates/table-store/src/writer.rs
@@ -1,4 +1,5 @@
-//! Writes snapshots for one controller: acquires an epoch, writes whole snapshots into it and makes each one current.
+//! Writes snapshots for one controller: acquires an epoch, writes complete snapshots into it and makes each one
+//! current.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -12,21 +13,21 @@
 use crate::layout::{Epoch, SnapshotId, StoreLayout, Version, snapshot_name};
 use crate::retention::RetentionPolicy;
 
-/// How many threads write and flush files at once: most of the time goes to waiting for the disk.
+/// Number of threads that write and flush files concurrently: most of the time is spent waiting for the disk.
 const WRITER_THREADS: usize = 8;
 
-/// A published snapshot, and what it cost.
+/// A published snapshot, with the amount of data that was written for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WrittenSnapshot {
     /// Epoch of the writer.
     pub epoch: Epoch,
-    /// Its number within the epoch.
+    /// Version of the snapshot within its epoch.
     pub version: Version,
-    /// Files that were written.
+    /// Number of files that were written.
     pub files: usize,
-    /// Files that were linked because they did not change.
+    /// Number of files that were hard-linked because they have not changed.
     pub linked: usize,
-    /// Bytes that were written.
+    /// Number of bytes that were written.
     pub bytes: u64,
 }
 
@@ -36,26 +37,27 @@
     bytes: &'a [u8],
 }
 
-/// The one writer of an epoch.
+/// The only writer of an epoch.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     layout: StoreLayout,
     controller: String,
     keys: KeyRing,
     epoch: Epoch,
-    /// The snapshot that is current; 0 before the first one.
+    /// Version of the current snapshot; 0 before the first one.
     current_version: Version,
-    /// The last version that was started. A version is not used again, even if writing it failed.
+    /// The last version whose writing was started. A version is never reused, even if writing it failed.
     started_version: Version,
-    /// Digests of the members of the current snapshot.
+    /// Digests of the members of the current snapshot, by name.
     current_members: BTreeMap<String, Sha256Digest>,
 }
 
 impl SnapshotWriter {
-    /// Acquires the next epoch. Creating its directory succeeds for one process only.
+    /// Acquires the next epoch by creating its directory, which succeeds for one process only. All writers of lower
+    /// epochs are fenced from then on.
     ///
     /// # Errors
-    /// The store's directory does not exist or can't be written to.
+    /// Fails if the store's directory does not exist or can't be written to.
     pub fn acquire_epoch(directory: &Path, controller: &str, keys: KeyRing) -> io::Result<Self> {
         let layout = StoreLayout::new(directory);
         let mut epoch = layout.epochs()?.first().copied().unwrap_or(0) + 1;
@@ -77,27 +79,30 @@
         })
     }
 
-    /// The epoch that was acquired.
+    /// Returns the epoch that was acquired.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The version of the current snapshot; 0 before the first one.
+    /// Returns the version of the current snapshot; 0 before the first one.
     #[must_use]
     pub fn version(&self) -> Version {
         self.current_version
     }
 
-    /// Replaces the keys, after they were rotated: the next snapshot is sealed with these.
+    /// Replaces the keys, for use after a key rotation. The next snapshot is sealed with the new keys.
     pub fn replace_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// Writes a snapshot, makes it current and removes what the policy does not keep.
+    /// Writes a snapshot, makes it current and removes the snapshots and epochs that the policy does not keep. Blocks
+    /// until all files are flushed to disk.
     ///
     /// # Errors
-    /// Another writer has taken over, or the file system reported an error. The last snapshot stays current then.
+    /// [`WriteError::Fenced`] if another writer has taken over: this writer's snapshots are no longer read.
+    /// [`WriteError::Io`] if the file system reports an error: the last snapshot stays current, unless the error occurs
+    /// after the link to the current snapshot was replaced.
     pub fn write(
         &mut self,
         content: &SnapshotContent,
@@ -109,9 +114,9 @@
         let written = match self.publish(&snapshot) {
             Ok(written) => written,
             Err(error) => {
-                // A remainder disturbs nobody, and the next write tries again to remove it.
+                // A failure is ignored: readers never open an unfinished snapshot, and the next write removes it.
                 let _ = fs::remove_dir_all(self.unfinished_directory());
-                // The writer that took over may have removed this epoch: that is no failure of the file system.
+                // The writer that took over may have removed this epoch's directory, which is not an I/O failure.
                 self.check_not_fenced()?;
                 return Err(error.into());
             }
@@ -120,7 +125,8 @@
         let members = snapshot.members.into_iter();
         self.current_members = members.map(|(name, member)| (name, member.digest)).collect();
         self.remove_outdated(retention);
-        // A writer that was paused before its last rename learns here that nobody reads its snapshot.
+        // A writer that was paused between the first check and the last rename detects here that it was fenced
+        // meanwhile and that its snapshot is not read.
         self.check_not_fenced()?;
         Ok(written)
     }
@@ -140,8 +146,9 @@
         SnapshotId { epoch: self.epoch, version }
     }
 
-    /// Writes all files beside the current snapshot and flushes them, renames their directory to its final name, and
-    /// replaces the link to the current snapshot. Only the last rename publishes the snapshot.
+    /// Writes and flushes all files in a directory of their own, renames this directory to its final name, and replaces
+    /// the link to the current snapshot. Only the rename of the link publishes the snapshot, so a crash at any earlier
+    /// point leaves the previous one current.
     fn publish(&self, snapshot: &SealedSnapshot) -> io::Result<WrittenSnapshot> {
         let unfinished = self.unfinished_directory();
         ignore_missing(fs::remove_dir_all(&unfinished))?;
@@ -161,7 +168,7 @@
         })
     }
 
-    /// Links the members that the current snapshot has with the same bytes, and returns all other files.
+    /// Hard-links the members that are identical in the current snapshot, and returns all other files.
     fn link_unchanged_members<'a>(
         &self,
         snapshot: &'a SealedSnapshot,
@@ -189,7 +196,8 @@
         sync_directory(&epoch_directory)
     }
 
-    /// Removes what the policy does not keep. Failures are ignored: the next write tries again.
+    /// Removes the snapshots and epochs that the policy does not keep. Failures are ignored: the next write tries
+    /// again.
     fn remove_outdated(&self, retention: RetentionPolicy) {
         let versions = self.layout.versions(self.epoch).unwrap_or_default();
         let epochs = self.layout.epochs().unwrap_or_default();
@@ -203,7 +211,7 @@
     }
 }
 
-/// Takes it as done if there was nothing to remove.
+/// Treats the removal of a missing file or directory as a success.
 fn ignore_missing(removed: io::Result<()>) -> io::Result<()> {
     match removed {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
@@ -211,7 +219,7 @@
     }
 }
 
-/// Creates and flushes all files, distributed over threads.
+/// Creates, writes and flushes all files, distributed over up to [`WRITER_THREADS`] threads.
 fn write_in_parallel(directory: &Path, files: &[NewFile]) -> io::Result<()> {
     let files_per_thread = files.len().div_ceil(WRITER_THREADS).max(1);
     std::thread::scope(|scope| {
@@ -232,7 +240,7 @@
     Ok(())
 }
 
-/// Flushes the names in a directory.
+/// Flushes the entries of a directory, so that created and renamed files survive a crash.
 fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
--- a/crates/table-store/tests/directory/main.rs
+++ b/crates/table-store/tests/directory/main.rs
@@ -1,4 +1,5 @@
-//! The store in real directories, with each fault that it is meant for caused for real.
+//! Tests of the store in real directories, with real faults: damaged files, file system errors, killed and paused
+//! processes.
 
 mod faults;
 mod kills;
--- a/crates/table-store/tests/directory/support.rs
+++ b/crates/table-store/tests/directory/support.rs
@@ -1,4 +1,4 @@
-//! Contents to write, keys, writers and readers.
+//! Shared helpers: snapshot contents that can be recognized, keys, writers and readers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -12,10 +12,11 @@
     KeyRing(vec![Key::new("k1", &[7; 32]).expect("long enough")])
 }
 
-/// Two tables of this many entries, with a proxy on each. All weights and admission rates are derived from the stamp.
+/// Returns two tables of this many entries, with one proxy assigned to each. All weights, admission rates and the
+/// ejected endpoint are derived from the stamp, so that a mixture of two snapshots can be detected.
 pub fn content(stamp: u32, entry_count: usize) -> SnapshotContent {
     let entry = |i: usize| {
-        let address = format!("127.0.0.1:{}", 1000 + i).parse().expect("an address");
+        let address = format!("127.0.0.1:{}", 1000 + i).parse().expect("valid address");
         (format!("e{i}"), TableEntry { address, weight: 1 + stamp % 256 })
     };
     let table = || Table { entries: (0..entry_count).map(entry).collect() };
@@ -41,10 +42,10 @@
     SnapshotReader::new(directory, proxy, keys(), None)
 }
 
-/// The stamp of a snapshot; everything in it has to be derived from it.
+/// Returns the stamp of a snapshot after checking that its entire content is derived from this stamp.
 pub fn stamp(snapshot: &ProxySnapshot) -> u32 {
-    let withdrawn = snapshot.ejected.first().expect("one endpoint is ejected");
-    let stamp: u32 = withdrawn[1..].parse().expect("a stamp");
+    let ejected = snapshot.ejected.first().expect("one endpoint is ejected");
+    let stamp: u32 = ejected[1..].parse().expect("a number");
     let assignment = &snapshot.assignments["look"];
     assert_eq!(assignment.admission_per_mille, stamp % 1001, "admission rates of another snapshot");
     let weights = snapshot.tables[&assignment.table].entries.values().map(|entry| entry.weight);
@@ -52,7 +53,7 @@
     stamp
 }
 
-/// The stamp of the last snapshot that a scan applies, and the reasons of the rejected ones.
+/// Scans once; returns the stamp of the last snapshot to apply, and the rejection reasons of others.
 pub fn scan(reader: &mut SnapshotReader) -> (Option<u32>, Vec<String>) {
     let result = reader.scan().expect("the directory exists");
     (result.to_apply.last().map(stamp), result.rejected.into_iter().map(|rejected| rejected.reason).collect())
