--- a/crates/state-store/benches/store.rs
+++ b/crates/state-store/benches/store.rs
@@ -1,5 +1,5 @@
-//! The store against one JSON file that is rewritten whole: loading a fleet's state, and persisting one second of changes.
-//! `cargo bench -p lockcroft-state-store`
+//! Compares the store with a single JSON file that is rewritten completely: the time to load the state of a fleet, and
+//! to persist the changes of one second. Run with `cargo bench -p lockcroft-state-store`.
 
 use std::fs::{self, File};
 use std::io::Write;
@@ -19,8 +19,8 @@
     StoreIdentity::from_names("p", ["a", "gen3", "look"].into_iter())
 }
 
-/// The entries of a controller with 640 endpoints, 42 tables and two classes.
-fn fleet() -> Vec<Entry> {
+/// Returns all entries of a controller with 640 endpoints, 42 tables and two classes.
+fn fleet_entries() -> Vec<Entry> {
     let endpoint = |i: usize| {
         let value = RecordedEndpoint {
             zone: ["a", "b", "c", "d"][i % 4].into(),
@@ -53,15 +53,15 @@
     (0..ENDPOINTS).flat_map(endpoint).chain((0..TABLES).flat_map(admission)).collect()
 }
 
-/// A busy second: a tenth of the endpoints change.
-fn second(round: usize) -> Vec<Entry> {
-    let all = fleet();
-    let some = all
+/// Returns the entries of a second in which a tenth of the endpoints change.
+fn entries_of_one_second(round: usize) -> Vec<Entry> {
+    let all = fleet_entries();
+    let changed = all
         .into_iter()
         .filter(|entry| matches!(entry.key, EntryKey::Endpoint(_)))
         .skip(round % 10)
         .step_by(10);
-    some.map(|entry| Entry { at_ms: entry.at_ms + round as u64, ..entry }).collect()
+    changed.map(|entry| Entry { at_ms: entry.at_ms + round as u64, ..entry }).collect()
 }
 
 fn as_json(entries: &[Entry]) -> Value {
@@ -71,35 +71,36 @@
 fn print_times(name: &str, mut times: Vec<Duration>, bytes: u64) {
     times.sort();
     let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
-    println!("{name:52} p50 {:>9.1?}  p99 {:>9.1?}  {bytes:>8} bytes", quantile(0.5), quantile(0.99));
+    println!("{name:56} p50 {:>9.1?}  p99 {:>9.1?}  {bytes:>8} bytes", quantile(0.5), quantile(0.99));
 }
 
-fn timed(into: &mut Vec<Duration>, work: impl FnOnce()) {
+/// Runs `work` and adds its duration to `times`.
+fn timed(times: &mut Vec<Duration>, work: impl FnOnce()) {
     let started = Instant::now();
     work();
-    into.push(started.elapsed());
+    times.push(started.elapsed());
 }
 
 fn main() {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("temporary directory");
     let (mut store, _) =
-        Store::open(DirectoryStorage::open_exclusive(directory.path()).expect("held"), identity())
+        Store::open(DirectoryStorage::open_exclusive(directory.path()).expect("not locked"), identity())
             .expect("opened");
-    store.append(&fleet()).expect("written");
+    store.append(&fleet_entries()).expect("written");
     store.rotate().expect("rotated");
     let (mut appended, mut flushed) = (vec![], vec![]);
     let before = store.bytes();
     for round in 0..ROUNDS {
-        let entries = second(round);
+        let entries = entries_of_one_second(round);
         timed(&mut appended, || store.append(&entries).expect("written"));
         timed(&mut flushed, || store.flush().expect("flushed"));
     }
-    let each = (store.bytes() - before) as u64 / ROUNDS as u64;
-    print_times("64 changes appended", appended, each);
-    print_times("and flushed", flushed, 0);
+    let bytes_per_round = (store.bytes() - before) as u64 / ROUNDS as u64;
+    print_times("append 64 changes", appended, bytes_per_round);
+    print_times("flush them", flushed, 0);
     drop(store);
-    let (mut loaded, mut aged) = (vec![], vec![]);
-    let rules = RecoverySettings {
+    let (mut loaded, mut recovered) = (vec![], vec![]);
+    let settings = RecoverySettings {
         report_period: Duration::from_secs(2),
         slow_start_window: Duration::from_secs(10),
     };
@@ -107,29 +108,33 @@
     for _ in 0..ROUNDS {
         let mut state = None;
         timed(&mut loaded, || {
-            state =
-                Some(load(&DirectoryStorage::open_read_only(directory.path()), &identity()).expect("sound"))
+            state = Some(
+                load(&DirectoryStorage::open_read_only(directory.path()), &identity()).expect("valid state"),
+            )
         });
         let state = state.expect("loaded");
         bytes = state.bytes;
-        timed(&mut aged, || drop(recover_state(&state.state, 1_800_000_060_000, &rules)));
+        timed(&mut recovered, || drop(recover_state(&state.state, 1_800_000_060_000, &settings)));
     }
-    print_times("640 servers, 84 levels, 640 sizes loaded", loaded, bytes);
-    print_times("and aged", aged, 0);
+    print_times("load 640 endpoints, 84 admission rates, 640 capacities", loaded, bytes);
+    print_times("recover the state from them", recovered, 0);
     let path = directory.path().join("plain.json");
-    let all = fleet();
+    let all = fleet_entries();
     let (mut rewritten, mut read) = (vec![], vec![]);
     for _ in 0..ROUNDS {
         timed(&mut rewritten, || {
-            let mut file = File::create(&path).expect("made");
+            let mut file = File::create(&path).expect("created");
             file.write_all(as_json(&all).to_string().as_bytes()).expect("written");
             file.sync_all().expect("flushed");
         });
         timed(&mut read, || {
-            drop(serde_json::from_slice::<Value>(&fs::read(&path).expect("there")).expect("sound"))
+            drop(
+                serde_json::from_slice::<Value>(&fs::read(&path).expect("readable file"))
+                    .expect("valid JSON"),
+            )
         });
     }
-    let bytes = fs::metadata(&path).expect("there").len();
-    print_times("one JSON file rewritten whole and flushed", rewritten, bytes);
-    print_times("and read", read, bytes);
+    let bytes = fs::metadata(&path).expect("existing file").len();
+    print_times("rewrite and flush a JSON file with all entries", rewritten, bytes);
+    print_times("read the JSON file", read, bytes);
 }
--- a/crates/state-store/src/ageing.rs
+++ b/crates/state-store/src/ageing.rs
@@ -1,75 +1,76 @@
-//! Decides what of a stored state is still valid.
+//! Decides which part of a persisted state is still valid.
 //!
-//! Each kind of entry loses force with its age, by a rule in units of the settings; `docs/state-store.md` has the table
-//! with the reasons. No rule makes a controller less careful than one that starts without a state: good health is not
-//! taken over, and a fault is, for a while.
+//! Entries decay or expire with their age, by a rule for each kind; `docs/state-store.md` lists the rules with their
+//! reasons. No rule makes a controller less careful than one that starts without a state: restrictions are recovered
+//! for a limited time, and good health is never recovered.
 
 use std::time::Duration;
 
 use crate::entry::{EntryKey, EntryValue, RecordedEndpoint, State};
 
-/// Half of the weight that an endpoint lacked is given back after this many report periods, which is about as quick as
-/// a running controller would have restored it.
+/// Half-life of a weight reduction, in report periods: about the rate at which a running controller restores weights.
 const WEIGHT_HALF_LIFE_PERIODS: f64 = 10.0;
-/// An admission rate stays unchanged for this many report periods; after that, what it rejected halves in each span of
-/// the same length.
+/// An admission rate is unchanged for this many report periods. After that, the rejected fraction halves in each span
+/// of the same length.
 const ADMISSION_HALF_LIFE_PERIODS: f64 = 3.0;
-/// A remaining outlier time is cut to this many report periods.
+/// Maximum remaining outlier time, in report periods.
 const MAX_OUTLIER_PERIODS: f64 = 10.0;
-/// Proxies that were disconnected for longer start without tables, so endpoints that went earlier can't be in any.
+/// Proxies that were disconnected for longer start without tables, so no table contains an endpoint removed before
+/// that.
 const MAX_REMOVED_AGE: Duration = Duration::from_secs(24 * 3600);
 /// A measured capacity is valid for about a working day.
 const MAX_CAPACITY_AGE: Duration = Duration::from_secs(12 * 3600);
-/// Admission rates and weight factors above this count as 1.
-const NEARLY_FULL: f64 = 0.975;
+/// Recovered admission rates of at least this, and weight factors above it, count as 1.
+const UNRESTRICTED_THRESHOLD: f64 = 0.975;
 
-/// The settings that the rules rest on.
+/// The settings from which the time limits of recovery are derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoverySettings {
-    /// The interval between two load reports of a proxy.
+    /// Interval between two load reports of a proxy.
     pub report_period: Duration,
-    /// The longest time for which an endpoint is in slow start.
+    /// Maximum duration of an endpoint's slow start.
     pub slow_start_window: Duration,
 }
 
-/// What is still valid of one endpoint.
+/// The part of an endpoint's persisted state that is still valid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveredEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// Name of its machine type.
+    /// Name of the endpoint's machine type.
     pub machine_type: String,
-    /// It was removed or draining when it was last recorded; proxies may still have it in their tables.
+    /// True if the endpoint was removed or draining when it was last recorded. Proxies may still have it in their
+    /// tables.
     pub not_ready: bool,
-    /// Fraction of its full weight, from 0 to 1.
+    /// Fraction of the endpoint's full weight, from 0 to 1.
     pub weight_factor: f64,
-    /// How long ago its process started and how long its slow start still lasts; `None` if it has ended.
+    /// Time since the start of the endpoint's process, and remaining time of its slow start; `None` if that has ended.
     pub slow_start: Option<(Duration, Duration)>,
-    /// How long passing health checks still don't count, because it was an outlier.
+    /// Remaining time for which passing health checks are ignored because the endpoint was an outlier.
     pub outlier_remaining: Duration,
 }
 
-/// What is still valid of a state, in the order of names.
+/// The part of a persisted state that is still valid. All lists are sorted by name, admission rates by class and table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredState {
-    /// The endpoints of which anything is still valid.
+    /// Endpoints with at least one restriction that is still valid.
     pub endpoints: Vec<RecoveredEndpoint>,
-    /// Class, table and admission rate, where the rate is below 1.
+    /// Class name, table number and admission rate, for rates below 1.
     pub admission_rates: Vec<(String, u32, f64)>,
-    /// Endpoint and its capacity in cores.
+    /// Endpoint name and capacity in cores.
     pub capacities: Vec<(String, f64)>,
-    /// Number of entries from the future: the wall clock was set back since they were written.
+    /// Number of entries from the future: the wall clock has been set back since they were written.
     pub future_entries: usize,
 }
 
-/// What is valid of a state at `now_ms`, in milliseconds of the wall clock.
+/// Returns the part of a state that is still valid at `now_ms`, in milliseconds of the wall clock.
 #[must_use]
-pub fn recover_state(state: &State, now_ms: u64, rules: &RecoverySettings) -> RecoveredState {
+pub fn recover_state(state: &State, now_ms: u64, settings: &RecoverySettings) -> RecoveredState {
     let mut recovered = RecoveredState::default();
     for (key, (at_ms, value)) in state {
-        let age = EntryAge::new(*at_ms, now_ms, rules);
+        let age = EntryAge::new(*at_ms, now_ms, settings);
         recovered.future_entries += usize::from(age.is_from_future);
         match (key, value) {
             (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
@@ -88,46 +89,46 @@
     recovered
 }
 
-/// The age of one entry, with the rules that apply to it.
+/// The age of one entry, from which the valid part of the entry is computed.
 struct EntryAge<'a> {
-    rules: &'a RecoverySettings,
+    settings: &'a RecoverySettings,
     now_ms: u64,
-    since: Duration,
+    elapsed: Duration,
     /// The age in report periods.
-    periods: f64,
-    /// The entry is later than now, by more than the small steps that clocks make; those count as an age of 0. There
-    /// is nothing to compute an age from then.
+    elapsed_periods: f64,
+    /// True if the entry is more than one report period later than now, so that its age is unknown. Smaller steps of
+    /// the clock count as an age of 0.
     is_from_future: bool,
 }
 
 impl<'a> EntryAge<'a> {
-    fn new(at_ms: u64, now_ms: u64, rules: &'a RecoverySettings) -> Self {
-        let since = Duration::from_millis(now_ms.saturating_sub(at_ms));
-        let period_secs = rules.report_period.as_secs_f64().max(1e-3);
+    fn new(at_ms: u64, now_ms: u64, settings: &'a RecoverySettings) -> Self {
+        let elapsed = Duration::from_millis(now_ms.saturating_sub(at_ms));
+        let period_secs = settings.report_period.as_secs_f64().max(1e-3);
         EntryAge {
-            rules,
+            settings,
             now_ms,
-            since,
-            periods: since.as_secs_f64() / period_secs,
-            is_from_future: at_ms.saturating_sub(now_ms) > rules.report_period.as_millis() as u64,
+            elapsed,
+            elapsed_periods: elapsed.as_secs_f64() / period_secs,
+            is_from_future: at_ms.saturating_sub(now_ms) > settings.report_period.as_millis() as u64,
         }
     }
 
     fn is_capacity_valid(&self) -> bool {
-        !self.is_from_future && self.since < MAX_CAPACITY_AGE
+        !self.is_from_future && self.elapsed < MAX_CAPACITY_AGE
     }
 
-    /// The admission rate, or `None` if it is 1 again.
+    /// Returns the decayed admission rate, or `None` if it counts as 1.
     fn recover_admission_rate(&self, recorded: f64) -> Option<f64> {
         if self.is_from_future {
             return None;
         }
-        let remaining = 0.5_f64.powf((self.periods / ADMISSION_HALF_LIFE_PERIODS - 1.0).max(0.0));
+        let remaining = 0.5_f64.powf((self.elapsed_periods / ADMISSION_HALF_LIFE_PERIODS - 1.0).max(0.0));
         let rate = 1.0 - (1.0 - recorded) * remaining;
-        (rate < NEARLY_FULL).then_some(rate)
+        (rate < UNRESTRICTED_THRESHOLD).then_some(rate)
     }
 
-    /// The endpoint, or `None` if nothing of it is valid any more.
+    /// Returns the endpoint, or `None` if none of its restrictions is still valid.
     fn recover_endpoint(&self, name: &str, recorded: &RecordedEndpoint) -> Option<RecoveredEndpoint> {
         let endpoint = RecoveredEndpoint {
             name: name.into(),
@@ -145,25 +146,26 @@
         is_restricted.then_some(endpoint)
     }
 
-    /// An entry from the future counts here: naming an endpoint that went is safe at any time, as it only costs a
-    /// table entry at the proxies that still have it.
+    /// Entries from the future are valid here: to name a removed endpoint is always safe, as it only costs a table
+    /// entry at the proxies that still have it.
     fn is_still_not_ready(&self, recorded: &RecordedEndpoint) -> bool {
         let was_not_ready = recorded.removed || recorded.draining;
-        was_not_ready && (self.is_from_future || self.since < MAX_REMOVED_AGE)
+        was_not_ready && (self.is_from_future || self.elapsed < MAX_REMOVED_AGE)
     }
 
     fn recover_weight_factor(&self, recorded: f64) -> f64 {
-        let factor = 1.0 - (1.0 - recorded) * 0.5_f64.powf(self.periods / WEIGHT_HALF_LIFE_PERIODS);
-        if self.is_from_future || factor > NEARLY_FULL {
+        let factor = 1.0 - (1.0 - recorded) * 0.5_f64.powf(self.elapsed_periods / WEIGHT_HALF_LIFE_PERIODS);
+        if self.is_from_future || factor > UNRESTRICTED_THRESHOLD {
             return 1.0;
         }
-        // Rounding must not yield less than was recorded.
+        // Rounding errors must not yield less than the recorded factor.
         factor.max(recorded)
     }
 
-    /// Time since the start of the process and until the end of slow start, neither longer than a whole slow start.
+    /// Returns the time since the start of the process and until the end of slow start, each limited to the maximum
+    /// duration of a slow start; `None` if the slow start has ended.
     fn recover_slow_start(&self, recorded: &RecordedEndpoint) -> Option<(Duration, Duration)> {
-        let max = self.rules.slow_start_window;
+        let max = self.settings.slow_start_window;
         let remaining = self.time_until(recorded.slow_start_until_ms).min(max);
         let elapsed = Duration::from_millis(self.now_ms.saturating_sub(recorded.started_ms)).min(max);
         (!self.is_from_future && !remaining.is_zero()).then_some((elapsed, remaining))
@@ -173,7 +175,7 @@
         if self.is_from_future {
             return Duration::ZERO;
         }
-        self.time_until(outlier_until_ms).min(self.rules.report_period.mul_f64(MAX_OUTLIER_PERIODS))
+        self.time_until(outlier_until_ms).min(self.settings.report_period.mul_f64(MAX_OUTLIER_PERIODS))
     }
 
     fn time_until(&self, at_ms: u64) -> Duration {
--- a/crates/state-store/src/codec.rs
+++ b/crates/state-store/src/codec.rs
@@ -1,4 +1,5 @@
-//! Maps entries and headers to the stored protobuf messages and back. No other module knows the names of their fields.
+//! Converts entries and headers to the stored protobuf messages and back. No other module uses the messages' field
+//! names.
 
 use protobuf::Message;
 
@@ -7,13 +8,13 @@
 use crate::identity::StoreIdentity;
 use crate::proto;
 
-/// What the first frame of a file says.
+/// Content of the first frame of a file.
 pub(crate) struct FileHeader {
     pub format: u32,
     pub identity: StoreIdentity,
 }
 
-/// The message of a file's first frame.
+/// Returns the message for the first frame of a file.
 pub(crate) fn encode_header(identity: &StoreIdentity, number: u64) -> proto::Header {
     proto::Header {
         format: FORMAT_VERSION,
@@ -24,7 +25,7 @@
     }
 }
 
-/// The header in a frame, or `None` if the frame is no header.
+/// Decodes the header in a frame; returns `None` if the frame is not a valid header.
 pub(crate) fn decode_header(kind: u8, payload: &[u8]) -> Option<FileHeader> {
     if kind != FrameKind::Header as u8 {
         return None;
@@ -34,17 +35,17 @@
     Some(FileHeader { format: header.format, identity })
 }
 
-/// The message of a snapshot's last frame.
+/// Returns the message for the last frame of a snapshot.
 pub(crate) fn encode_end(entry_count: usize) -> proto::End {
     proto::End { entries: entry_count as u64, ..Default::default() }
 }
 
-/// The number of entries that a snapshot's last frame states, or `None` if it can't be read.
+/// Decodes the number of entries that the last frame of a snapshot states; returns `None` if the payload is malformed.
 pub(crate) fn decode_end(payload: &[u8]) -> Option<u64> {
     proto::End::parse_from_bytes(payload).ok().map(|end| end.entries)
 }
 
-/// The message of an entry.
+/// Returns the message of an entry. Panics if the variants of key and value differ.
 pub(crate) fn encode_entry(entry: &Entry) -> proto::Entry {
     let what = match (&entry.key, &entry.value) {
         (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
@@ -65,7 +66,7 @@
                 ..Default::default()
             })
         }
-        (key, value) => unreachable!("{key:?} is not {value:?}"),
+        (key, value) => unreachable!("variants of key {key:?} and value {value:?} differ"),
     };
     proto::Entry { at_ms: entry.at_ms, what: Some(what), ..Default::default() }
 }
@@ -77,7 +78,7 @@
         kind: endpoint.machine_type.clone(),
         gone: endpoint.removed,
         draining: endpoint.draining,
-        // The stored counter is one higher, so that 0 stands for unknown.
+        // The stored counter is one higher, because 0 means unknown.
         counter: endpoint.health_counter.map_or(0, |counter| counter + 1),
         doubted_until_ms: endpoint.outlier_until_ms,
         started_ms: endpoint.started_ms,
@@ -87,16 +88,17 @@
     }
 }
 
-/// The entry in a frame. `None` if only a later program knows its kind, or if a value is out of its range.
+/// Decodes the entry in a frame. Returns `None` if the frame or the entry is of an unknown kind, which a newer version
+/// may have written, or if a value is out of range.
 pub(crate) fn decode_entry(kind: u8, payload: &[u8]) -> Option<Entry> {
     if kind != FrameKind::Entry as u8 {
         return None;
     }
     let message = proto::Entry::parse_from_bytes(payload).ok()?;
-    let (key, what) = match message.what? {
+    let (key, value) = match message.what? {
         proto::entry::What::Server(endpoint) => decode_endpoint(endpoint)?,
         proto::entry::What::Level(admission) => {
-            let admission_rate = fraction(admission.level)?;
+            let admission_rate = valid_fraction(admission.level)?;
             (
                 EntryKey::AdmissionRate(admission.class, admission.table),
                 EntryValue::AdmissionRate(admission_rate),
@@ -107,7 +109,7 @@
             (EntryKey::Capacity(capacity.server), EntryValue::Capacity(cores))
         }
     };
-    Some(Entry { at_ms: message.at_ms, key, value: what })
+    Some(Entry { at_ms: message.at_ms, key, value })
 }
 
 fn decode_endpoint(endpoint: proto::Server) -> Option<(EntryKey, EntryValue)> {
@@ -120,11 +122,11 @@
         outlier_until_ms: endpoint.doubted_until_ms,
         started_ms: endpoint.started_ms,
         slow_start_until_ms: endpoint.warm_ms,
-        weight_factor: fraction(endpoint.relief)?,
+        weight_factor: valid_fraction(endpoint.relief)?,
     };
     Some((EntryKey::Endpoint(endpoint.name), EntryValue::Endpoint(value)))
 }
 
-fn fraction(value: f64) -> Option<f64> {
+fn valid_fraction(value: f64) -> Option<f64> {
     (0.0..=1.0).contains(&value).then_some(value)
 }
--- a/crates/state-store/src/error.rs
+++ b/crates/state-store/src/error.rs
@@ -1,14 +1,14 @@
-//! The errors of opening and reading a store.
+//! Errors of opening and reading a store.
 
 use std::io;
 
 use crate::frame::FORMAT_VERSION;
 
-/// Why a stored state is refused and left untouched.
+/// The reason why a persisted state is refused. Its files are left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// A later program wrote the file.
-    #[error("{file}: format {format}, up to {FORMAT_VERSION} is read here")]
+    /// The file is of a later format, which a newer version of the program wrote.
+    #[error("{file}: unsupported format {format}, expected at most {FORMAT_VERSION}")]
     UnsupportedFormat {
         /// Name of the file.
         file: String,
@@ -16,7 +16,7 @@
         format: u32,
     },
     /// The file belongs to another controller.
-    #[error("{file}: the memory of pilot {controller:?}")]
+    #[error("{file}: state of another controller, {controller:?}")]
     OtherController {
         /// Name of the file.
         file: String,
@@ -24,20 +24,20 @@
         controller: String,
     },
     /// The file belongs to a fleet with other zones, machine types or classes.
-    #[error("{file}: of a fleet with other zones, kinds or classes")]
+    #[error("{file}: state of a fleet with other zones, machine types or classes")]
     OtherFleet {
         /// Name of the file.
         file: String,
     },
 }
 
-/// Why a stored state could not be recovered.
+/// The reason why a persisted state could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
-    /// The state is not this controller's, or not of a known format.
+    /// The state belongs to another controller or fleet, or is of an unsupported format.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// The storage failed. This says nothing about the state: the storage may work again later.
+    /// The storage failed. The state itself may be intact and readable later.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/state-store/src/file_name.rs
+++ b/crates/state-store/src/file_name.rs
@@ -1,15 +1,15 @@
-//! Names of the files of a store: a role and a snapshot number.
+//! Names of the files of a store, each made up of a role and a snapshot number.
 
 use std::fmt;
 
-/// What a file of the store is for.
+/// The role of a file of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileRole {
-    /// Everything that was known when the number was started.
+    /// The complete state at the time when the snapshot was started.
     Snapshot,
-    /// What was learned since the snapshot of the same number.
+    /// Entries that were appended since the snapshot of the same number.
     Journal,
-    /// A snapshot that is being written; a crash may leave it behind.
+    /// A snapshot that is being written. A crash may leave an incomplete one.
     Unfinished,
 }
 
@@ -23,17 +23,17 @@
         }
     }
 
-    /// The number of a file, or `None` if its name is not of this role.
+    /// Returns the number of a file, or `None` if the file does not have this role.
     pub fn number_of(self, file_name: &str) -> Option<u64> {
         file_name.strip_prefix(self.prefix())?.strip_prefix('-')?.parse().ok()
     }
 
-    /// The name of the file of this role and number.
+    /// Returns the name of the file of this role and number.
     pub fn file_name(self, number: u64) -> String {
         format!("{self}-{number}")
     }
 
-    /// The numbers of all files of this role, in ascending order.
+    /// Returns the numbers of all files of this role, in ascending order.
     pub fn numbers_in(self, file_names: &[String]) -> Vec<u64> {
         let mut numbers: Vec<u64> = file_names.iter().filter_map(|name| self.number_of(name)).collect();
         numbers.sort_unstable();
@@ -47,7 +47,7 @@
     }
 }
 
-/// The number of a snapshot or journal file, or `None` for any other file.
+/// Returns the number of a snapshot or journal file, or `None` for any other file.
 pub(crate) fn snapshot_or_journal_number(file_name: &str) -> Option<u64> {
     FileRole::Snapshot.number_of(file_name).or_else(|| FileRole::Journal.number_of(file_name))
 }
--- a/crates/state-store/src/frame.rs
+++ b/crates/state-store/src/frame.rs
@@ -1,17 +1,18 @@
-//! Frames of a file: payload length, kind, checksum, payload. The first frame that is incomplete or does not match its
-//! checksum ends the file.
+//! Frames of a file, each consisting of payload length, kind, checksum and payload. Reading ends at the first frame
+//! that is incomplete or does not match its checksum.
 
 use protobuf::Message;
 
-/// The format that is written, and the newest that is read.
+/// Version of the format that is written, and the newest one that is read.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Bytes before a payload: length (4, little-endian), kind (1), CRC-32 of kind and payload (4).
+/// Length of a frame's header: payload length (4 bytes, little-endian), kind (1), CRC-32 of kind and payload (4,
+/// little-endian).
 const FRAME_HEADER_BYTES: usize = 9;
-/// A longer payload is taken for a broken length.
+/// Maximum length of a payload. A greater stated length is treated as corrupt.
 const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-/// What a frame's payload is. Readers skip kinds that they don't know.
+/// The kind of a frame's payload. Readers skip frames of unknown kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FrameKind {
     Header = 1,
@@ -19,10 +20,12 @@
     End = 3,
 }
 
-/// Appends a frame with this message as its payload.
+/// Appends a frame with this message as its payload. Debug builds panic if the payload is too long.
 pub(crate) fn append_frame(out: &mut Vec<u8>, kind: FrameKind, message: &impl Message) {
-    let payload = message.write_to_bytes().expect("messages without required fields are written to memory");
-    debug_assert!(payload.len() <= MAX_PAYLOAD_BYTES, "an entry of {} bytes", payload.len());
+    let payload = message
+        .write_to_bytes()
+        .expect("encoding to memory fails only for missing required fields, and there are none");
+    debug_assert!(payload.len() <= MAX_PAYLOAD_BYTES, "payload of {} bytes", payload.len());
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.push(kind as u8);
     out.extend_from_slice(&checksum(kind as u8, &payload).to_le_bytes());
@@ -36,14 +39,14 @@
     hasher.finalize()
 }
 
-/// One whole frame.
+/// A complete frame whose checksum has been verified.
 pub(crate) struct Frame<'a> {
-    /// The number of its [`FrameKind`], or of one that only later programs know.
+    /// Number of its [`FrameKind`], or of a kind that is not known to this version.
     pub kind: u8,
     pub payload: &'a [u8],
 }
 
-/// Iterates over the frames of a file up to the first one that is not whole.
+/// Iterates over the frames of a file up to the first one that is incomplete or corrupt.
 pub(crate) struct FrameReader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -54,12 +57,12 @@
         FrameReader { bytes, position: 0 }
     }
 
-    /// The number of bytes in the frames that were read.
+    /// Returns the total length of the frames that were read, in bytes.
     pub fn position(&self) -> usize {
         self.position
     }
 
-    /// Whether bytes remain after the frames that were read.
+    /// Returns true if there are bytes after the frames that were read.
     pub fn has_remainder(&self) -> bool {
         self.position < self.bytes.len()
     }
--- a/crates/state-store/src/identity.rs
+++ b/crates/state-store/src/identity.rs
@@ -1,16 +1,16 @@
-//! The identity that ties a stored state to one controller and one fleet.
+//! Identity of the controller and fleet to which a persisted state belongs.
 
-/// The controller and the fleet to which a stored state belongs. A state of any other identity is refused.
+/// The controller and the fleet to which a persisted state belongs. A state of another identity is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreIdentity {
     /// Name of the controller.
     pub controller: String,
-    /// Digest of the names of zones, machine types and classes.
+    /// CRC-32 of the names of zones, machine types and classes, each followed by a zero byte.
     pub fleet_digest: u64,
 }
 
 impl StoreIdentity {
-    /// The identity of a controller whose fleet has these names, in this order: zones, machine types, classes.
+    /// Returns the identity of a controller whose fleet has these names, in the order zones, machine types, classes.
     pub fn from_names<'a>(controller: &str, fleet_names: impl Iterator<Item = &'a str>) -> Self {
         let mut checksum = crc32fast::Hasher::new();
         for name in fleet_names {
--- a/crates/state-store/src/lib.rs
+++ b/crates/state-store/src/lib.rs
@@ -1,10 +1,11 @@
-//! Persists what a controller has learned across restarts.
+//! Persists the learned state of a controller across restarts.
 //!
-//! [`Store`] is a write-ahead journal of entries with snapshots in one directory, as databases keep it: entries that
-//! were flushed survive any crash, a torn end of a journal is cut at the last whole entry, and a broken snapshot falls
-//! back to the one before it. [`recover_state`] decides how much of the loaded [`State`] is still valid, without I/O or clock.
+//! [`Store`] is a write-ahead journal of entries with snapshots, in one directory. Entries that were flushed survive
+//! any crash, a partial write at the end of a journal is ignored after the last complete entry, and recovery falls back
+//! to the previous snapshot if the newest one is corrupt. [`recover_state`] decides how much of the loaded [`State`] is
+//! still valid, without I/O or a clock.
 //!
-//! The protobuf messages on disk keep their own field names; `codec` is the only module that maps them.
+//! The stored protobuf messages keep their own field names; `codec` is the only module that uses them.
 
 #![warn(missing_docs)]
 
@@ -19,7 +20,7 @@
 mod storage;
 mod store;
 
-/// The stored messages, generated from `proto/memory.proto`.
+/// Stored messages, generated from `proto/memory.proto`.
 #[allow(missing_docs)]
 pub mod proto {
     include!(concat!(env!("OUT_DIR"), "/proto/mod.rs"));
--- a/crates/state-store/src/recovery.rs
+++ b/crates/state-store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads a stored state: the highest sound snapshot, then every journal from its number on.
+//! Loads a persisted state: the valid snapshot with the highest number, then all journals from this number on.
 
 use std::io;
 
@@ -10,31 +10,31 @@
 use crate::identity::StoreIdentity;
 use crate::storage::Storage;
 
-/// What a directory holds.
+/// The state that was loaded from a directory, with facts about its files.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedState {
-    /// The last whole entry of each key.
+    /// The last complete entry of each key.
     pub state: State,
-    /// What was skipped or cut, as texts for people.
+    /// Human-readable descriptions of the snapshots that were skipped and the journals that were truncated.
     pub warnings: Vec<String>,
-    /// The highest number of a snapshot or journal, sound or not; 0 for none.
+    /// Highest number of all snapshots and journals, including invalid ones; 0 if there are none.
     pub highest_number: u64,
-    /// The number of the snapshot that was read; 0 for none.
+    /// Number of the snapshot that was loaded; 0 if there is no valid one.
     pub snapshot_number: u64,
-    /// How many files there are.
+    /// Number of files in the directory, excluding the lock file.
     pub files: usize,
-    /// Bytes of the files that were read.
+    /// Total length of the files that were read, in bytes.
     pub bytes: u64,
 }
 
-/// Whether a file starts with a header that can be read.
+/// Result of reading the header of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeaderCheck {
     Accepted,
     Unreadable,
 }
 
-/// Reads a file's header and refuses a file of another controller, another fleet or a later format.
+/// Reads the header of a file. Fails if the file belongs to another controller or fleet, or is of a later format.
 fn check_header(
     file: &str,
     frames: &mut FrameReader,
@@ -55,10 +55,10 @@
     Ok(HeaderCheck::Accepted)
 }
 
-/// Reads the identity in the newest file that has a readable header; `None` if there is no such file.
+/// Reads the identity from the file with the highest number that has a valid header; `None` if there is no such file.
 ///
 /// # Errors
-/// The storage can't be listed or read.
+/// Fails if the storage can't be listed or read.
 pub fn read_identity(storage: &impl Storage) -> io::Result<Option<StoreIdentity>> {
     let names = storage.list()?;
     let numbered = names.iter().filter_map(|name| Some((snapshot_or_journal_number(name)?, name)));
@@ -74,15 +74,16 @@
     Ok(None)
 }
 
-/// The entries that a file added to a state.
+/// Numbers of entries that were found in a file.
 struct ReplayedEntries {
-    /// Frames before the end, whether their entries are known here or not.
+    /// Number of frames before the end frame, including those of unknown kinds.
     count: u64,
-    /// The count that the file's last frame states, if it has one.
+    /// Number of entries that the end frame states, if there is a valid one.
     stated_count: Option<u64>,
 }
 
-/// Applies a file's entries until there are no more whole frames. Frames and entries of unknown kind are skipped.
+/// Applies the entries of a file up to its end frame or its last complete frame. Frames and entries of unknown kinds
+/// are skipped.
 fn replay_entries(frames: &mut FrameReader, state: &mut State) -> ReplayedEntries {
     let mut replayed = ReplayedEntries { count: 0, stated_count: None };
     for frame in frames.by_ref() {
@@ -98,20 +99,20 @@
     replayed
 }
 
-/// Reads what a directory holds, whether or not a writer has it open.
+/// Loads the state in a directory. Needs no lock, so that a writer may have the directory open.
 ///
 /// # Errors
-/// The state belongs to another controller or fleet, a later program wrote it, or the storage failed. A file that
-/// can't be read is an error and not taken for a missing one, because the storage may work again later.
+/// Fails if the state belongs to another controller or fleet, if it is of a later format, or if the storage failed. A
+/// file that can't be read is an error and is not treated as missing, because the storage may work again later.
 pub fn load(storage: &impl Storage, identity: &StoreIdentity) -> Result<LoadedState, RecoveryError> {
     let names = storage.list()?;
     let journals = FileRole::Journal.numbers_in(&names);
     let snapshots = FileRole::Snapshot.numbers_in(&names);
     let mut loaded = LoadedState { files: names.len(), ..LoadedState::default() };
     loaded.highest_number = journals.iter().chain(&snapshots).copied().max().unwrap_or(0);
-    let snapshot_number = load_newest_sound_snapshot(storage, identity, &snapshots, &mut loaded)?;
+    let snapshot_number = load_newest_valid_snapshot(storage, identity, &snapshots, &mut loaded)?;
     loaded.snapshot_number = snapshot_number.unwrap_or(0);
-    // Without a sound snapshot every journal counts.
+    // Without a valid snapshot, all journals are replayed.
     let first_journal = loaded.snapshot_number;
     for number in journals.into_iter().filter(|number| *number >= first_journal) {
         load_journal(storage, identity, number, &mut loaded)?;
@@ -119,8 +120,8 @@
     Ok(loaded)
 }
 
-/// Takes the state from the highest snapshot whose entries are all there, and returns its number.
-fn load_newest_sound_snapshot(
+/// Loads the state from the complete snapshot with the highest number, and returns this number.
+fn load_newest_valid_snapshot(
     storage: &impl Storage,
     identity: &StoreIdentity,
     numbers: &[u64],
@@ -139,12 +140,12 @@
             loaded.state = state;
             return Ok(Some(number));
         }
-        loaded.warnings.push(format!("{name}: broken, the one before is taken"));
+        loaded.warnings.push(format!("{name}: incomplete or corrupt, falling back to the previous snapshot"));
     }
     Ok(None)
 }
 
-/// Applies a journal's entries up to its last whole frame.
+/// Applies the entries of a journal up to its last complete frame.
 fn load_journal(
     storage: &impl Storage,
     identity: &StoreIdentity,
@@ -160,7 +161,10 @@
         replay_entries(&mut frames, &mut loaded.state);
     }
     if header == HeaderCheck::Unreadable || frames.has_remainder() {
-        loaded.warnings.push(format!("{name}: cut at {} of {} bytes", frames.position(), bytes.len()));
+        let (position, length) = (frames.position(), bytes.len());
+        loaded
+            .warnings
+            .push(format!("{name}: incomplete or corrupt, truncated at {position} of {length} bytes"));
     }
     Ok(())
 }
--- a/crates/state-store/src/storage.rs
+++ b/crates/state-store/src/storage.rs
@@ -1,4 +1,4 @@
-//! The file operations that a store needs, as a trait, so that a test can answer them with every possible fault.
+//! The file operations of a store. They are a trait, so that tests can simulate crashes and failures at each operation.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -6,45 +6,45 @@
 
 use rustix::fs::{FlockOperation, flock};
 
-/// A directory of files by name.
+/// A directory of files, addressed by name.
 ///
-/// Written bytes survive a crash once their file was flushed, and a created, renamed or removed name once the directory
-/// was synced. Until then any part of a change may be there after a crash.
+/// Appended bytes survive a crash once their file has been flushed, and created, renamed or removed names once the
+/// directory has been synced. Before that, a crash may leave any part of a change.
 pub trait Storage {
-    /// The names of all files.
+    /// Returns the names of all files, in any order.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Fails if the directory can't be read.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// The bytes of a file.
+    /// Returns the bytes of a file.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Fails if the file does not exist or can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends bytes to a file, which is created if it does not exist.
+    /// Appends bytes to a file, and creates it if it does not exist.
     ///
     /// # Errors
-    /// As the file system reports; a part of the bytes may have been written.
+    /// Fails if the file can't be opened or written; a part of the bytes may have been written then.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Flushes the bytes of a file.
+    /// Flushes the bytes of a file to disk.
     ///
     /// # Errors
-    /// As the file system reports; nobody knows then which bytes are stored.
+    /// Fails if the file system reports an error; it is unknown then which of the unflushed bytes are stored.
     fn flush(&mut self, name: &str) -> io::Result<()>;
-    /// Flushes the names of the files.
+    /// Flushes the directory, so that created, renamed and removed names survive a crash.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Fails if the file system reports an error.
     fn sync_directory(&mut self) -> io::Result<()>;
-    /// Renames a file, over another one of that name.
+    /// Renames a file, replacing any existing file of the new name.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Fails if the file system reports an error.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Fails if the file does not exist or can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
@@ -52,9 +52,9 @@
 #[derive(Debug)]
 pub struct DirectoryStorage {
     path: PathBuf,
-    /// The file that is being written, kept open between writes.
+    /// The file that was appended to last, kept open for further writes.
     open_file: Option<OpenFile>,
-    /// Locked while this value lives; `None` for a reader.
+    /// The lock file, locked until this value is dropped; `None` for a reader.
     lock: Option<File>,
 }
 
@@ -64,14 +64,16 @@
     file: File,
 }
 
-/// The file whose lock the writer holds.
+/// Name of the file that the writer locks.
 const LOCK_FILE: &str = "lock";
 
 impl DirectoryStorage {
-    /// Opens a directory for its one writer and creates it if it does not exist.
+    /// Opens a directory for writing, and creates it if it does not exist. Does not wait for the lock, which is
+    /// released when the returned value is dropped.
     ///
     /// # Errors
-    /// [`io::ErrorKind::WouldBlock`] while another writer has it open; else as the file system reports.
+    /// Fails with [`io::ErrorKind::WouldBlock`] while another writer has the directory open, or with the error that the
+    /// file system reports.
     pub fn open_exclusive(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
@@ -79,7 +81,7 @@
         Ok(DirectoryStorage { path: path.into(), open_file: None, lock: Some(lock) })
     }
 
-    /// Opens a directory for reading, whether or not a writer has it open.
+    /// Opens a directory for reading, without a lock: a writer may have it open. Does not access the file system.
     #[must_use]
     pub fn open_read_only(path: &Path) -> Self {
         DirectoryStorage { path: path.into(), open_file: None, lock: None }
@@ -87,11 +89,11 @@
 }
 
 impl Drop for DirectoryStorage {
-    /// Unlocks explicitly. Closing the file would not be enough: a process that was forked meanwhile keeps it open
-    /// until it executes its program.
+    /// Releases the lock explicitly. Closing the file is not sufficient: a child process that was forked meanwhile has
+    /// a duplicate of the file descriptor, which keeps the lock until the child calls `exec`.
     fn drop(&mut self) {
         if let Some(lock) = &self.lock {
-            // A failure can't be handled here, and the end of the process releases the lock anyway.
+            // A failure can't be handled here, and the lock is released at the end of the process anyway.
             let _ = flock(lock, FlockOperation::Unlock);
         }
     }
@@ -101,7 +103,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            // Names that are not UTF-8 are not the store's.
+            // The store creates no file whose name is not UTF-8.
             if let Ok(name) = entry?.file_name().into_string()
                 && name != LOCK_FILE
             {
--- a/crates/state-store/tests/crash_model.rs
+++ b/crates/state-store/tests/crash_model.rs
@@ -1,6 +1,6 @@
-//! Every crash of a small run: the real store on a model of a disk that remembers what was flushed and what was not.
-//! The machine may stop at each step, with any part of the unflushed changes stored. Whatever is found then has to be the
-//! state after a prefix of the entries, which includes all acknowledged ones.
+//! Exhaustive crash test: runs the store on a model of a disk that distinguishes flushed from unflushed changes. The
+//! machine may stop at each storage operation, with any part of the unflushed changes stored. The state that is loaded
+//! afterwards has to be that after a prefix of the entries, which includes all acknowledged ones.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,13 +9,14 @@
 
 use lockcroft_state_store::{Entry, EntryKey, EntryValue, State, Storage, Store, StoreIdentity, load};
 
-/// A file: its bytes, and how many of them were flushed.
+/// The bytes of a file, and the number of them that are flushed.
 #[derive(Clone, Default)]
 struct File {
     flushed: usize,
     bytes: Vec<u8>,
 }
 
+/// A change of the directory's names, with the index of a file or with file names.
 #[derive(Clone)]
 enum NameChange {
     Created(String, usize),
@@ -23,23 +24,27 @@
     Removed(String),
 }
 
+/// Model of a machine with a disk.
 #[derive(Clone, Default)]
 struct Model {
     files: Vec<File>,
-    /// The names now, the names at the last directory sync, and the changes between the two.
+    /// Indexes of the files by their current names.
     names: BTreeMap<String, usize>,
+    /// The names at the last directory sync.
     synced_names: BTreeMap<String, usize>,
-    pending: Vec<NameChange>,
+    /// The name changes since the last directory sync, in order.
+    unsynced_changes: Vec<NameChange>,
+    /// Number of storage operations so far.
     steps: usize,
-    /// The step at which the machine stops, and the one step that fails.
+    /// The step at which the machine stops.
     stop_at: Option<usize>,
+    /// The only step that fails while the machine continues to run.
     fail_at: Option<usize>,
-    stopped: bool,
+    is_stopped: bool,
 }
 
-/// Applies a name change that may not have been synced.
-fn apply(names: &mut BTreeMap<String, usize>, name: &NameChange) {
-    match name {
+fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
+    match change {
         NameChange::Created(name, file) => drop(names.insert(name.clone(), *file)),
         NameChange::Renamed(from, to) => {
             if let Some(file) = names.remove(from) {
@@ -54,13 +59,14 @@
 struct ModelStorage(Rc<RefCell<Model>>);
 
 impl ModelStorage {
-    /// Counts a step and returns whether it succeeds; an error once the machine has stopped.
+    /// Counts a step. Returns true if it succeeds, false if it is the one that fails, and an error once the machine has
+    /// stopped.
     fn step(&self) -> io::Result<bool> {
         let mut model = self.0.borrow_mut();
         let step = model.steps;
         model.steps += 1;
-        if model.stopped || model.stop_at == Some(step) {
-            model.stopped = true;
+        if model.is_stopped || model.stop_at == Some(step) {
+            model.is_stopped = true;
             return Err(io::Error::other("stopped"));
         }
         if model.fail_at == Some(step) {
@@ -86,33 +92,34 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let done = self.step();
+        let succeeds = self.step();
         let mut model = self.0.borrow_mut();
-        // A write that fails or is cut off by the stop has written a part.
-        let part = if done.as_ref().is_ok_and(|done| *done) { bytes.len() } else { bytes.len() / 2 };
+        // A write that fails or is interrupted by the stop writes half of the bytes.
+        let written =
+            if succeeds.as_ref().is_ok_and(|succeeds| *succeeds) { bytes.len() } else { bytes.len() / 2 };
         let file = match model.names.get(name).copied() {
             Some(file) => file,
             None => {
                 model.files.push(File::default());
                 let file = model.files.len() - 1;
                 model.names.insert(name.into(), file);
-                model.pending.push(NameChange::Created(name.into(), file));
+                model.unsynced_changes.push(NameChange::Created(name.into(), file));
                 file
             }
         };
-        model.files[file].bytes.extend_from_slice(&bytes[..part]);
-        if done? { Ok(()) } else { Err(storage_full()) }
+        model.files[file].bytes.extend_from_slice(&bytes[..written]);
+        if succeeds? { Ok(()) } else { Err(storage_full()) }
     }
 
     fn flush(&mut self, name: &str) -> io::Result<()> {
-        let done = self.step()?;
+        let succeeds = self.step()?;
         let mut model = self.0.borrow_mut();
         let file = *model.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        if !done {
-            // A failed flush may have lost the bytes, and the next flush succeeds without them, as on Linux.
+        if !succeeds {
+            // A failed flush may lose the unflushed bytes, and the next flush succeeds without them, as on Linux.
             let flushed = model.files[file].flushed;
             model.files[file].bytes.truncate(flushed);
-            return Err(io::Error::other("lost"));
+            return Err(io::Error::other("unflushed bytes lost"));
         }
         model.files[file].flushed = model.files[file].bytes.len();
         Ok(())
@@ -124,7 +131,7 @@
         }
         let mut model = self.0.borrow_mut();
         model.synced_names = model.names.clone();
-        model.pending.clear();
+        model.unsynced_changes.clear();
         Ok(())
     }
 
@@ -135,7 +142,7 @@
         let mut model = self.0.borrow_mut();
         let change = NameChange::Renamed(from.into(), to.into());
         apply(&mut model.names, &change);
-        model.pending.push(change);
+        model.unsynced_changes.push(change);
         Ok(())
     }
 
@@ -146,19 +153,19 @@
         let mut model = self.0.borrow_mut();
         let change = NameChange::Removed(name.into());
         apply(&mut model.names, &change);
-        model.pending.push(change);
+        model.unsynced_changes.push(change);
         Ok(())
     }
 }
 
-/// Every disk that may be found after a crash: each unsynced name change made or not, and of each file the flushed bytes
-/// with none, half, all but one, or all of the others.
+/// Returns the disks that may be found after a crash: any subset of the unsynced name changes is stored, and of each
+/// file the flushed bytes with none, half, all but one, or all of the unflushed ones.
 fn possible_disks(model: &Model) -> Vec<Model> {
-    let mut found = Vec::new();
-    for mask in 0..1_u32 << model.pending.len() {
+    let mut disks = Vec::new();
+    for mask in 0..1_u32 << model.unsynced_changes.len() {
         let mut names = model.synced_names.clone();
-        for (place, change) in model.pending.iter().enumerate() {
-            if mask & (1 << place) != 0 {
+        for (index, change) in model.unsynced_changes.iter().enumerate() {
+            if mask & (1 << index) != 0 {
                 apply(&mut names, change);
             }
         }
@@ -171,25 +178,25 @@
                 file.flushed = file.bytes.len();
             }
             let names = names.clone();
-            found.push(Model { files, synced_names: names.clone(), names, ..Model::default() });
+            disks.push(Model { files, synced_names: names.clone(), names, ..Model::default() });
         }
     }
-    found
+    disks
 }
 
 fn identity() -> StoreIdentity {
     StoreIdentity { controller: "p".into(), fleet_digest: 7 }
 }
 
-/// An entry of the run, for one of three keys.
+/// Returns the entry of this number, which has one of three keys and a value derived from the number.
 fn entry(number: u64) -> Entry {
     let key = EntryKey::AdmissionRate(format!("class-{}", number % 3), 0);
     Entry { at_ms: number, key, value: EntryValue::AdmissionRate(1.0 / (1.0 + number as f64)) }
 }
 
-/// The states after none, one, two … of the entries.
-fn states(from: &State, entries: &[Entry]) -> Vec<State> {
-    let mut states = vec![from.clone()];
+/// Returns the state after each prefix of the entries, starting with the empty prefix.
+fn states(initial: &State, entries: &[Entry]) -> Vec<State> {
+    let mut states = vec![initial.clone()];
     for entry in entries {
         let mut state = states[states.len() - 1].clone();
         state.insert(entry.key.clone(), (entry.at_ms, entry.value.clone()));
@@ -198,8 +205,8 @@
     states
 }
 
-/// Appends two entries and flushes, appends one, starts a new number, appends two and flushes, appends the last without
-/// a flush. Returns what was appended and how many entries of it were acknowledged.
+/// Opens the store, appends two entries and flushes, appends one, rotates, appends two and flushes, and appends the
+/// last one without a flush. Returns the appended entries and the number of them that were acknowledged by a flush.
 fn run(storage: &ModelStorage, first: u64) -> (Vec<Entry>, usize) {
     let mut appended = Vec::new();
     let mut acknowledged = 0;
@@ -222,55 +229,55 @@
     (appended, acknowledged)
 }
 
-/// Checks that every possible disk loads as the state after a prefix of the entries which includes all acknowledged ones;
-/// returns how many disks were checked.
+/// Checks that each possible disk loads as the state after a prefix of the entries that includes all acknowledged ones.
+/// Returns the number of disks that were checked.
 fn check(model: &Model, states: &[State], acknowledged: usize) -> usize {
     let disks = possible_disks(model);
     for disk in &disks {
         let storage = ModelStorage(Rc::new(RefCell::new(disk.clone())));
-        let loaded = load(&storage, &identity()).expect("own and readable");
+        let loaded = load(&storage, &identity()).expect("readable state of this identity");
         let prefix = states.iter().rposition(|state| *state == loaded.state);
         let prefix = prefix.unwrap_or_else(|| panic!("not the state after any prefix: {:?}", loaded.state));
-        assert!(prefix >= acknowledged, "{acknowledged} were acknowledged, {prefix} are there");
+        assert!(prefix >= acknowledged, "{acknowledged} entries were acknowledged, {prefix} were loaded");
     }
     disks.len()
 }
 
 #[test]
 fn every_crash_leaves_a_prefix_with_all_acknowledged_entries() {
-    let undisturbed = ModelStorage::default();
-    run(&undisturbed, 0);
-    let steps = undisturbed.0.borrow().steps;
+    let without_faults = ModelStorage::default();
+    run(&without_faults, 0);
+    let steps = without_faults.0.borrow().steps;
     let mut crashes = 0;
     let mut second_crashes = 0;
     for stop_at in 0..=steps {
         let storage = ModelStorage::default();
         storage.0.borrow_mut().stop_at = Some(stop_at);
         let (appended, acknowledged) = run(&storage, 0);
-        let after = states(&State::new(), &appended);
-        crashes += check(&storage.0.borrow(), &after, acknowledged);
-        // A second run starts on some of these disks and is stopped as well.
-        for found in possible_disks(&storage.0.borrow()).into_iter().step_by(211) {
+        let states_after_prefixes = states(&State::new(), &appended);
+        crashes += check(&storage.0.borrow(), &states_after_prefixes, acknowledged);
+        // A second run is started on some of these disks and is stopped as well.
+        for disk in possible_disks(&storage.0.borrow()).into_iter().step_by(211) {
             let first_state =
-                load(&ModelStorage(Rc::new(RefCell::new(found.clone()))), &identity()).expect("sound").state;
+                load(&ModelStorage(Rc::new(RefCell::new(disk.clone()))), &identity()).expect("loaded").state;
             for second in (0..steps).step_by(5) {
                 let storage =
-                    ModelStorage(Rc::new(RefCell::new(Model { stop_at: Some(second), ..found.clone() })));
+                    ModelStorage(Rc::new(RefCell::new(Model { stop_at: Some(second), ..disk.clone() })));
                 let (appended, acknowledged) = run(&storage, 100);
                 second_crashes += check(&storage.0.borrow(), &states(&first_state, &appended), acknowledged);
             }
         }
     }
-    println!("{steps} steps, {crashes} disks found after a crash, {second_crashes} after a second one");
+    println!("{steps} steps, {crashes} disks checked after a crash, {second_crashes} after a second one");
     assert!(crashes > 300 && second_crashes > 5_000);
 }
 
-/// One step fails, each in turn, and the disk works again after it: what is acknowledged later is stored.
+/// Each step fails in turn, and the disk works again after it: entries that are acknowledged later have to be stored.
 #[test]
-fn every_single_failure_is_recovered_from() {
-    let undisturbed = ModelStorage::default();
-    run(&undisturbed, 0);
-    let steps = undisturbed.0.borrow().steps;
+fn the_store_recovers_from_every_single_failure() {
+    let without_faults = ModelStorage::default();
+    run(&without_faults, 0);
+    let steps = without_faults.0.borrow().steps;
     for fail_at in 0..steps {
         let storage = ModelStorage::default();
         storage.0.borrow_mut().fail_at = Some(fail_at);
@@ -279,12 +286,12 @@
         check(&storage.0.borrow(), &states, acknowledged);
         assert!(
             acknowledged > 0 || appended.is_empty(),
-            "the second flush succeeds if the first did not: step {fail_at}"
+            "one of the two flushes has to succeed: step {fail_at}"
         );
     }
 }
 
-/// Guards the model itself: it has to find a store that acknowledges before it flushes.
+/// Checks the model itself: it has to detect a store that acknowledges entries before it flushes them.
 #[test]
 fn the_model_finds_entries_acknowledged_without_a_flush() {
     let storage = ModelStorage::default();
@@ -293,46 +300,47 @@
     let states = states(&State::new(), &[entry(1)]);
     let checked =
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| check(&storage.0.borrow(), &states, 1)));
-    assert!(checked.is_err(), "one entry counted as acknowledged and is not stored");
+    assert!(checked.is_err(), "an entry that is not stored was counted as acknowledged");
 }
 
-/// A writer that is stopped, on a disk; some of the disks that may be found after that: the barest, the fullest and one
-/// between.
-fn disks_after(found: &Model, stop_at: usize, first: u64) -> Vec<Model> {
-    let storage = ModelStorage(Rc::new(RefCell::new(Model { stop_at: Some(stop_at), ..found.clone() })));
+/// Runs a writer on a disk until it is stopped at a step. Returns two of the disks that may be found after that: the
+/// one with all changes stored, and one without the last name change or, if there is none, with half of the unflushed
+/// bytes.
+fn disks_after(disk: &Model, stop_at: usize, first: u64) -> Vec<Model> {
+    let storage = ModelStorage(Rc::new(RefCell::new(Model { stop_at: Some(stop_at), ..disk.clone() })));
     run(&storage, first);
     let disks = possible_disks(&storage.0.borrow());
     let every = (disks.len() / 2).max(1);
     disks.into_iter().rev().step_by(every).collect()
 }
 
-/// What a whole start leaves: the state, and what it warns of.
-fn whole_start(found: &Model) -> (State, Vec<String>) {
-    let storage = ModelStorage(Rc::new(RefCell::new(found.clone())));
+/// Opens the store without a fault; returns the state that is loaded after that, and the warnings.
+fn start_without_faults(disk: &Model) -> (State, Vec<String>) {
+    let storage = ModelStorage(Rc::new(RefCell::new(disk.clone())));
     drop(Store::open(storage.clone(), identity()).expect("opened"));
-    let loaded = load(&storage, &identity()).expect("sound");
+    let loaded = load(&storage, &identity()).expect("loaded");
     (loaded.state, loaded.warnings)
 }
 
-/// Guards against a writer that adds to what a killed one has left, also where several were killed in a row.
+/// Guards against a writer that appends to a partial file of a killed writer, also if several were killed in a row.
 #[test]
-fn a_whole_start_after_three_crashes_leaves_nothing_to_warn_of() {
-    /// Steps in which a start ends: later ones are those of appending.
+fn a_complete_start_after_three_crashes_leaves_no_corrupt_file() {
+    /// Number of steps within which a start ends; later steps are those of appending.
     const START_STEPS: usize = 8;
-    let undisturbed = ModelStorage::default();
-    run(&undisturbed, 0);
-    let steps = undisturbed.0.borrow().steps;
+    let without_faults = ModelStorage::default();
+    run(&without_faults, 0);
+    let steps = without_faults.0.borrow().steps;
     let mut starts = 0;
     for first in (0..=steps).step_by(7) {
-        for one in disks_after(&Model::default(), first, 0) {
+        for after_first in disks_after(&Model::default(), first, 0) {
             for second in 0..START_STEPS {
-                for two in disks_after(&one, second, 100) {
+                for after_second in disks_after(&after_first, second, 100) {
                     for third in 0..START_STEPS {
-                        for three in disks_after(&two, third, 200) {
-                            let storage = ModelStorage(Rc::new(RefCell::new(three.clone())));
-                            let before = load(&storage, &identity()).expect("sound").state;
+                        for after_third in disks_after(&after_second, third, 200) {
+                            let storage = ModelStorage(Rc::new(RefCell::new(after_third.clone())));
+                            let before = load(&storage, &identity()).expect("loaded").state;
                             assert_eq!(
-                                whole_start(&three),
+                                start_without_faults(&after_third),
                                 (before, vec![]),
                                 "stopped at {first}, {second}, {third}"
                             );
