--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -31,7 +31,7 @@
 impl PlatformCommand {
     pub fn run(self) -> ExitCode {
         // Before anything else: no signal may end the process by default, however early it comes.
-        let (runtime, signals) = match lockcroft_signals::start() {
+        let (runtime, signals) = match lockcroft_signals::start_runtime() {
             Ok(started) => started,
             Err(error) => return report(Err(CliError::other(error))),
         };
@@ -62,7 +62,7 @@
     if path.as_os_str().is_empty() {
         return Err(CliError::NoPlatformConfig);
     }
-    io::open(path).map_err(CliError::other)
+    io::read_config(path).map_err(CliError::other)
 }
 
 fn start_logs(levels: String) -> Result<(), CliError> {
--- a/crates/platform/src/io/mod.rs
+++ b/crates/platform/src/io/mod.rs
@@ -20,7 +20,7 @@
 use crate::config::Config;
 
 pub use self::error::{ConfigFileError, ServeError};
-pub use self::reload::open;
+pub use self::reload::read_config;
 
 /// Runs the controller until SIGTERM; proxies keep their tables then. SIGHUP reads the file at `path` again.
 ///
@@ -31,7 +31,7 @@
     tasks.block_on(runtime, async {
         let listener = tokio::select! {
             listener = listener::bind(&config) => listener?,
-            () = signals.terminated() => return Ok(()),
+            () = signals.recv_termination() => return Ok(()),
         };
         tick_loop::run(path, config, listener, signals).await;
         Ok(())
