--- a/crates/state-store/src/codec.rs
+++ b/crates/state-store/src/codec.rs
@@ -47,7 +47,7 @@
 
 /// Returns the message of an entry. Panics if the variants of key and value differ.
 pub(crate) fn encode_entry(entry: &Entry) -> proto::Entry {
-    let what = match (&entry.key, &entry.value) {
+    let stored = match (&entry.key, &entry.value) {
         (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => {
             proto::entry::What::Server(encode_endpoint(name, endpoint))
         }
@@ -68,7 +68,7 @@
         }
         (key, value) => unreachable!("variants of key {key:?} and value {value:?} differ"),
     };
-    proto::Entry { at_ms: entry.at_ms, what: Some(what), ..Default::default() }
+    proto::Entry { at_ms: entry.at_ms, what: Some(stored), ..Default::default() }
 }
 
 fn encode_endpoint(name: &str, endpoint: &RecordedEndpoint) -> proto::Server {
--- a/crates/state-store/tests/crash_model.rs
+++ b/crates/state-store/tests/crash_model.rs
@@ -1,6 +1,6 @@
-//! Exhaustive crash test: runs the store on a model of a disk that distinguishes flushed from unflushed changes. The
-//! machine may stop at each storage operation, with any part of the unflushed changes stored. The state that is loaded
-//! afterwards has to be that after a prefix of the entries, which includes all acknowledged ones.
+//! Crash tests: run the store on a model of a disk that distinguishes flushed from unflushed changes. The machine may
+//! stop at each storage operation, with any part of the unflushed changes stored. The state that is loaded afterwards
+//! has to be that after a prefix of the entries, which includes all acknowledged ones.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/table-format/src/codec.rs
+++ b/crates/table-format/src/codec.rs
@@ -54,20 +54,20 @@
 pub fn decode_table(member: &str, bytes: &[u8]) -> Result<NumberedTable, FormatError> {
     let message: proto::Table = decode(member, bytes)?;
     let mut table = Table::default();
-    for line in message.lines {
+    for stored in message.lines {
         let out_of_range = |value: String, limit: &str| FormatError::OutOfRange {
-            location: format!("{member}, {}", line.server),
+            location: format!("{member}, {}", stored.server),
             value,
             limit: limit.into(),
         };
-        let Ok(address) = line.address.parse() else {
-            return Err(out_of_range(format!("address {:?}", line.address), "IP:PORT"));
+        let Ok(address) = stored.address.parse() else {
+            return Err(out_of_range(format!("address {:?}", stored.address), "IP:PORT"));
         };
-        if !(1..=MAX_WEIGHT).contains(&line.weight) {
-            return Err(out_of_range(format!("weight {}", line.weight), "1 to 256"));
+        if !(1..=MAX_WEIGHT).contains(&stored.weight) {
+            return Err(out_of_range(format!("weight {}", stored.weight), "1 to 256"));
         }
-        let entry = TableEntry { address, weight: line.weight };
-        if table.entries.insert(line.server.clone(), entry).is_some() {
+        let entry = TableEntry { address, weight: stored.weight };
+        if table.entries.insert(stored.server.clone(), entry).is_some() {
             return Err(out_of_range("listed more than once".into(), "one entry per endpoint"));
         }
     }
@@ -81,20 +81,20 @@
 pub fn decode_group(member: &str, bytes: &[u8]) -> Result<ProxyGroup, FormatError> {
     let message: proto::Group = decode(member, bytes)?;
     let mut assignments = BTreeMap::new();
-    for bound in message.bound {
-        if bound.level > MAX_ADMISSION_PER_MILLE {
+    for stored in message.bound {
+        if stored.level > MAX_ADMISSION_PER_MILLE {
             return Err(FormatError::OutOfRange {
-                location: format!("{member}, {}", bound.class),
-                value: format!("admission rate {}", bound.level),
+                location: format!("{member}, {}", stored.class),
+                value: format!("admission rate {}", stored.level),
                 limit: "0 to 1000".into(),
             });
         }
         let assignment = ProxyAssignment {
-            table: bound.table,
-            admission_per_mille: bound.level,
-            allows_retries: bound.again,
+            table: stored.table,
+            admission_per_mille: stored.level,
+            allows_retries: stored.again,
         };
-        assignments.insert(bound.class, assignment);
+        assignments.insert(stored.class, assignment);
     }
     Ok(ProxyGroup { proxies: message.proxies.into_iter().collect(), assignments })
 }
