--- a/src/controller/evaluation.rs
+++ b/src/controller/evaluation.rs
@@ -51,10 +51,10 @@
         let subsets = self.unevaluated_by_subset();
         self.admissions.iter_mut().for_each(|admission| admission.demand *= DEMAND_KEPT);
         for (endpoint, state) in &mut self.endpoints {
-            let seen = std::mem::take(&mut state.unevaluated_attempts);
-            state.recent_attempts = seen.plus(state.recent_attempts, ATTEMPTS_KEPT);
+            let reported = std::mem::take(&mut state.unevaluated_attempts);
+            state.recent_attempts = reported.add_scaled(state.recent_attempts, ATTEMPTS_KEPT);
             let subset = subsets[state.subset];
-            if let Some(text) = state.evaluate_attempts(seen, subset, &criteria) {
+            if let Some(text) = state.evaluate_attempts(reported, subset, &criteria) {
                 self.ready.push_back(Action::RaiseEvent { endpoint: Some(*endpoint), text });
             }
             state.adjust_weight_factor(subset, latency_objective);
@@ -65,7 +65,7 @@
     fn unevaluated_by_subset(&self) -> Vec<AttemptStats> {
         let mut subsets = vec![AttemptStats::default(); self.layout.subsets];
         for state in self.endpoints.values().filter(|state| state.is_up()) {
-            subsets[state.subset] = state.unevaluated_attempts.plus(subsets[state.subset], 1.0);
+            subsets[state.subset] = state.unevaluated_attempts.add_scaled(subsets[state.subset], 1.0);
         }
         subsets
     }
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -79,7 +79,7 @@
         let window = self.settings.rules.slow_start_window;
         let Some(state) = self.endpoints.get_mut(&record.endpoint) else { return };
         let was_not_ready = state.is_not_ready();
-        let was_out = state.health_check.is_new() || was_not_ready;
+        let was_out = state.health_check.is_unscheduled() || was_not_ready;
         state.record = *record;
         let started = state.record_start(now, record.age.unwrap_or(window), window);
         if started || state.is_not_ready() && !was_not_ready {
@@ -90,7 +90,7 @@
             // them.
             state.reset_health(now + settle_time, !allowed);
             let timer = &mut state.health_check;
-            self.health_checks.plan_first(now, record.endpoint, timer, allowed, &mut self.random);
+            self.health_checks.schedule_first(now, record.endpoint, timer, allowed, &mut self.random);
         }
     }
 }
@@ -122,7 +122,7 @@
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
         if now >= state.reports_valid_from {
             state.unevaluated_attempts =
-                AttemptStats::new(attempts, failed, mean_latency).plus(state.unevaluated_attempts, 1.0);
+                AttemptStats::new(attempts, failed, mean_latency).add_scaled(state.unevaluated_attempts, 1.0);
         }
     }
 
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -6,7 +6,7 @@
 use super::Controller;
 use crate::load_shedding::ClassAdmission;
 use crate::proxies::Recipients;
-use crate::publish::{PendingUpdate, PlanInputs, Priority, UnassignedProxies, assignments, in_order};
+use crate::publish::{PendingUpdate, PlanInputs, Priority, UnassignedProxies, assignments, order_updates};
 use crate::startup_hold::HoldConditions;
 use crate::state::EndpointState;
 use crate::thresholds::TICK_INTERVAL;
@@ -29,7 +29,7 @@
         }
         let mut ranked = entries;
         ranked.extend(self.assignments());
-        updates.extend(in_order(now, ranked, ejections));
+        updates.extend(order_updates(now, ranked, ejections));
         self.pending = updates.into();
     }
 
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,10 +1,10 @@
-//! Health checks: the saturating rise/fall counter of each endpoint, and when each is checked next.
+//! Health checks: the schedule of the checks of all endpoints, and the effect of their results.
 //!
-//! Decides whether an endpoint is up, from health checks and from what proxies report of it. The counter is
-//! that of HAProxy's `rise` and `fall`: one passed check counts up, one failed check counts down, both ends
-//! saturate, and the endpoint is up from `RISE` on. Endpoints in between are checked more often, those that
-//! are surely down less often. Check times are spread at random, so that controllers that started together do
-//! not check in step.
+//! Decides whether an endpoint is up, from health checks and from the attempts that proxies report. The
+//! counter works like HAProxy's `rise` and `fall`: a passed check increments it, a failed check decrements
+//! it, it saturates at both ends, and the endpoint is up from `RISE` on. An endpoint whose counter is between
+//! its ends is checked more often, one whose counter is 0 less often. Check times are spread at random, so
+//! that controllers that started together do not check at the same times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,24 +15,25 @@
 use crate::thresholds::TICK_INTERVAL;
 use crate::{EndpointId, HealthCheckOutcome};
 
-/// An interval is shortened at random by up to this fraction.
+/// Largest fraction by which a check interval is shortened at random.
 const INTERVAL_JITTER: f64 = 0.1;
 
-/// The times at which checks are due or time out, over all endpoints.
+/// The times at which checks of all endpoints are due or time out.
 #[derive(Default)]
 pub struct HealthCheckSchedule {
-    /// An entry that no longer fits its endpoint's timer is passed over when its time comes.
+    /// Sorted by time. An entry that no longer matches the timer of its endpoint is ignored when it is due.
     due: BTreeSet<(Duration, EndpointId)>,
 }
 
 impl HealthCheckSchedule {
-    /// The earliest time at which something is due.
+    /// Returns the earliest time at which a check is due or times out.
     pub fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|(time, _)| *time)
     }
 
-    /// Plans the first check of an endpoint, or of its new process, within one tick.
-    pub fn plan_first(
+    /// Schedules the first check of an endpoint, or of its new process, within one tick. `allowed` is false
+    /// if endpoints may not be checked.
+    pub fn schedule_first(
         &mut self,
         now: Duration,
         endpoint: EndpointId,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Lets checks time out and gives the endpoints whose next check starts now.
+    /// Records the checks that have timed out and returns the endpoints whose next check starts now.
     pub fn start_due(
         &mut self,
         now: Duration,
@@ -71,7 +72,7 @@
         started
     }
 
-    /// Takes in the result of a check. It counts if it belongs to the check under way.
+    /// Records the outcome of a check that took `elapsed`. It counts if it belongs to the check in progress.
     pub fn record_outcome(
         &mut self,
         now: Duration,
@@ -80,13 +81,13 @@
         elapsed: Duration,
         random: &mut Random,
     ) {
-        let results = state.take_outcome(now, outcome);
+        let results = state.record_load(now, outcome);
         if state.health_check.accepts(now, elapsed) {
             self.finish(now, state, results, random);
         }
     }
 
-    /// Ends the check under way, if there is one: its results count, and the next check is planned.
+    /// Ends the check in progress, if there is one: counts its results and schedules the next check.
     fn finish(&mut self, now: Duration, state: &mut EndpointState, results: i32, random: &mut Random) {
         let Some(started) = state.health_check.started_at.take() else { return };
         state.health.record(results);
@@ -97,20 +98,20 @@
 }
 
 impl EndpointState {
-    /// Whether the endpoint is up by its health counter.
+    /// Returns true if the endpoint is up by its health counter.
     #[must_use]
     pub fn is_up(&self) -> bool {
         self.health.is_up()
     }
 
-    /// Takes the reported load in, and gives the results that the outcome counts for.
-    fn take_outcome(&mut self, now: Duration, outcome: HealthCheckOutcome) -> i32 {
+    /// Records the reported load, and returns the number of results that the outcome counts for.
+    fn record_load(&mut self, now: Duration, outcome: HealthCheckOutcome) -> i32 {
         match outcome {
             HealthCheckOutcome::Passed(load) => {
                 self.load = load;
                 i32::from(now >= self.outlier_until)
             }
-            // It is too full to answer: the load that it reported before would look like headroom.
+            // The endpoint is at capacity; its last reported load would suggest headroom.
             HealthCheckOutcome::Rejected => {
                 self.load = self.load.map(|_| 1.0);
                 0
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,19 @@
-//! lockcroft decides, for a fleet of plain proxies, which endpoints each class of requests may use and at
-//! what weight.
+//! lockcroft decides, for a fleet of proxies, which endpoints each class of requests may use, at what
+//! weights, and which fraction of the requests is admitted.
 //!
-//! This crate holds all decisions and knows no wire, no I/O and no clock: every input states the time since
-//! the instance started. Start reading at [`Controller`]; each mechanism has a module of its own, whose first
-//! paragraph says what it decides and from what:
+//! This crate contains all decisions and performs no I/O: it knows no wire format and reads no clock. Every
+//! time passed in is the time since the controller instance started. [`Controller`] is the entry point; each
+//! mechanism has its own module, whose documentation states its inputs and its decisions:
 //!
 //! - `health`, `health_state`: the rise/fall counter and the schedule of health checks,
-//! - `outlier`: what proxies meet at an endpoint counts for its health,
-//! - `weight_reduction`: endpoints slower than their subset get less weight,
-//! - `slow_start`: weight after a start,
-//! - `load_shedding`: admission by class,
+//! - `outlier`: outlier detection from the attempts that proxies report,
+//! - `weight_reduction`: less weight for endpoints that are slower than their subset,
+//! - `slow_start`: reduced weight after an endpoint has started,
+//! - `load_shedding`: admission rates by class,
 //! - `weights`: the desired weights, a pure function of the above,
-//! - `subsets`: how a large fleet is cut, and spillover,
-//! - `publish`: which updates are due and in which order,
-//! - `rate_limit`: when the channel has capacity for them,
+//! - `subsets`: the division of a large fleet into subsets, and spillover between them,
+//! - `publish`: the updates that are due, and their order,
+//! - `rate_limit`: the capacity of the channel for these updates,
 //! - `startup_hold`: nothing is published until health checks have converged.
 
 #![warn(missing_docs)]
@@ -45,10 +45,9 @@
 
 use std::time::Duration;
 
-/// An endpoint: a small index, given out by the host, as are those of proxies, zones, machine types and
-/// classes.
+/// An endpoint: a small index that the host assigns, like those of proxies, zones, machine types and classes.
 pub type EndpointId = usize;
-/// A proxy.
+/// A proxy: a small index that the host assigns.
 pub type ProxyId = usize;
 /// A zone: an index into [`Settings::zones`].
 pub type ZoneId = usize;
@@ -56,82 +55,82 @@
 pub type MachineTypeId = usize;
 /// A class of requests: an index into [`Settings::classes`].
 pub type ClassId = usize;
-/// A table that proxies share; the controller numbers its own.
+/// A table that proxies share: an index that the controller assigns.
 pub type TableId = usize;
 
-/// What the endpoint list says of one endpoint.
+/// The record of one endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointRecord {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The zone that it stands in.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// What kind of machine it runs on.
+    /// The type of the machine that it runs on.
     pub machine_type: MachineTypeId,
-    /// Whether it may be used.
+    /// Its listed status.
     pub status: EndpointStatus,
     /// The listed weight; 1 where the list gives none.
     pub weight: f64,
-    /// How long ago its process started; `None` if that was long ago.
+    /// The time since its process started; `None` stands for a start before the slow-start window.
     pub age: Option<Duration>,
 }
 
-/// Whether a listed endpoint may be used.
+/// The listed status of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It may be used.
+    /// The endpoint may be used.
     #[default]
     Ready,
-    /// It finishes what it has and must get nothing new.
+    /// The endpoint completes its current requests and must get no new ones.
     Draining,
-    /// It is not on the list any more.
+    /// The endpoint is no longer on the list.
     Removed,
 }
 
-/// How a health check ended.
+/// The outcome of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HealthCheckOutcome {
-    /// Answered, with the fraction of its cores in use if the endpoint reports it.
+    /// The endpoint answered, with the fraction of its cores in use if it reports one.
     Passed(Option<f64>),
-    /// Answered with an error, or not in time: the endpoint may still be working.
+    /// The endpoint answered with an error, or not in time; it may still be serving requests.
     Failed,
-    /// Nothing listens there, or the connection broke.
+    /// The connection was refused or broke.
     Refused,
-    /// Rejected as one request too many, which says nothing about the endpoint's health.
+    /// The endpoint rejected the check because it is at capacity, which says nothing about its health.
     Rejected,
-    /// It ended at an address that the endpoint has left since, which says nothing at all.
+    /// The address of the endpoint has changed since the check started; the result is ignored.
     AddressChanged,
 }
 
-/// What was known of an endpoint before a start, with times relative to now.
+/// The persisted state of an endpoint, recovered when the controller starts. Times are relative to now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveredEndpoint {
-    /// Its record as listed now, or as it was if it is not listed any more.
+    /// Its current record, or its last one with the status `Removed` if it is no longer listed.
     pub record: EndpointRecord,
-    /// Its load-based weight factor.
+    /// Its weight factor, which follows from measured latency.
     pub weight_factor: f64,
-    /// Its slow start, if that is not over.
+    /// Its slow start, if that is still in progress.
     pub slow_start: Option<RecoveredSlowStart>,
-    /// It stays an outlier for this time.
+    /// The remaining time for which it counts as an outlier.
     pub outlier_remaining: Duration,
 }
 
-/// A slow start that was under way before a start of the controller.
+/// A slow start of an endpoint that was in progress when the controller started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveredSlowStart {
-    /// How long ago the endpoint's process started.
+    /// The time since the endpoint's process started.
     pub age: Duration,
-    /// How long until it can do all of its weight.
+    /// The time until the endpoint can serve its full weight.
     pub remaining: Duration,
 }
 
-/// One action, to be carried out by the host before it asks for the next. All actions given out at one time
-/// travel together, as one message to each proxy concerned.
+/// An action that the host carries out before it asks for the next one. All actions returned at the same time
+/// form one batch, which is sent as one message to each proxy concerned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Check the health of an endpoint and call [`Controller::health_check_finished`].
     CheckHealth(EndpointId),
-    /// Give an endpoint this weight in a table; 0 takes it out.
+    /// Set the weight of an endpoint in a table; 0 removes its entry.
     SetWeight {
         /// The table to change.
         table: TableId,
@@ -140,26 +139,26 @@
         /// Its new weight.
         weight: f64,
     },
-    /// Put a proxy on a table, for these classes.
+    /// Assign a table to a proxy for these classes.
     AssignTable {
-        /// The table to use.
+        /// The table to assign.
         table: TableId,
         /// The classes that use it.
         classes: Vec<ClassId>,
-        /// The proxy that gets it.
+        /// The proxy that the table is assigned to.
         proxy: ProxyId,
     },
-    /// Keep every attached proxy from an endpoint, whatever tables it holds.
+    /// Eject an endpoint at every attached proxy: it gets no requests, whatever the weights in the tables.
     Eject {
         /// The endpoint to eject.
         endpoint: EndpointId,
     },
-    /// End an ejection.
+    /// End the ejection of an endpoint.
     Restore {
         /// The endpoint that may be used again.
         endpoint: EndpointId,
     },
-    /// Admit this fraction of a class's requests at a table.
+    /// Set the admission rate of a class at a table.
     SetAdmission {
         /// The table that the class uses.
         table: TableId,
@@ -167,14 +166,14 @@
         class: ClassId,
         /// The fraction to admit, from 0 to 1.
         fraction: f64,
-        /// Whether proxies may retry once after proof that an attempt was not executed.
+        /// True if proxies may retry a request once when it is certain that the attempt was not executed.
         retry: bool,
     },
-    /// Tell the people on call, of one endpoint or in general.
+    /// Notify the operators of an event.
     RaiseEvent {
-        /// The endpoint that it is about.
+        /// The endpoint concerned, if there is one.
         endpoint: Option<EndpointId>,
-        /// What happened.
+        /// A description of the event.
         text: String,
     },
 }
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -1,8 +1,8 @@
-//! Publishing: which updates are due, and in which order.
+//! Publishing: the updates that are due, and their order.
 //!
-//! Decides, from desired and published state, the updates of a plan, the most urgent first. Only what differs
-//! from what proxies hold is sent (as incremental xDS does), and entries are ranked by the requests that each
-//! moves.
+//! Decides, from desired and published state, the updates of a plan, the most urgent first. Only differences
+//! from the published state are sent (as in incremental xDS), and changed entries are ranked by the number of
+//! requests that each moves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,26 +15,27 @@
 use crate::weights::CAUTIOUS_FRACTION;
 use crate::{EndpointId, ProxyId, TableId};
 
-/// A subset takes proxies of its zone up to this multiple of its fair load.
+/// Multiple of its fair load up to which a subset accepts proxies of its zone.
 const MAX_LOAD_FACTOR: f64 = 1.1;
 
-/// A table of up to so many entries for each ejection that it replaces is sent in their place: they would cost
-/// the channel half as much once more, as the table has to follow them.
+/// Number of table entries per replaced ejection up to which a table is sent instead of the ejections.
+/// Ejections sent first would add at least half of the table's own cost, as the table has to follow them
+/// anyway.
 const MAX_ENTRIES_PER_EJECTION: usize = 2;
 
-/// How urgent an update is. Higher priorities may fill more of the limits on queue and messages.
+/// The priority of an update. Updates of higher priority may use more of the limits on queue and messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Changes that can wait for the next publication.
+    /// A change that can wait for the next publication.
     Common,
-    /// Proxies that need a table, and tables that need entries.
+    /// An assignment to a proxy that needs a table, or an entry of a table that lacks weight.
     Assignment,
-    /// Endpoints that must not get requests any more: their grace runs.
+    /// An endpoint must not get requests any more: its drain grace period has started.
     Drain,
 }
 
 impl Priority {
-    /// The fraction of the limits that updates of this priority may fill.
+    /// Returns the fraction of the limits that updates of this priority may use.
     pub fn limit_fraction(self) -> f64 {
         match self {
             Priority::Common => 0.5,
@@ -44,18 +45,18 @@
     }
 }
 
-/// One update.
+/// An update of the published state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Update {
-    /// Keep all proxies from an endpoint, whatever tables they hold.
+    /// Eject an endpoint at the proxies that may use tables of an earlier controller.
     Eject(EndpointId),
-    /// End an ejection.
+    /// End the ejection of an endpoint.
     Restore(EndpointId),
     /// Publish the desired weight of an endpoint.
     SetWeight(TableId, EndpointId),
     /// Publish an admission rate, by the index of the [`ClassAdmission`].
     SetAdmission { admission: usize, fraction: f64 },
-    /// Put a proxy on a table.
+    /// Assign a table to a proxy.
     AssignTable(TableId, ProxyId),
 }
 
@@ -63,50 +64,54 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingUpdate {
     pub priority: Priority,
-    /// Since when it is owed, where its priority is [`Priority::Drain`].
-    pub owed_since: Duration,
+    /// The time since which the update is pending; zero unless its priority is [`Priority::Drain`].
+    pub pending_since: Duration,
     pub update: Update,
 }
 
 impl PendingUpdate {
-    /// An update that may wait.
+    /// Returns an update without a deadline.
     fn deferrable(priority: Priority, update: Update) -> Self {
-        PendingUpdate { priority, owed_since: Duration::ZERO, update }
+        PendingUpdate { priority, pending_since: Duration::ZERO, update }
     }
 
-    fn urgent(owed_since: Duration, update: Update) -> Self {
-        PendingUpdate { priority: Priority::Drain, owed_since, update }
+    /// Returns an update of the highest priority, which has been pending since the given time.
+    fn urgent(pending_since: Duration, update: Update) -> Self {
+        PendingUpdate { priority: Priority::Drain, pending_since, update }
     }
 }
 
-/// Orders the updates of a plan: urgent ones first, those owed longest before others, as their grace ends
-/// first. The order of the rest stays.
+/// Orders the updates of a plan: urgent ones first, and among these the one that has been pending longest, as
+/// its drain grace period ends first. The order of the others is kept.
 ///
-/// A table ends the need for ejections at its proxy. So ejections come behind the tables that are urgent
-/// themselves, and behind all others while they are new: where these go out at once, no ejection is sent.
-pub fn in_order(
+/// Once a proxy has all of its tables, it needs no ejections. Ejections therefore follow the urgent table
+/// assignments, and new ejections follow all other updates: if the assignments are sent at once, the
+/// ejections are not needed.
+pub fn order_updates(
     now: Duration,
     updates: Vec<PendingUpdate>,
     ejections: Vec<PendingUpdate>,
 ) -> Vec<PendingUpdate> {
     let is_urgent = |pending: &PendingUpdate| pending.priority == Priority::Drain;
     let (mut urgent, rest): (Vec<_>, Vec<_>) = updates.into_iter().partition(is_urgent);
-    urgent.sort_by_key(|pending| pending.owed_since);
-    let has_waited = |pending: &PendingUpdate| pending.owed_since + TICK_INTERVAL <= now;
+    urgent.sort_by_key(|pending| pending.pending_since);
+    let has_waited = |pending: &PendingUpdate| pending.pending_since + TICK_INTERVAL <= now;
     let (mut waiting, new): (Vec<_>, Vec<_>) = ejections.into_iter().partition(has_waited);
-    waiting.sort_by_key(|pending| pending.owed_since);
+    waiting.sort_by_key(|pending| pending.pending_since);
     [urgent, waiting, rest, new].concat()
 }
 
-/// The proxies that may still hold tables of an earlier controller.
+/// The attachments of the proxies that may still use tables of an earlier controller.
 pub struct UnassignedProxies {
+    /// Sorted by generation.
     attachments: Vec<Attachment>,
 }
 
 impl UnassignedProxies {
-    /// Of their attachments in any order.
+    /// Returns the set of these attachments, which may be in any order.
     pub fn new(mut attachments: Vec<Attachment>) -> Self {
-        // Generations count up with time, so the first one after a generation attached before all others.
+        // Generations increase with time, so the first one above a given generation is the earliest to
+        // attach.
         attachments.sort_unstable_by_key(|attachment| attachment.generation);
         UnassignedProxies { attachments }
     }
@@ -115,25 +120,25 @@
         self.attachments.is_empty()
     }
 
-    /// When the first of those that attached after this generation did.
+    /// Returns the attachment time of the earliest attachment after this generation, if there is one.
     fn first_attached_after(&self, generation: u64) -> Option<Duration> {
         let index = self.attachments.partition_point(|attachment| attachment.generation <= generation);
         self.attachments.get(index).map(|attachment| attachment.at)
     }
 }
 
-/// What plans are made from.
+/// The inputs of a plan.
 pub struct PlanInputs<'a> {
     pub now: Duration,
     pub tables: &'a [RoutingTable],
     pub admissions: &'a [ClassAdmission],
     pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
-    /// Whether some table is still held back.
+    /// True if some table is not released yet.
     pub start_up_hold: bool,
 }
 
 impl PlanInputs<'_> {
-    /// Admission rates that differ from what was published.
+    /// Returns an update for each admission rate that differs from the published one.
     pub fn changed_admissions(&self) -> Vec<PendingUpdate> {
         let mut updates = Vec::new();
         for (index, admission) in self.admissions.iter().enumerate() {
@@ -146,9 +151,10 @@
         updates
     }
 
-    /// Entries that differ from what was published, by priority and then by the requests that each moves. An
-    /// endpoint that drains, is removed or was started anew loses its weight without waiting for the next
-    /// publication.
+    /// Returns an update for each due entry that differs from the published one, sorted by priority and then
+    /// by the number of requests that it moves. An endpoint that is draining, removed or restarted loses its
+    /// weight without waiting for the next publication; `publishing` is true if common changes are due as
+    /// well.
     pub fn changed_entries(&self, publishing: bool) -> Vec<PendingUpdate> {
         let mut ranked: Vec<RankedUpdate> = Vec::new();
         for (index, table) in self.tables.iter().enumerate().filter(|(_, table)| table.released) {
@@ -159,40 +165,41 @@
                 .map(|admission| admission.demand)
                 .sum();
             let total: f64 = table.desired.values().sum();
-            let running_empty = is_running_empty(table, total);
+            let lacks_weight = lacks_weight(table, total);
             for (endpoint, desired) in &table.desired {
                 let entry = EntryChange {
                     state: &self.endpoints[endpoint],
                     desired: *desired,
                     published: table.published_weight(*endpoint),
                 };
-                if let Some(priority) = self.entry_priority(&entry, running_empty, publishing) {
+                if let Some(priority) = self.entry_priority(&entry, lacks_weight, publishing) {
                     let moved = entry.moved_requests(total, demand);
                     let update = Update::SetWeight(index, *endpoint);
-                    let owed_since = entry.owed_since(self.now);
-                    let update = PendingUpdate { priority, owed_since, update };
+                    let pending_since = entry.pending_since(self.now);
+                    let update = PendingUpdate { priority, pending_since, update };
                     ranked.push(RankedUpdate { moved, update });
                 }
             }
         }
-        ranked.sort_by(|one, other| {
-            let by_priority = other.update.priority.cmp(&one.update.priority);
-            by_priority.then(other.moved.total_cmp(&one.moved))
+        ranked.sort_by(|a, b| {
+            let by_priority = b.update.priority.cmp(&a.update.priority);
+            by_priority.then(b.moved.total_cmp(&a.moved))
         });
         ranked.into_iter().map(|ranked| ranked.update).collect()
     }
 
-    /// The priority of a changed entry; `None` if it is not due.
-    fn entry_priority(&self, entry: &EntryChange, running_empty: bool, publishing: bool) -> Option<Priority> {
-        // Ejections end once all proxies are on tables, and an empty table is assigned to nobody: where all
-        // endpoints were ejected, entries of those that are back come first.
+    /// Returns the priority of a changed entry; `None` if it is not due.
+    fn entry_priority(&self, entry: &EntryChange, lacks_weight: bool, publishing: bool) -> Option<Priority> {
+        // An ejection ends once all proxies have their tables, and an empty table is not assigned. If all
+        // endpoints were ejected, entries of usable ones must therefore be published before the ejections
+        // end.
         let is_usable = !entry.state.ejected || !self.must_be_ejected(entry.state);
-        let fills = running_empty && entry.desired > entry.published && is_usable;
+        let fills_table = lacks_weight && entry.desired > entry.published && is_usable;
         let is_common = publishing && entry.desired != entry.published && !entry.state.ejected;
         if entry.must_not_wait(self.now) {
             Some(Priority::Drain)
-        } else if fills {
-            // Filling a table takes many entries: the capacity for drains is not for them.
+        } else if fills_table {
+            // Filling a table takes many entries, which must not use the capacity kept for drains.
             Some(Priority::Assignment)
         } else if is_common {
             Some(Priority::Common)
@@ -205,16 +212,17 @@
         state.must_be_ejected(self.now, self.start_up_hold)
     }
 
-    /// Ejections and their ends. An endpoint that must not be used is ejected at the proxies that still hold
-    /// tables of an earlier controller, start-up hold or not: no proxy may use it past the grace. One that
-    /// comes back returns at its initial weight, never at the weight it left with. `unassigned` are these
-    /// proxies.
+    /// Returns the ejections that are due, and the ends of ejections. An endpoint that must not be used is
+    /// ejected at the proxies that may still use tables of an earlier controller (`unassigned`), even during
+    /// the start-up hold, as no proxy may use it after the drain grace period. The ejection ends only when no
+    /// table publishes more than the desired weight, so that the endpoint returns at its initial weight and
+    /// not at the weight that it had before.
     pub fn changed_ejections(&self, unassigned: &UnassignedProxies) -> Vec<PendingUpdate> {
         let update = |(endpoint, state): (&EndpointId, &EndpointState)| {
             if self.must_be_ejected(state) {
                 let attached_at = unassigned.first_attached_after(state.ejected_up_to_generation)?;
-                let owed_since = attached_at.max(state.list_changed_at.unwrap_or_default());
-                return Some(PendingUpdate::urgent(owed_since, Update::Eject(*endpoint)));
+                let pending_since = attached_at.max(state.list_changed_at.unwrap_or_default());
+                return Some(PendingUpdate::urgent(pending_since, Update::Eject(*endpoint)));
             }
             let is_due = state.ejected && unassigned.is_empty() && !self.is_overweight(*endpoint);
             is_due.then(|| PendingUpdate::urgent(self.now, Update::Restore(*endpoint)))
@@ -222,7 +230,7 @@
         self.endpoints.iter().filter_map(update).collect()
     }
 
-    /// Whether some table still publishes more than an endpoint's desired weight.
+    /// Returns true if some table publishes more than the desired weight of an endpoint.
     fn is_overweight(&self, endpoint: EndpointId) -> bool {
         let overweight =
             |table: &RoutingTable| table.published_weight(endpoint) > table.desired_weight(endpoint);
@@ -230,12 +238,13 @@
     }
 }
 
+/// An update with the number of requests that it moves.
 struct RankedUpdate {
     moved: f64,
     update: PendingUpdate,
 }
 
-/// An entry of a table as desired and as published.
+/// The desired and the published weight of an entry of a table.
 struct EntryChange<'a> {
     state: &'a EndpointState,
     desired: f64,
@@ -243,37 +252,43 @@
 }
 
 impl EntryChange<'_> {
+    /// Returns true if the endpoint must lose weight at once: it is draining or removed, or has restarted.
     fn must_not_wait(&self, now: Duration) -> bool {
-        let leaves = self.state.is_not_ready() && self.desired < self.published;
-        let restarted = self.state.is_warming_up(now) && self.desired < CAUTIOUS_FRACTION * self.published;
-        leaves || restarted
+        let is_leaving = self.state.is_not_ready() && self.desired < self.published;
+        let has_restarted =
+            self.state.is_warming_up(now) && self.desired < CAUTIOUS_FRACTION * self.published;
+        is_leaving || has_restarted
     }
 
-    /// Since when a change that must not wait is owed: since the list told of it, where the weight is of before that. An
-    /// endpoint that is warming up and has little weight already is no worse off for a while.
-    fn owed_since(&self, now: Duration) -> Duration {
-        let has_little = self.published <= CAUTIOUS_FRACTION * self.state.record.weight;
+    /// Returns the time since which a change that must not wait is pending. That is the time at which the
+    /// list reported the change, or now for an endpoint that is warming up and has little weight already, as
+    /// it bears a short delay.
+    fn pending_since(&self, now: Duration) -> Duration {
+        let has_little_weight = self.published <= CAUTIOUS_FRACTION * self.state.record.weight;
         match self.state.list_changed_at {
-            Some(list_changed_at) if self.state.is_not_ready() || !has_little => list_changed_at,
+            Some(list_changed_at) if self.state.is_not_ready() || !has_little_weight => list_changed_at,
             _ => now,
         }
     }
 
+    /// Returns the relative number of requests that the change moves, to rank changes by.
     fn moved_requests(&self, total_weight: f64, demand: f64) -> f64 {
         (self.desired - self.published).abs() / total_weight.max(1e-9) * (1.0 + demand)
     }
 }
 
-/// Whether so little of a table's desired weight is published that it must be filled at once: what is left
-/// must not run out while what replaces it waits in the queue.
-fn is_running_empty(table: &RoutingTable, total_weight: f64) -> bool {
-    let common = |(endpoint, desired): (&EndpointId, &f64)| desired.min(table.published_weight(*endpoint));
-    let left: f64 = table.desired.iter().map(common).sum();
-    left < WEAK_FRACTION * total_weight
+/// Returns true if so little of a table's desired weight is published that it must be filled at once: the
+/// remaining endpoints must not be lost while their replacements wait in the queue.
+fn lacks_weight(table: &RoutingTable, total_weight: f64) -> bool {
+    let kept_weight =
+        |(endpoint, desired): (&EndpointId, &f64)| desired.min(table.published_weight(*endpoint));
+    let remaining: f64 = table.desired.iter().map(kept_weight).sum();
+    remaining < WEAK_FRACTION * total_weight
 }
 
-/// Gives each proxy without a full set of tables a subset, and the assignments of that subset's released
-/// tables. Proxies with most requests come first, each to the subset that has least for its weight.
+/// Assigns a subset to each proxy that lacks tables, and returns the assignments of the released tables of
+/// that subset. Proxies with the highest request rate come first; each gets the subset with the least load
+/// for its weight.
 pub fn assignments(
     proxies: &mut ProxySet,
     layout: &SubsetLayout,
@@ -303,30 +318,33 @@
     updates
 }
 
-/// A table replaces the ejections that its proxy would else get one by one: where it is the shorter message,
-/// it is as urgent as they are. In a rollout, those that attach one by one would else wait while the longer
-/// message fills the queue.
+/// Returns the update that assigns a table to a proxy. A table replaces the ejections that the proxy would
+/// otherwise get one by one, and is as urgent as they are if it is the shorter message. Otherwise, proxies
+/// that attach one by one during a rollout would wait while the longer ejections fill the queue.
 fn assignment(
     table: &RoutingTable,
     proxy: &ProxyState,
     endpoints: &BTreeMap<EndpointId, EndpointState>,
     update: Update,
 ) -> PendingUpdate {
-    let is_owed =
+    let needs_ejection =
         |state: &&EndpointState| state.is_not_ready() && state.ejected_up_to_generation < proxy.generation;
-    let owed_ejections = endpoints.values().filter(is_owed).count();
-    if !(1..=MAX_ENTRIES_PER_EJECTION * owed_ejections).contains(&table.published_entries()) {
+    let pending_ejections = endpoints.values().filter(needs_ejection).count();
+    if !(1..=MAX_ENTRIES_PER_EJECTION * pending_ejections).contains(&table.published_entries()) {
         return PendingUpdate::deferrable(Priority::Assignment, update);
     }
-    let first_change = endpoints.values().filter(is_owed).filter_map(|state| state.list_changed_at).min();
+    let first_change =
+        endpoints.values().filter(needs_ejection).filter_map(|state| state.list_changed_at).min();
     PendingUpdate::urgent(first_change.unwrap_or_default().max(proxy.attached_at), update)
 }
 
-/// Requests and weights by subset.
+/// The request rates and weights of all subsets.
 struct SubsetLoads {
+    /// Requests per second, by subset.
     request_rates: Vec<f64>,
+    /// The sum of the listed weights, by subset.
     weights: Vec<f64>,
-    /// Requests a second for a unit of weight that a subset takes of its own zone.
+    /// The largest load that a subset accepts from its own zone, in requests per second and unit of weight.
     max_load: f64,
 }
 
@@ -347,7 +365,8 @@
         }
     }
 
-    /// The subset of the proxy's zone with the least load, or any other if those have their fair load.
+    /// Returns the least loaded subset that serves the proxy's zone, or the least loaded of all others if
+    /// each of those would exceed its maximum load.
     fn least_loaded(&self, layout: &SubsetLayout, proxy: &ProxyState) -> usize {
         let load = |subset: usize| (self.request_rates[subset] + proxy.request_rate) / self.weights[subset];
         let is_unsuited =
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,6 +1,7 @@
 //! The seeded random numbers that spread health checks over time.
 //!
-//! An instance with the same seed and the same inputs decides the same, so that a run can be repeated.
+//! An instance with the same seed and the same inputs makes the same decisions, so that runs are
+//! reproducible.
 
 use nanorand::{Rng, WyRand};
 
@@ -8,12 +9,12 @@
 pub struct Random(WyRand);
 
 impl Random {
-    /// A source that gives the same sequence for the same seed.
+    /// Returns a source; equal seeds give equal sequences.
     pub fn new(seed: u64) -> Self {
         Random(WyRand::new_seed(seed))
     }
 
-    /// The next random number, from 0 to 1.
+    /// Returns the next random number, from 0 to 1.
     pub fn fraction(&mut self) -> f64 {
         f64::from(self.0.generate::<u32>()) / f64::from(u32::MAX)
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,20 +1,21 @@
-//! Slow start: how much of its weight an endpoint has after its process started.
+//! Slow start: the fraction of its weight that an endpoint has after its process started.
 //!
-//! Decides, from the time since the start, the fraction of the listed weight that an endpoint can surely do;
-//! it grows evenly from the stated initial fraction, as Envoy's and HAProxy's slow start do. While a subset
-//! is unstable, its endpoints that are warming up get nothing: proxies that fail elsewhere, that have ejected
-//! what they could not reach, or whose requests come back as admission grows, all turn to a started endpoint,
-//! however small its weight.
+//! Decides, from the time since the start, the fraction of the listed weight that an endpoint can serve. It
+//! grows linearly from the configured initial fraction, as in the slow start of Envoy and HAProxy. While a
+//! subset is unstable, its endpoints that are warming up get little or no weight: proxies whose attempts fail
+//! elsewhere, that have ejected unreachable endpoints, or that send more requests as the admission rate rises
+//! would all turn to the started endpoint, however small its weight.
 
 use std::time::Duration;
 
 use crate::state::EndpointState;
 
-/// A subset stays unstable for this fraction of the slow-start window.
+/// Fraction of the slow-start window for which a subset stays unstable.
 const UNSTABLE_FRACTION: f64 = 0.5;
 
 impl EndpointState {
-    /// The fraction of its weight that it can do, from `initial_fraction` at its start to 1.
+    /// Returns the fraction of its weight that the endpoint can serve, from `initial_fraction` at its start
+    /// to 1.
     #[must_use]
     pub fn slow_start_factor(&self, now: Duration, initial_fraction: f64) -> f64 {
         let remaining = self.warmed_up_at.saturating_sub(now).as_secs_f64();
@@ -22,8 +23,8 @@
         1.0 - (1.0 - initial_fraction) * remaining / window
     }
 
-    /// Takes a start of its process in, where it is a later one than is known. Repeated or older news of a
-    /// start changes nothing.
+    /// Records a start of the endpoint's process `age` ago. Returns true if it is later than the known start
+    /// and still warming up; any other changes nothing.
     pub(crate) fn record_start(&mut self, now: Duration, age: Duration, window: Duration) -> bool {
         let warmed_up_at = (now + window).saturating_sub(age);
         let is_new = warmed_up_at > now && warmed_up_at > self.warmed_up_at;
@@ -35,24 +36,25 @@
     }
 }
 
-/// Until when each subset is unstable.
+/// The stability of each subset: while unstable, its endpoints that are warming up are at risk of overload.
 #[derive(Default)]
 pub struct Stability {
+    /// The end of the unstable time, by subset.
     unstable_until: Vec<Duration>,
 }
 
 impl Stability {
-    /// All subsets stable.
+    /// Returns the state in which all subsets are stable.
     pub fn new(subsets: usize) -> Self {
         Stability { unstable_until: vec![Duration::ZERO; subsets] }
     }
 
-    /// Notes that started endpoints of a subset are at risk now.
+    /// Marks a subset as unstable for a fraction of the slow-start window.
     pub fn mark_unstable(&mut self, now: Duration, subset: usize, slow_start_window: Duration) {
         self.unstable_until[subset] = now + slow_start_window.mul_f64(UNSTABLE_FRACTION);
     }
 
-    /// Whether started endpoints of a subset are at risk.
+    /// Returns true if a subset is unstable.
     pub fn is_unstable(&self, now: Duration, subset: usize) -> bool {
         now < self.unstable_until[subset]
     }
--- a/src/startup_hold.rs
+++ b/src/startup_hold.rs
@@ -1,8 +1,8 @@
 //! The start-up hold: after a start nothing is published until health checks have converged.
 //!
-//! Decides for each table, from the time since the start and from what is known of its endpoints, when the
-//! hold ends. An empty or half-known table would take endpoints from proxies that still work on the tables of
-//! an earlier controller.
+//! Decides for each table when the hold ends, from the time since the start and the health of its endpoints.
+//! A table that is empty or lacks endpoints with unknown health would take working endpoints from proxies
+//! that still use the tables of an earlier controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,37 +10,39 @@
 use crate::EndpointId;
 use crate::state::EndpointState;
 
-/// The hold lasts at least this long, unless something below forces its end.
+/// Minimum duration of the hold. The drain grace period or ejected default tables can end it earlier.
 pub const MIN_HOLD: Duration = Duration::from_secs(5);
+/// Maximum duration of the hold.
 const MAX_HOLD: Duration = Duration::from_secs(10);
-/// The fraction of the drain grace after which the hold gives way to it.
+/// Fraction of the drain grace period after which the hold ends; the rest is left to assign new tables.
 const HOLD_WITHIN_GRACE: f64 = 0.3;
-/// A proxy's default table may be drawn from this few endpoints: with as many ejected, it may have no other.
+/// Smallest number of endpoints in a proxy's default table. If as many endpoints are ejected, the table of a
+/// proxy may contain no usable endpoint.
 const MIN_DEFAULT_TABLE: usize = 3;
 
-/// The state that decides about the end of holds.
+/// The conditions that end the hold of a table.
 pub struct HoldConditions {
     now: Duration,
     max_hold: Duration,
-    /// Endpoints that proxies must not use.
+    /// The number of endpoints that proxies must not use.
     unusable: usize,
 }
 
 impl HoldConditions {
-    /// `drain_grace` is given where the endpoint list changed before this start: endpoints were removed that
-    /// proxies may still use and that cannot be named, so all proxies have to be on new tables within the
-    /// grace.
+    /// Returns the conditions at `now`. `drain_grace` is given if the endpoint list changed before this
+    /// start: proxies may still use endpoints that were removed and cannot be ejected, as the list no longer
+    /// names them, so all proxies need new tables within the drain grace period.
     pub fn new(
         now: Duration,
         drain_grace: Option<Duration>,
         endpoints: &BTreeMap<EndpointId, EndpointState>,
     ) -> Self {
-        let by_grace = drain_grace.map(|grace| grace.mul_f64(HOLD_WITHIN_GRACE));
+        let grace_limit = drain_grace.map(|grace| grace.mul_f64(HOLD_WITHIN_GRACE));
         let unusable = endpoints.values().filter(|state| state.must_be_ejected(now, true)).count();
-        HoldConditions { now, max_hold: by_grace.map_or(MAX_HOLD, |grace| MAX_HOLD.min(grace)), unusable }
+        HoldConditions { now, max_hold: grace_limit.map_or(MAX_HOLD, |grace| MAX_HOLD.min(grace)), unusable }
     }
 
-    /// Why the hold of a table with these endpoints ends now, if it does.
+    /// Returns the reason why the hold of a table with these endpoints ends now; `None` if it goes on.
     pub fn release_reason<'a>(
         &self,
         mut endpoints: impl Iterator<Item = &'a EndpointState>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the controller knows of each endpoint and holds of each table. Nothing is decided here.
+//! The state of each endpoint and of each table. Decisions are made in other modules.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,43 +7,43 @@
 use crate::health_state::{HealthCheckTimer, HealthCounter};
 use crate::{EndpointId, EndpointRecord, EndpointStatus, MachineTypeId, ZoneId};
 
-/// What is known of an endpoint.
+/// The state of an endpoint.
 pub struct EndpointState {
-    /// What the endpoint list says of it.
+    /// Its last record in the endpoint list.
     pub record: EndpointRecord,
-    /// The subset of the fleet that it belongs to.
+    /// The index of its subset of the fleet.
     pub subset: usize,
-    /// Whether it is up, by health checks and reports.
+    /// Its rise/fall counter, moved by health checks and by reported attempts.
     pub health: HealthCounter,
-    /// Its current and next health check.
+    /// The timer of its health check.
     pub health_check: HealthCheckTimer,
-    /// When its process started.
+    /// The time at which its process started.
     pub started_at: Duration,
-    /// When its process can do all of its weight.
+    /// The time at which its slow start ends: from then on it can serve its full weight.
     pub warmed_up_at: Duration,
-    /// The fraction of its listed weight that it has by its measured latency.
+    /// The factor on its listed weight that follows from measured latency, from 0.3 to 1.
     pub weight_factor: f64,
-    /// Reports before this time describe the process before, or the time before a recovery.
+    /// Reports before this time are ignored: they describe an earlier process, or the time before a recovery.
     pub reports_valid_from: Duration,
-    /// Detected as an outlier: passed health checks do not count before this time.
+    /// The end of its minimum time as an outlier: passed health checks before it do not count.
     pub outlier_until: Duration,
-    /// What reports told since the last evaluation.
+    /// The attempts reported since the last evaluation.
     pub unevaluated_attempts: AttemptStats,
-    /// What reports told of late, fading.
+    /// The reported attempts, exponentially decayed at each evaluation.
     pub recent_attempts: AttemptStats,
-    /// The fraction of its cores in use, where it reports one.
+    /// The fraction of its cores in use, if it reports one.
     pub load: Option<f64>,
-    /// When the endpoint list last said that it drains, is removed or was started, if it ever did: from then on its
-    /// grace runs.
+    /// The time at which the endpoint list last reported it as draining, removed or started, if it ever did.
+    /// Its drain grace period starts then.
     pub list_changed_at: Option<Duration>,
-    /// Whether proxies were told not to use it, whatever their tables say.
+    /// True if an ejection was sent: proxies must not use it, whatever the weights in their tables.
     pub ejected: bool,
-    /// The ejection reached the proxies up to this attachment generation.
+    /// The newest attachment generation to which its ejection was sent; 0 if it is not ejected.
     pub ejected_up_to_generation: u64,
 }
 
 impl EndpointState {
-    /// An endpoint of which nothing but its record is known.
+    /// Returns the state of a newly listed endpoint in this subset.
     #[must_use]
     pub fn new(record: EndpointRecord, subset: usize) -> Self {
         EndpointState {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Forgets what was known of an earlier process. Reports count from `reports_valid_from` on.
+    /// Resets the health, which described an earlier process. Reports count from `reports_valid_from` on.
     pub(crate) fn reset_health(&mut self, reports_valid_from: Duration, assume_healthy: bool) {
         self.health = if assume_healthy { HealthCounter::saturated() } else { HealthCounter::default() };
         self.unevaluated_attempts = AttemptStats::default();
@@ -74,27 +74,27 @@
         self.outlier_until = Duration::ZERO;
     }
 
-    /// Whether it is draining or removed.
+    /// Returns true if it is draining or removed.
     #[must_use]
     pub fn is_not_ready(&self) -> bool {
         self.record.status != EndpointStatus::Ready
     }
 
-    /// Whether its process started so recently that it cannot do all of its weight yet.
+    /// Returns true if its slow start is in progress.
     #[must_use]
     pub fn is_warming_up(&self, now: Duration) -> bool {
         now < self.warmed_up_at
     }
 
-    /// Whether proxies must not use it, whatever tables they hold. Tables of an earlier controller give an
-    /// endpoint that is warming up all of its weight, so it is kept out while some proxy may hold one.
+    /// Returns true if proxies must not use it, whatever their tables. During the start-up hold this includes
+    /// an endpoint that is warming up, as tables of an earlier controller may give it its full weight.
     #[must_use]
     pub fn must_be_ejected(&self, now: Duration, start_up_hold: bool) -> bool {
         self.is_not_ready() || start_up_hold && self.is_warming_up(now)
     }
 }
 
-/// The zones and machine types that a table's classes are bound to; `None` is any.
+/// The zones and machine types that the classes of a table are restricted to; `None` allows any.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restriction {
     /// The only zones allowed.
@@ -104,7 +104,7 @@
 }
 
 impl Restriction {
-    /// Whether an endpoint may be used.
+    /// Returns true if the restriction allows an endpoint.
     #[must_use]
     pub fn allows(&self, record: &EndpointRecord) -> bool {
         let zone_allowed = self.zones.as_ref().is_none_or(|zones| zones.contains(&record.zone));
@@ -112,7 +112,7 @@
         zone_allowed && self.machine_types.as_ref().is_none_or(allows_type)
     }
 
-    /// Whether anything is excluded.
+    /// Returns true if zones or machine types are restricted.
     #[must_use]
     pub fn is_restricted(&self) -> bool {
         self.zones.is_some() || self.machine_types.is_some()
@@ -123,27 +123,28 @@
 pub struct RoutingTable {
     /// The subset whose proxies use it.
     pub subset: usize,
-    /// Where its classes may be served.
+    /// The zones and machine types that may serve its classes.
     pub restriction: Restriction,
-    /// Whether its start-up hold is over.
+    /// True once its start-up hold is over.
     pub released: bool,
-    /// Weights as they should be by the last plan.
+    /// The desired weights, as of the last plan.
     pub desired: BTreeMap<EndpointId, f64>,
-    /// Weights as they were published.
+    /// The published weights.
     pub published: BTreeMap<EndpointId, f64>,
-    /// Mean latency over the latency objective, weighted by the published weights.
+    /// The latency ratio (mean latency over the latency objective), weighted by the published weights.
     pub latency_ratio: f64,
-    /// Failed over all attempts, weighted in the same way, where reports told of any.
+    /// The failure ratio (failed over all attempts), weighted likewise; `None` without reported attempts.
     pub failure_ratio: Option<f64>,
-    /// The fraction of each endpoint's listed weight by a plan made ahead; empty: all endpoints of the
+    /// The planned fraction of each endpoint's listed weight. If empty, the table uses all endpoints of its
     /// subset.
     pub planned_weights: BTreeMap<EndpointId, f64>,
-    /// The fraction of its weight that an unrestricted table keeps at endpoints that restricted classes need.
+    /// The fraction of their weight that an unrestricted table keeps at endpoints that restricted classes may
+    /// use; the rest is reserved for those classes.
     pub unreserved_fraction: f64,
 }
 
 impl RoutingTable {
-    /// An empty table before its release.
+    /// Returns an empty table that is not released yet.
     #[must_use]
     pub fn new(subset: usize, restriction: Restriction) -> Self {
         RoutingTable {
@@ -159,19 +160,19 @@
         }
     }
 
-    /// The weight that an endpoint should have; 0 where it has no entry.
+    /// Returns the desired weight of an endpoint; 0 if it has no entry.
     #[must_use]
     pub fn desired_weight(&self, endpoint: EndpointId) -> f64 {
         self.desired.get(&endpoint).copied().unwrap_or(0.0)
     }
 
-    /// The weight that an endpoint has at the proxies; 0 where it has no entry.
+    /// Returns the published weight of an endpoint; 0 if it has no entry.
     #[must_use]
     pub fn published_weight(&self, endpoint: EndpointId) -> f64 {
         self.published.get(&endpoint).copied().unwrap_or(0.0)
     }
 
-    /// How many entries a proxy gets with the whole table.
+    /// Returns the number of entries that a proxy gets with the complete table.
     #[must_use]
     pub fn published_entries(&self) -> usize {
         self.published.values().filter(|weight| **weight > 0.0).count()
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,9 +1,9 @@
-//! The weights that a table should hold: a pure function of the endpoint list, health and measurements.
+//! The desired weights of a table: a pure function of the endpoint list, health and measurements.
 //!
-//! An endpoint that is up has its listed weight, times its slow-start factor and its load-based reduction;
-//! any other has none. Where all look down, the last published weights stay, so that no proxy is left without
-//! an endpoint. A subset that is too weak on its own takes in the others of its group, and a full one spills
-//! over to one of them.
+//! An endpoint that is up has its listed weight, times its slow-start factor and its load-based weight
+//! factor; any other has none. If all endpoints look down, the last published weights stay, so that no proxy
+//! is left without an endpoint. A subset that is too weak alone also uses the other subsets of its locality
+//! group, and a saturated one spills over to one of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,11 +16,10 @@
 };
 use crate::{EndpointId, RuleSettings};
 
-/// What an endpoint that is warming up gets of its usual weight while its subset is unstable or slow, if it
-/// reports headroom.
+/// Fraction of its usual weight that an endpoint that is warming up and reports headroom gets while its
+/// subset is unstable or slow.
 pub const CAUTIOUS_FRACTION: f64 = 0.5;
-/// Where no report of the subset's attempts came, such an endpoint counts from this part of its slow start
-/// on.
+/// Progress of its slow start from which such an endpoint is used if no attempts in its subset were reported.
 const MIN_SLOW_START_PROGRESS: f64 = 0.5;
 
 /// An endpoint that a table may use.
@@ -29,7 +28,7 @@
     pub state: &'a EndpointState,
 }
 
-/// What the weights of a table depend on.
+/// The inputs of the desired weights of one table.
 pub struct WeightInputs<'a> {
     pub now: Duration,
     pub rules: &'a RuleSettings,
@@ -38,15 +37,15 @@
     pub subset_tables: &'a [RoutingTable],
     /// The endpoints of its locality group that its restriction allows.
     pub members: Vec<Member<'a>>,
-    /// Whether its subset is unstable, so that endpoints that are warming up are at risk.
+    /// True if its subset is unstable, so that endpoints that are warming up are at risk of overload.
     pub unstable: bool,
-    /// Whether some proxy is on the table.
+    /// True if the table is assigned to some proxy.
     pub is_assigned: bool,
-    /// What its subset sends elsewhere.
+    /// The spillover of its subset.
     pub spillover: Spillover,
 }
 
-/// The weight of every endpoint that the table may use, 0 for those that it should not.
+/// Returns the weight of every endpoint that the table may use; 0 for those that must get no requests.
 pub fn desired_weights(inputs: &WeightInputs) -> BTreeMap<EndpointId, f64> {
     let weighting = Weighting { inputs, basis: inputs.basis() };
     let scope = weighting.scope();
@@ -61,23 +60,23 @@
     inputs.members.iter().map(|member| (member.endpoint, weight(member))).collect()
 }
 
-/// What weights rest on.
+/// The basis on which weights are calculated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Basis {
-    /// Some endpoint is up: those that are down have no weight.
+    /// Some endpoint is up; those that are down have no weight.
     Health,
-    /// All look down, which is likelier to be wrong than true: the last published weights stay.
+    /// All endpoints look down, which is more likely an error than true; the last published weights stay.
     LastPublished,
-    /// All look down and nothing was published: as listed.
+    /// All endpoints look down and no weights were published; all have their listed weights.
     Listed,
 }
 
-/// The endpoints that a table looks to.
+/// The set of endpoints that a table uses.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Scope {
-    /// Those of its own subset, or those of its plan.
+    /// The endpoints of its own subset, or those of the solver's plan if there is one.
     Own,
-    /// All of its locality group.
+    /// All endpoints of its locality group.
     Group,
 }
 
@@ -96,63 +95,68 @@
         }
     }
 
-    /// A table that had to be released early counts on all endpoints that are not known to be down.
+    /// Returns true if the endpoint is up, or unknown before the minimum start-up hold is over: a table that
+    /// is released early uses all endpoints that are not known to be down.
     fn counts_as_up(&self, state: &EndpointState) -> bool {
         state.is_up() || !state.health.is_known() && self.now < MIN_HOLD
     }
 
-    /// The listed weight as far as slow start allows, times a fraction.
+    /// Returns the listed weight times the slow-start factor and a fraction.
     fn listed_weight(&self, state: &EndpointState, fraction: f64) -> f64 {
         let factor = state.slow_start_factor(self.now, self.rules.initial_weight_fraction);
         state.record.weight * round_to_step(factor * fraction)
     }
 
+    /// Returns the weight of an endpoint that counts as up.
     fn full_weight(&self, state: &EndpointState) -> f64 {
         self.listed_weight(state, self.usable_fraction(state))
     }
 
-    /// The fraction of its listed weight that an endpoint may have, slow start aside.
+    /// Returns the fraction of its listed weight that an endpoint may have, apart from the slow-start factor.
     fn usable_fraction(&self, state: &EndpointState) -> f64 {
-        let when_warming = if self.is_safe(state) { 1.0 } else { self.cautious_fraction(state) };
-        self.reduced_fraction(state) * when_warming
+        let slow_start_limit = if self.is_safe(state) { 1.0 } else { self.cautious_fraction(state) };
+        self.reduced_fraction(state) * slow_start_limit
     }
 
-    /// Whether the slow-start factor alone protects the endpoint.
+    /// Returns true if the slow-start factor alone protects the endpoint from overload.
     fn is_safe(&self, state: &EndpointState) -> bool {
         let checks_pass = !state.health.is_known() || state.health.is_saturated();
         !state.is_warming_up(self.now) || !self.unstable && checks_pass
     }
 
-    /// What an endpoint that is warming up gets where it is at risk. It takes part where it reports headroom:
-    /// a subset that is unstable for want of endpoints would else keep out those that it needs. Where many
-    /// attempts fail, all may be retried at once, and would overload it before it reports so.
+    /// Returns the fraction for an endpoint that is warming up and at risk. It is used if it reports
+    /// headroom; otherwise, a subset that is unstable because it lacks endpoints would exclude those that it
+    /// needs. If many attempts fail, it is not used, as they may all be retried at once and overload it
+    /// before it reports so.
     fn cautious_fraction(&self, state: &EndpointState) -> f64 {
-        let failures_are_few =
-            self.table.failure_ratio.is_some_and(|failing| failing <= HEALTHY_FAILURE_RATIO);
-        let has_progressed = self.table.failure_ratio.is_none()
+        let few_failures = self.table.failure_ratio.is_some_and(|failing| failing <= HEALTHY_FAILURE_RATIO);
+        let has_minimum_progress = self.table.failure_ratio.is_none()
             && state.slow_start_factor(self.now, 0.0) >= MIN_SLOW_START_PROGRESS;
         match state.load.filter(|_| state.health.is_saturated()) {
             Some(load)
-                if failures_are_few
+                if few_failures
                     && load < COMFORTABLE_LOAD
                     && self.table.latency_ratio <= HIGH_LATENCY_RATIO =>
             {
                 1.0
             }
-            Some(load) if (failures_are_few || has_progressed) && load < SATURATED_LOAD => CAUTIOUS_FRACTION,
+            Some(load) if (few_failures || has_minimum_progress) && load < SATURATED_LOAD => {
+                CAUTIOUS_FRACTION
+            }
             _ => 0.0,
         }
     }
 
-    /// Load-based reduction, and what is left to classes that may use few endpoints.
+    /// Returns the load-based weight factor, reduced further if weight is reserved for restricted classes.
     fn reduced_fraction(&self, state: &EndpointState) -> f64 {
         if self.rules.fixed_weights {
             return 1.0;
         }
-        let makes_room = !self.table.restriction.is_restricted() && self.is_needed_by_restricted(state);
-        state.weight_factor * if makes_room { self.table.unreserved_fraction } else { 1.0 }
+        let reserves_weight = !self.table.restriction.is_restricted() && self.is_needed_by_restricted(state);
+        state.weight_factor * if reserves_weight { self.table.unreserved_fraction } else { 1.0 }
     }
 
+    /// Returns true if a restricted table of the subset may use the endpoint.
     fn is_needed_by_restricted(&self, state: &EndpointState) -> bool {
         self.subset_tables
             .iter()
@@ -160,13 +164,14 @@
     }
 }
 
+/// The calculation of the weights of one table.
 struct Weighting<'a> {
     inputs: &'a WeightInputs<'a>,
     basis: Basis,
 }
 
 impl Weighting<'_> {
-    /// The weight of an endpoint of which the table uses this fraction.
+    /// Returns the weight of an endpoint of which the table uses this fraction.
     fn weight(&self, member: &Member, fraction: f64) -> f64 {
         let (inputs, state) = (self.inputs, member.state);
         if state.is_not_ready() {
@@ -177,7 +182,7 @@
                 inputs.listed_weight(state, inputs.usable_fraction(state) * fraction)
             }
             Basis::Health => 0.0,
-            // Endpoints that have started since do not keep what they had before.
+            // An endpoint that has restarted since does not keep its earlier weight.
             Basis::LastPublished => {
                 inputs.table.published_weight(member.endpoint).min(inputs.full_weight(state))
             }
@@ -185,6 +190,7 @@
         }
     }
 
+    /// Returns the own scope, unless it is too weak compared with the whole group.
     fn scope(&self) -> Scope {
         if self.strength(Scope::Own) >= WEAK_FRACTION * self.strength(Scope::Group) {
             Scope::Own
@@ -193,7 +199,7 @@
         }
     }
 
-    /// The fraction of an endpoint's weight that the table uses in this scope.
+    /// Returns the fraction of an endpoint's weight that the table uses in this scope.
     fn fraction_in(&self, scope: Scope, member: &Member) -> f64 {
         let table = self.inputs.table;
         match (scope, table.planned_weights.get(&member.endpoint)) {
@@ -206,8 +212,8 @@
         }
     }
 
-    /// The weight that can serve in a scope, over the listed weight. Endpoints at risk count little: alone
-    /// they would get the requests of all that the scope has lost.
+    /// Returns the usable weight of a scope over its listed weight. Endpoints at risk count less, as they
+    /// would otherwise get the requests of all endpoints that the scope has lost.
     fn strength(&self, scope: Scope) -> f64 {
         let fractions = self.inputs.members.iter().map(|member| (member, self.fraction_in(scope, member)));
         let in_scope = fractions.filter(|(_, fraction)| *fraction > 0.0);
@@ -221,7 +227,8 @@
         sum / listed.sum::<f64>().max(1e-9)
     }
 
-    /// The fraction of the target's weight that a subset uses which spills over; `None` if it does not.
+    /// Returns the fraction of the weight of the spillover target that the table uses; `None` without
+    /// spillover.
     fn spilled_fraction(&self, scope: Scope) -> Option<f64> {
         let Spillover { local_fraction, target } = self.inputs.spillover;
         let own_subset = self.inputs.table.subset;
@@ -233,6 +240,7 @@
         })
     }
 
+    /// Returns the sum of the weights of a subset's endpoints.
     fn subset_weight(&self, subset: usize) -> f64 {
         let members = self.inputs.members.iter().filter(|member| member.state.subset == subset);
         members.map(|member| self.weight(member, 1.0)).sum()
--- a/tests/controller/health_checks.rs
+++ b/tests/controller/health_checks.rs
@@ -26,8 +26,8 @@
     fleet.controller.state().endpoints[&(0 as EndpointId)].health.value()
 }
 
-/// A check that timed out may be followed by the next at once. An answer to the first that comes then, in time
-/// by the clock of the caller, ended the second one.
+/// A check that timed out may be followed by the next at once. An answer to the first that comes then, in
+/// time by the clock of the caller, ended the second one.
 #[test]
 fn late_answer_does_not_end_the_next_health_check() {
     let mut fleet = sent();
--- a/tests/controller/planned_weights.rs
+++ b/tests/controller/planned_weights.rs
@@ -42,8 +42,9 @@
     .assert_eq(&trace);
 }
 
-/// A zone is lost that its table was planned on: the plan is some time old, and a quarter of one endpoint is not enough
-/// for all. The whole group stands in at once, as listed, and the plan holds again once they are back.
+/// A zone is lost that its table was planned on: the plan is some time old, and a quarter of one endpoint is
+/// not enough for all. The whole group stands in at once, as listed, and the plan holds again once they are
+/// back.
 #[test]
 fn group_stands_in_where_a_plan_has_lost_its_endpoints() {
     let mut fleet = by_zone();
@@ -69,7 +70,8 @@
     .assert_eq(&trace);
 }
 
-/// A weight below one step is no endpoint: with no other healthy, the rule on proxies without endpoints goes first.
+/// A weight below one step is no endpoint: with no other healthy, the rule on proxies without endpoints goes
+/// first.
 #[test]
 fn planned_weight_below_one_step_leaves_no_proxy_without_an_endpoint() {
     let mut fleet = by_zone();
--- a/tests/controller/recorded.rs
+++ b/tests/controller/recorded.rs
@@ -1,6 +1,6 @@
 //! Long scripted series of inputs with every action that comes of them, for a fleet on one table and for one
-//! cut into many. The recorded texts hold wire forms and numbers only, so that a change of names moves nothing
-//! in them; they change only where decisions do.
+//! cut into many. The recorded texts hold wire forms and numbers only, so that a change of names moves
+//! nothing in them; they change only where decisions do.
 
 use crate::test_fleet::*;
 use expect_test::expect_file;
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -6,7 +6,8 @@
 
 const HEALTHY: (u32, u32, u64) = (20, 0, 200);
 
-/// Slow start: an endpoint that restarted loses its weight at once, and regains it from the initial fraction on.
+/// Slow start: an endpoint that restarted loses its weight at once, and regains it from the initial fraction
+/// on.
 #[test]
 fn restarted_endpoint_loses_its_weight_at_once_and_regains_it_slowly() {
     let mut fleet = TestFleet::new(3);
@@ -334,8 +335,8 @@
     expect![""].assert_eq(&trace.lines_with(&["admit"]));
 }
 
-/// Requests shed for too long: after an overload endpoints reported headroom while their answers stayed a little
-/// late; admission rates between the two thresholds never recovered.
+/// Requests shed for too long: after an overload endpoints reported headroom while their answers stayed a
+/// little late; admission rates between the two thresholds never recovered.
 #[test]
 fn admission_recovers_by_reported_load() {
     let mut fleet = TestFleet::new(3);
@@ -385,9 +386,9 @@
     }
 }
 
-/// Overload of a warming endpoint: in a burst of requests that clients retried, an endpoint that reported headroom had its
-/// whole weight and got several times what it could do. While its subset is slow it has half of
-/// it, and the whole once the subset is only unstable.
+/// Overload of a warming endpoint: in a burst of requests that clients retried, an endpoint that reported
+/// headroom had its whole weight and got several times what it could do. While its subset is slow it has half
+/// of it, and the whole once the subset is only unstable.
 #[test]
 fn warming_endpoint_with_headroom_has_half_its_weight_while_its_subset_is_slow() {
     let (mut fleet, slow) = replaced(Some(0.1), 0);
@@ -406,7 +407,8 @@
     .assert_eq(&uneasy);
 }
 
-/// Where no report of a subset came, a warming endpoint with headroom is used past half its slow start of 10 s.
+/// Where no report of a subset came, a warming endpoint with headroom is used past half its slow start of 10
+/// s.
 #[test]
 fn warming_endpoint_of_an_unreported_subset_is_used_half_way() {
     let mut fleet = TestFleet::new(3);
--- a/tests/controller/test_fleet.rs
+++ b/tests/controller/test_fleet.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Pulls actions until there is none; every health check ends a little later as its endpoint's health says,
-    /// a failed one by not ending at all.
+    /// Pulls actions until there is none; every health check ends a little later as its endpoint's health
+    /// says, a failed one by not ending at all.
     fn pull(&mut self) -> Vec<EndpointId> {
         let mut health_checks = Vec::new();
         while let Some(action) = self.controller.next_action(self.now) {
