--- a/src/controller/applying.rs
+++ b/src/controller/applying.rs
@@ -1,5 +1,4 @@
-//! Applies the updates of a plan as far as the rate limit allows: published state changes here and nowhere
-//! else.
+//! Applies the updates of a plan as far as the rate limit allows. Published state changes only here.
 
 use std::time::Duration;
 
@@ -11,7 +10,7 @@
 use crate::{Action, ClassId, EndpointId, ProxyId, TableId};
 
 impl Controller {
-    /// The action for an update, if the channel has capacity for it.
+    /// Applies an update and returns its action, or the reason why the channel has no capacity for it.
     pub(super) fn apply(&mut self, now: Duration, pending: PendingUpdate) -> Result<Action, NoCapacity> {
         let PendingUpdate { priority, update, .. } = pending;
         match update {
@@ -43,9 +42,10 @@
         endpoint: EndpointId,
     ) -> Result<Action, NoCapacity> {
         let attached_after = self.endpoints[&endpoint].ejected_up_to_generation;
-        let untold = Recipients::OnFewerTables { than: self.layout.tables_per_subset, attached_after };
-        self.try_reserve(now, priority, 1, untold)?;
-        let state = self.endpoints.get_mut(&endpoint).ok_or(NoCapacity::ForThis)?;
+        let not_yet_notified =
+            Recipients::OnFewerTables { than: self.layout.tables_per_subset, attached_after };
+        self.try_reserve(now, priority, 1, not_yet_notified)?;
+        let state = self.endpoints.get_mut(&endpoint).ok_or(NoCapacity::ForUpdate)?;
         state.ejected = true;
         state.ejected_up_to_generation = self.proxies.latest_generation();
         Ok(Action::Eject { endpoint })
@@ -58,7 +58,7 @@
         endpoint: EndpointId,
     ) -> Result<Action, NoCapacity> {
         self.try_reserve(now, priority, 1, Recipients::ALL)?;
-        let state = self.endpoints.get_mut(&endpoint).ok_or(NoCapacity::ForThis)?;
+        let state = self.endpoints.get_mut(&endpoint).ok_or(NoCapacity::ForUpdate)?;
         state.ejected = false;
         state.ejected_up_to_generation = 0;
         Ok(Action::Restore { endpoint })
@@ -88,7 +88,7 @@
         self.try_reserve(now, priority, 1, Recipients::OnTable(table))?;
         let latency_ratio = self.tables[table].latency_ratio;
         let admission = &mut self.admissions[admission];
-        if admission.published.replace(fraction).is_some_and(|before| before != fraction) {
+        if admission.published.replace(fraction).is_some_and(|previous| previous != fraction) {
             let percent = fraction * 100.0;
             let name = &admission.name;
             let text = format!("{name}: admission rate {percent:.0}%, latency ratio {latency_ratio:.1}");
@@ -106,32 +106,32 @@
     ) -> Result<Action, NoCapacity> {
         let entries = self.tables[table].published_entries();
         if entries == 0 {
-            return Err(NoCapacity::ForThis);
+            return Err(NoCapacity::ForUpdate);
         }
         let classes: Vec<ClassId> = self.admissions_at(table).map(|admission| admission.class).collect();
         let has_no_table = self.proxies.get(proxy).is_some_and(|state| state.has_no_table);
-        // Ejections that the proxy keeps from an earlier controller are ended with the entry that restores
-        // the endpoint.
+        // A proxy may keep ejections from an earlier controller; these end with an additional entry for each
+        // endpoint that is restored.
         let keeps_ejections = !has_no_table && self.settings.fleet.keeps_ejections;
-        let restorations = if keeps_ejections { self.changed_entries(table) } else { 0 };
+        let restorations = if keeps_ejections { self.possibly_ejected_entries(table) } else { 0 };
         let cost = 1 + classes.len() + entries + restorations;
         self.try_reserve(now, priority, cost, Recipients::Proxy(proxy))?;
         self.proxies.assign(proxy, table);
-        if !has_no_table && self.proxies_eject() {
+        if !has_no_table && self.proxies_eject_endpoints() {
             self.mark_unstable(now, self.tables[table].subset);
         }
         Ok(Action::AssignTable { table, classes, proxy })
     }
 
-    /// How many entries of a table are of endpoints that some controller may have ejected.
-    fn changed_entries(&self, table: TableId) -> usize {
+    /// Returns the number of entries of a table whose endpoints some controller may have ejected.
+    fn possibly_ejected_entries(&self, table: TableId) -> usize {
         let published = self.tables[table].published.iter().filter(|(_, weight)| **weight > 0.0);
         let endpoints = published.filter_map(|(endpoint, _)| self.endpoints.get(endpoint));
         endpoints.filter(|state| state.list_changed_at.is_some()).count()
     }
 
-    /// Whether proxies eject endpoints on their own.
-    fn proxies_eject(&self) -> bool {
+    /// Returns true if proxies eject endpoints on their own.
+    fn proxies_eject_endpoints(&self) -> bool {
         self.settings.fleet.proxy_ejection_threshold.is_some_and(|attempts| attempts > 0.0)
     }
 }
--- a/src/controller/evaluation.rs
+++ b/src/controller/evaluation.rs
@@ -1,4 +1,5 @@
-//! The evaluation of reports, once a report period: in which order the mechanisms see what proxies reported.
+//! The evaluation of reports, once per report period: calls the mechanisms in the order in which they depend
+//! on each other.
 
 use std::time::Duration;
 
@@ -10,11 +11,11 @@
 use crate::subsets::update_spillover;
 use crate::thresholds::{HEALTHY_FAILURE_RATIO, HIGH_LATENCY_RATIO};
 
-/// The fraction of earlier attempts that stays in the recent sums at each evaluation.
-const ATTEMPTS_KEPT: f64 = 0.3;
-/// The fraction of earlier requests that stays in a class's demand at each evaluation.
-const DEMAND_KEPT: f64 = 0.9;
-/// Reports tell of a change after this many report periods and the way of a message.
+/// Factor by which the recent attempts decay at each evaluation.
+const ATTEMPT_DECAY_FACTOR: f64 = 0.3;
+/// Factor by which the demand of a class decays at each evaluation.
+const DEMAND_DECAY_FACTOR: f64 = 0.9;
+/// Number of report periods, beside the message delay, after which reports reflect a change.
 const SETTLE_PERIODS: f64 = 1.5;
 
 impl Controller {
@@ -30,17 +31,17 @@
                 let tables = self.layout.tables_of(subset);
                 adjust_admission(&mut self.admissions, &mut self.tables, tables);
             }
-            let sheds = self.sheds_load(subset);
-            if sheds && admission_may_change {
+            let is_shedding = self.sheds_load(subset);
+            if is_shedding && admission_may_change {
                 self.next_admission_change = now + self.settle_time();
             }
-            if sheds || !evaluated.is_healthy() {
+            if is_shedding || !evaluated.is_healthy() {
                 self.mark_unstable(now, subset);
             }
         }
     }
 
-    /// Moves the health and weight factor of each endpoint; gives what its evaluation showed of each subset.
+    /// Updates the health and the weight factor of each endpoint; returns the evaluation of each subset.
     fn evaluate_endpoints(&mut self, now: Duration) -> Vec<EvaluatedSubset> {
         let latency_objective = mean_latency_objective(&self.admissions);
         let criteria = OutlierCriteria {
@@ -49,19 +50,20 @@
             health_checks_allowed: self.settings.health_checks_allowed,
         };
         let subsets = self.unevaluated_by_subset();
-        self.admissions.iter_mut().for_each(|admission| admission.demand *= DEMAND_KEPT);
+        self.admissions.iter_mut().for_each(|admission| admission.demand *= DEMAND_DECAY_FACTOR);
         for (endpoint, state) in &mut self.endpoints {
             let reported = std::mem::take(&mut state.unevaluated_attempts);
-            state.recent_attempts = reported.add_scaled(state.recent_attempts, ATTEMPTS_KEPT);
+            state.recent_attempts = reported.add_scaled(state.recent_attempts, ATTEMPT_DECAY_FACTOR);
             let subset = subsets[state.subset];
             if let Some(text) = state.evaluate_attempts(reported, subset, &criteria) {
-                self.ready.push_back(Action::RaiseEvent { endpoint: Some(*endpoint), text });
+                self.ready_actions.push_back(Action::RaiseEvent { endpoint: Some(*endpoint), text });
             }
             state.adjust_weight_factor(subset, latency_objective);
         }
         subsets.into_iter().map(|attempts| EvaluatedSubset { attempts, latency_objective }).collect()
     }
 
+    /// Returns the attempts since the last evaluation at endpoints that are up, by subset.
     fn unevaluated_by_subset(&self) -> Vec<AttemptStats> {
         let mut subsets = vec![AttemptStats::default(); self.layout.subsets];
         for state in self.endpoints.values().filter(|state| state.is_up()) {
@@ -70,6 +72,7 @@
         subsets
     }
 
+    /// Returns true if a class has a reduced admission rate at a table of the subset.
     fn sheds_load(&self, subset: usize) -> bool {
         self.admissions
             .iter()
@@ -80,14 +83,14 @@
         self.stability.mark_unstable(now, subset, self.settings.rules.slow_start_window);
     }
 
-    /// Reports tell of a change after this time.
+    /// Returns the time after which reports reflect a change.
     pub(super) fn settle_time(&self) -> Duration {
         let fleet = &self.settings.fleet;
         fleet.report_period.mul_f64(SETTLE_PERIODS) + fleet.message_delay
     }
 }
 
-/// What the attempts since the last evaluation showed of a subset.
+/// The attempts at the endpoints of a subset since the last evaluation.
 struct EvaluatedSubset {
     attempts: AttemptStats,
     latency_objective: f64,
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -1,4 +1,4 @@
-//! What happened, taken into state. Nothing is sent here: the next plan sees it.
+//! The inputs of the controller. They only update state; the next plan takes it into account.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::proxies::ProxyState;
 use crate::slow_start::Stability;
 use crate::state::EndpointState;
-use crate::subsets::{Spillover, SubsetLayout, build_tables, dealing_key};
+use crate::subsets::{Spillover, SubsetLayout, build_tables, placement_key};
 use crate::thresholds::MIN_ADMISSION;
 use crate::weight_reduction::MIN_WEIGHT_FACTOR;
 use crate::{
@@ -19,16 +19,23 @@
 
 /// The endpoint list.
 impl Controller {
-    /// The endpoint list is at this version; `full` says that the records are all of it. Version 0 is the
-    /// first: nothing was ever taken off it.
-    pub fn update_endpoints(&mut self, now: Duration, full: bool, version: u64, records: &[EndpointRecord]) {
-        self.list_is_not_first |= self.endpoints.is_empty() && version > 0;
+    /// Records an update of the endpoint list to this version. `is_complete` is true if `records` are the
+    /// whole list, so that all other endpoints are removed. Version 0 is the first, from which nothing was
+    /// removed yet.
+    pub fn update_endpoints(
+        &mut self,
+        now: Duration,
+        is_complete: bool,
+        version: u64,
+        records: &[EndpointRecord],
+    ) {
+        self.list_changed_before_start |= self.endpoints.is_empty() && version > 0;
         self.plan_is_stale = true;
-        if full && self.removal_binds() {
+        if is_complete && self.removal_forbids_requests() {
             self.remove_unlisted(now, records);
         }
         if self.tables.is_empty() && !records.is_empty() {
-            self.lay_out(records.len());
+            self.build_layout(records.len());
         }
         self.add_new(records);
         for record in records {
@@ -36,8 +43,8 @@
         }
     }
 
-    /// Where only draining forbids requests, a list that calls endpoints removed takes nothing from them.
-    fn removal_binds(&self) -> bool {
+    /// Returns false if the settings ignore removals, so that removed endpoints keep their weight.
+    fn removal_forbids_requests(&self) -> bool {
         !self.settings.rules.ignore_removals
     }
 
@@ -51,7 +58,7 @@
         }
     }
 
-    fn lay_out(&mut self, endpoints: usize) {
+    fn build_layout(&mut self, endpoints: usize) {
         self.layout = SubsetLayout::new(&self.settings, endpoints);
         (self.tables, self.admissions) = build_tables(&self.settings, &mut self.layout);
         self.stability = Stability::new(self.layout.subsets);
@@ -63,7 +70,7 @@
             record.status != EndpointStatus::Removed && !self.endpoints.contains_key(&record.endpoint)
         };
         let mut new: Vec<EndpointRecord> = records.iter().filter(is_new).copied().collect();
-        new.sort_by_key(|record| (dealing_key(record), record.endpoint));
+        new.sort_by_key(|record| (placement_key(record), record.endpoint));
         for record in new {
             let subset = self.layout.subset_for_endpoint(&record, &self.endpoints);
             self.endpoints.insert(record.endpoint, EndpointState::new(record, subset));
@@ -71,33 +78,32 @@
     }
 
     fn update_record(&mut self, now: Duration, record: &EndpointRecord) {
-        if !self.removal_binds() && record.status == EndpointStatus::Removed {
+        if !self.removal_forbids_requests() && record.status == EndpointStatus::Removed {
             return;
         }
         let settle_time = self.settle_time();
-        let allowed = self.settings.health_checks_allowed;
+        let checks_allowed = self.settings.health_checks_allowed;
         let window = self.settings.rules.slow_start_window;
         let Some(state) = self.endpoints.get_mut(&record.endpoint) else { return };
         let was_not_ready = state.is_not_ready();
-        let was_out = state.health_check.is_unscheduled() || was_not_ready;
+        let was_out_of_use = state.health_check.is_unscheduled() || was_not_ready;
         state.record = *record;
         let started = state.record_start(now, record.age.unwrap_or(window), window);
         if started || state.is_not_ready() && !was_not_ready {
             state.list_changed_at = Some(now);
         }
-        if started || was_out && !state.is_not_ready() {
-            // A new process has a health of its own. Where health checks are not allowed, all have passed
-            // them.
-            state.reset_health(now + settle_time, !allowed);
+        if started || was_out_of_use && !state.is_not_ready() {
+            // The health described an earlier process. An endpoint that may not be checked counts as healthy.
+            state.reset_health(now + settle_time, !checks_allowed);
             let timer = &mut state.health_check;
-            self.health_checks.schedule_first(now, record.endpoint, timer, allowed, &mut self.random);
+            self.health_checks.schedule_first(now, record.endpoint, timer, checks_allowed, &mut self.random);
         }
     }
 }
 
 /// Measurements.
 impl Controller {
-    /// A health check ended after `elapsed`.
+    /// Records that a health check ended at `now`, `elapsed` after its start.
     pub fn health_check_finished(
         &mut self,
         now: Duration,
@@ -110,7 +116,7 @@
         }
     }
 
-    /// Proxies report their attempts at an endpoint; `mean_latency` is that of the answered ones.
+    /// Records attempts that a proxy reports of an endpoint; `mean_latency` is that of the answered ones.
     pub fn record_attempts(
         &mut self,
         now: Duration,
@@ -126,7 +132,7 @@
         }
     }
 
-    /// A proxy reports the requests of a class that came to it.
+    /// Records the number of requests of a class that a proxy received.
     pub fn record_requests(&mut self, proxy: ProxyId, class: ClassId, requests: u32) {
         let subset = self.proxies.get(proxy).and_then(|state| state.subset);
         for admission in self.admissions.iter_mut().filter(|admission| admission.class == class) {
@@ -139,8 +145,8 @@
 
 /// Proxies and the channel to them.
 impl Controller {
-    /// A proxy has attached. Its tables are those of an earlier controller, unless `has_no_table`; it may
-    /// have ejected what failed it. `request_rate` is what it usually has, in requests a second.
+    /// Records that a proxy has attached. Unless `has_no_table`, it uses tables of an earlier controller and
+    /// may have ejected endpoints on its own. `request_rate` is its usual rate, in requests per second.
     pub fn attach_proxy(
         &mut self,
         now: Duration,
@@ -154,49 +160,50 @@
         self.plan_is_stale = true;
     }
 
-    /// A proxy has detached.
+    /// Records that a proxy has detached.
     pub fn detach_proxy(&mut self, proxy: ProxyId) {
         self.proxies.detach(proxy);
     }
 
-    /// This many table entries wait in the channel, where the host can tell; a proxy that has stalled takes
-    /// none.
+    /// Sets the number of table entries that wait in the channel, if the host can count them. Entries to
+    /// stalled proxies are included.
     pub fn set_queued_entries(&mut self, entries: usize) {
         self.channel.set_queued(entries as f64);
     }
 
-    /// This many messages with this many entries went out since the last call, where the host can tell. Gives
-    /// the position to name when one of them is acknowledged.
+    /// Records the number of messages and entries sent since the last call, if the host can count them.
+    /// Returns the position to pass to [`Controller::record_acknowledged`] for each of these messages.
     pub fn record_sent(&mut self, messages: usize, entries: usize) -> f64 {
         let overhead = self.settings.fleet.message_overhead_entries;
         self.channel.record_sent(entries as f64 + messages as f64 * overhead)
     }
 
-    /// A message with this many entries, sent at this position, was acknowledged.
+    /// Records the acknowledgement of a message with this many entries, sent at this position.
     pub fn record_acknowledged(&mut self, position: f64, entries: usize) {
         self.channel.record_acknowledged(position, entries as f64);
     }
 }
 
-/// Plans made ahead, and state of before this start.
+/// Plans of the solver, and recovered state.
 impl Controller {
-    /// A plan made ahead has capacity for this fraction of a class's requests; no more is admitted, however
-    /// fast its endpoints are.
+    /// Sets the fraction of a class's requests, from 0 to 1, that the solver's plan has capacity for. No more
+    /// are admitted, however fast the endpoints are.
     pub fn set_planned_admission(&mut self, class: ClassId, fraction: f64) {
-        let of_class = self.admissions.iter_mut().filter(|admission| admission.class == class);
-        of_class.for_each(|admission| admission.planned_rate = fraction);
+        let class_admissions = self.admissions.iter_mut().filter(|admission| admission.class == class);
+        class_admissions.for_each(|admission| admission.planned_rate = fraction);
     }
 
-    /// A plan made ahead for one table: the fraction of its listed weight that each endpoint has there, none
-    /// for those not named. Where too few of them are healthy, all of the locality group stand in, as listed.
+    /// Sets the solver's plan for one table: the fraction of its listed weight that each endpoint has there;
+    /// other endpoints have none. If too few of them are healthy, the table falls back to all endpoints of
+    /// the locality group with their listed weights.
     pub fn set_planned_weights(&mut self, table: TableId, fractions: BTreeMap<EndpointId, f64>) {
         if let Some(table) = self.tables.get_mut(table) {
             table.planned_weights = fractions;
         }
     }
 
-    /// Takes in what was known of an endpoint before this start and is still valid. An endpoint that was
-    /// removed since is named here, as proxies may still use it.
+    /// Recovers the persisted state of an endpoint, as far as it is still valid. An endpoint that was removed
+    /// from the list since is included, as proxies may still use it.
     pub fn recover_endpoint(&mut self, now: Duration, recovered: RecoveredEndpoint) {
         let RecoveredEndpoint { record, weight_factor, slow_start, outlier_remaining } = recovered;
         let subset = self.layout.first_for_zone(record.zone);
@@ -217,10 +224,10 @@
         }
     }
 
-    /// Takes in an admission rate of before this start that is still valid.
+    /// Recovers a persisted admission rate that is still valid.
     pub fn recover_admission(&mut self, class: ClassId, table: TableId, rate: f64) {
-        let is_meant = |admission: &&mut ClassAdmission| admission.class == class && admission.table == table;
-        for admission in self.admissions.iter_mut().filter(is_meant) {
+        let matches = |admission: &&mut ClassAdmission| admission.class == class && admission.table == table;
+        for admission in self.admissions.iter_mut().filter(matches) {
             admission.rate = admission.rate.min(rate.max(MIN_ADMISSION));
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,11 +1,11 @@
-//! The controller: takes inputs in, and gives out the actions that follow.
+//! The controller: records inputs and returns the actions that follow from them.
 //!
-//! A host makes one [`Controller`] an instance and calls the method named for what happened
-//! (`update_endpoints`, `health_check_finished`, `attach_proxy`, ...), which only updates state. It then
-//! pulls [`Controller::next_action`] until there is none, and comes back at [`Controller::next_due`]. Once a
-//! tick, and at news that cannot wait, a plan of updates is made; updates are sent from its top as far as the
-//! rate limit allows, and the next plan replaces what is left. What each mechanism decides stands in its own
-//! module.
+//! A host creates one [`Controller`] per instance and calls the method for each input (`update_endpoints`,
+//! `health_check_finished`, `attach_proxy`, ...), which only updates state. It then calls
+//! [`Controller::next_action`] until that returns `None`, and again at [`Controller::next_due`] at the
+//! latest. Once per tick, and after an input that cannot wait, a plan of updates is made. Updates are sent
+//! from the top of the plan as far as the rate limit allows; the next plan replaces the rest. The decisions
+//! of each mechanism are in its own module.
 
 mod applying;
 mod evaluation;
@@ -27,52 +27,53 @@
 use crate::thresholds::TICK_INTERVAL;
 use crate::{Action, EndpointId, Settings};
 
-/// What the controller believes, wants and has published, to be shown and persisted.
+/// A view of the controller's state, to be displayed and persisted.
 #[derive(Clone, Copy)]
 pub struct ControllerState<'a> {
-    /// Every endpoint that was ever listed.
+    /// Every endpoint that was listed since the start or recovered from persisted state.
     pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
     /// All tables; a [`crate::TableId`] is an index into them.
     pub tables: &'a [RoutingTable],
-    /// What is admitted, by class and table.
+    /// The admission of each class at each table.
     pub admissions: &'a [ClassAdmission],
 }
 
-/// One controller instance: all state that decisions rest on.
+/// A controller instance with all state that its decisions depend on.
 pub struct Controller {
     settings: Settings,
     random: Random,
     layout: SubsetLayout,
     tables: Vec<RoutingTable>,
-    /// Sorted by value density, least first.
+    /// Sorted by value density, lowest first.
     admissions: Vec<ClassAdmission>,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     proxies: ProxySet,
     channel: UpdateChannel,
     health_checks: HealthCheckSchedule,
     stability: Stability,
-    /// By subset.
+    /// The spillover of each subset.
     spillover: Vec<Spillover>,
-    /// The endpoint list changed before this start.
-    list_is_not_first: bool,
+    /// True if the first endpoint list was not version 0, so that the list had changed before this start.
+    list_changed_before_start: bool,
     /// Actions that need no capacity in the channel.
-    ready: VecDeque<Action>,
-    /// What is still to be sent of the last plan.
+    ready_actions: VecDeque<Action>,
+    /// The updates of the last plan that are still to be sent.
     pending: VecDeque<PendingUpdate>,
-    /// Whether something happened that asks for another plan.
+    /// True if a new plan is needed.
     plan_is_stale: bool,
-    /// Whether the next plan includes common updates.
+    /// True if the next plan includes common updates.
     publishing: bool,
     next_tick: Duration,
     next_evaluation: Duration,
-    /// When common updates may go out again.
+    /// The time from which common updates may be sent again.
     next_publication: Duration,
-    /// Admission rates rest until then, for reports to tell what they changed.
+    /// The end of the cool-down after a change of admission rates, in which reports come to reflect it.
     next_admission_change: Duration,
 }
 
 impl Controller {
-    /// An instance that knows nothing yet. Two with the same settings, seed and inputs act alike.
+    /// Returns an instance without endpoints and proxies. Instances with the same settings, seed and inputs
+    /// return the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller {
@@ -87,8 +88,8 @@
             health_checks: HealthCheckSchedule::default(),
             stability: Stability::default(),
             spillover: Vec::new(),
-            list_is_not_first: false,
-            ready: VecDeque::new(),
+            list_changed_before_start: false,
+            ready_actions: VecDeque::new(),
             pending: VecDeque::new(),
             plan_is_stale: false,
             publishing: false,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// What is believed of each endpoint, the tables as desired and published, and what is admitted.
+    /// Returns a view of the endpoints, the tables and the admissions.
     #[must_use]
     pub fn state(&self) -> ControllerState<'_> {
         ControllerState { endpoints: &self.endpoints, tables: &self.tables, admissions: &self.admissions }
@@ -108,13 +109,13 @@
 
 /// Outputs.
 impl Controller {
-    /// When [`Controller::next_action`] has to be called at the latest.
+    /// Returns the time at which [`Controller::next_action`] has to be called at the latest.
     #[must_use]
     pub fn next_due(&self) -> Duration {
         self.health_checks.next_due().map_or(self.next_tick, |due| self.next_tick.min(due))
     }
 
-    /// The next action that is due, until there is none.
+    /// Returns the next action that is due at `now`; `None` if there is none left. `now` must not decrease.
     pub fn next_action(&mut self, now: Duration) -> Option<Action> {
         self.advance_time(now);
         if std::mem::take(&mut self.plan_is_stale) {
@@ -126,33 +127,35 @@
             }
             match self.apply(now, pending) {
                 Ok(action) => return Some(action),
-                Err(obstacle) => self.keep_pending_behind(pending, obstacle),
+                Err(reason) => self.drop_updates_behind(pending, reason),
             }
         }
-        self.ready.pop_front()
+        self.ready_actions.pop_front()
     }
 
-    /// All proxies that an ejection is for may have been told since the plan was made.
+    /// Returns true if an ejection was sent to all of its proxies since the plan was made.
     fn is_already_ejected(&self, update: Update) -> bool {
         let Update::Eject(endpoint) = update else { return false };
-        self.endpoints[&endpoint].ejected_up_to_generation >= self.newest_unassigned()
+        self.endpoints[&endpoint].ejected_up_to_generation >= self.newest_unassigned_generation()
     }
 
-    /// Updates are sent from the top: what ranks no higher than one that had to wait waits as well, but for
-    /// proxies that need a table. A table that is urgent itself keeps only other tables company: what is owed
-    /// later would else fill the queue in its place, as it is shorter.
-    fn keep_pending_behind(&mut self, waiting: PendingUpdate, obstacle: NoCapacity) {
+    /// Drops from the plan the updates that must not overtake one for which there was no capacity. Updates of
+    /// higher priority and assignments always stay. All others stay as well if the waiting update is an
+    /// assignment, as only its proxy waits, unless it is urgent and the queue is full: shorter updates that
+    /// became pending later would then fill the queue first.
+    fn drop_updates_behind(&mut self, waiting: PendingUpdate, reason: NoCapacity) {
         let is_assignment = |update: Update| matches!(update, Update::AssignTable(..));
-        let queue_is_full = obstacle == NoCapacity::InQueue && waiting.priority == Priority::Drain;
-        let one_proxy_waits = is_assignment(waiting.update) && !queue_is_full;
+        let is_urgent_in_full_queue = reason == NoCapacity::InQueue && waiting.priority == Priority::Drain;
+        let only_one_proxy_waits = is_assignment(waiting.update) && !is_urgent_in_full_queue;
         self.pending.retain(|pending| {
-            one_proxy_waits || pending.priority > waiting.priority || is_assignment(pending.update)
+            only_one_proxy_waits || pending.priority > waiting.priority || is_assignment(pending.update)
         });
     }
 
+    /// Starts health checks, evaluates reports and requests plans that are due at `now`.
     fn advance_time(&mut self, now: Duration) {
         let started = self.health_checks.start_due(now, &mut self.endpoints, &mut self.random);
-        self.ready.extend(started.into_iter().map(Action::CheckHealth));
+        self.ready_actions.extend(started.into_iter().map(Action::CheckHealth));
         if now < self.next_tick {
             return;
         }
@@ -166,6 +169,6 @@
     }
 
     fn raise_event(&mut self, endpoint: Option<EndpointId>, text: String) {
-        self.ready.push_back(Action::RaiseEvent { endpoint, text });
+        self.ready_actions.push_back(Action::RaiseEvent { endpoint, text });
     }
 }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,5 +1,4 @@
-//! Plans: gathers what weights and updates depend on, and orders all that should be sent, the most urgent
-//! first.
+//! Plans: collects the inputs of weights and updates, and orders the updates to send, the most urgent first.
 
 use std::time::Duration;
 
@@ -48,24 +47,25 @@
         assignments(&mut self.proxies, &self.layout, &self.tables, &self.endpoints, expected_proxies)
     }
 
-    /// This far apart, common updates leave capacity within the limit on messages.
+    /// Returns the time between two publications of common updates that keeps them within their fraction of
+    /// the limit on messages.
     fn publication_interval(&self) -> Duration {
         let fleet = &self.settings.fleet;
         let common_messages = fleet.max_messages * Priority::Common.limit_fraction();
         TICK_INTERVAL.max(fleet.message_window.div_f64(common_messages))
     }
 
-    /// Ends the start-up hold of each table for which it is time.
+    /// Ends the start-up hold of each table whose conditions are met.
     fn release_tables(&mut self, now: Duration) {
-        let drain_grace = self.settings.rules.drain_grace.filter(|_| self.list_is_not_first);
+        let drain_grace = self.settings.rules.drain_grace.filter(|_| self.list_changed_before_start);
         let conditions = HoldConditions::new(now, drain_grace, &self.endpoints);
         for index in 0..self.tables.len() {
             let table = &self.tables[index];
             if table.released {
                 continue;
             }
-            let usable = self.endpoints.values().filter(|state| self.layout.may_use(table, state));
-            let Some(reason) = conditions.release_reason(usable) else { continue };
+            let table_endpoints = self.endpoints.values().filter(|state| self.layout.may_use(table, state));
+            let Some(reason) = conditions.release_reason(table_endpoints) else { continue };
             let names: Vec<&str> =
                 self.admissions_at(index).map(|admission| admission.name.as_str()).collect();
             let text = format!("{}: table released, {reason}", names.join(", "));
@@ -96,10 +96,10 @@
         self.admissions.iter().filter(move |admission| admission.table == table)
     }
 
-    /// The newest attachment generation of a proxy that may still hold tables of an earlier controller; 0 if
-    /// none does. Only those that were not told of an ejection count: where many attach one by one, each
-    /// would else be told for all.
-    pub(super) fn newest_unassigned(&self) -> u64 {
+    /// Returns the newest attachment generation of a proxy that may still use tables of an earlier
+    /// controller; 0 if there is none. Comparing it with the generation that an ejection was sent to avoids
+    /// sending the ejection again to all proxies whenever one attaches.
+    pub(super) fn newest_unassigned_generation(&self) -> u64 {
         self.proxies.newest_generation(self.unassigned())
     }
 
@@ -107,6 +107,7 @@
         UnassignedProxies::new(self.proxies.attachments(self.unassigned()))
     }
 
+    /// Returns the proxies that lack tables and so may still use those of an earlier controller.
     fn unassigned(&self) -> Recipients {
         Recipients::OnFewerTables { than: self.layout.tables_per_subset, attached_after: 0 }
     }
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -1,4 +1,5 @@
-//! The attached proxies, the tables they are on, and the messages that each got. Nothing is decided here.
+//! The attached proxies, the tables assigned to them, and the messages sent to each. Decisions are made in
+//! other modules.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,26 +8,26 @@
 
 /// A proxy that is attached to this controller.
 pub struct ProxyState {
-    /// Attachments are numbered from 1; a proxy that attaches again gets a new number.
+    /// The number of its attachment, from 1. A proxy that attaches again gets a new number.
     pub generation: u64,
-    /// When it attached.
+    /// The time at which it attached.
     pub attached_at: Duration,
-    /// The zone that it stands in.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Requests a second that it usually has.
+    /// Its usual request rate, in requests per second.
     pub request_rate: f64,
-    /// Whether it holds no table that any controller published.
+    /// True if it attached without a table of an earlier controller.
     pub has_no_table: bool,
-    /// The subset that it was given.
+    /// The subset that it was assigned to.
     pub subset: Option<usize>,
-    /// The tables that it was assigned.
+    /// The tables that were assigned to it.
     pub tables: Vec<TableId>,
-    /// When the last messages to it were begun.
+    /// The times of the recent messages to it.
     messages: VecDeque<Duration>,
 }
 
 impl ProxyState {
-    /// A proxy that has just attached.
+    /// Returns the state of a proxy that has just attached.
     pub fn new(
         attached_at: Duration,
         zone: ZoneId,
@@ -46,32 +47,33 @@
         }
     }
 
-    /// Messages begun within the window up to now; forgets older ones.
+    /// Returns the number of messages within the window before `now`, and forgets older ones.
     fn recent_messages(&mut self, now: Duration, window: Duration) -> usize {
         self.messages.retain(|time| *time + window >= now);
         self.messages.len()
     }
 
+    /// Returns true if the last message to it belongs to the batch of this time.
     fn was_messaged_at(&self, now: Duration) -> bool {
         self.messages.back() == Some(&now)
     }
 }
 
-/// When a proxy attached, and as which attachment.
+/// An attachment of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attachment {
-    /// Counts all attachments, in their order.
+    /// Its number in the order of all attachments.
     pub generation: u64,
-    /// When it was.
+    /// The time at which the proxy attached.
     pub at: Duration,
 }
 
 /// The proxies that an update is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Recipients {
-    /// Those on fewer tables than this that attached after this generation.
+    /// Those with fewer than this number of tables that attached after this generation.
     OnFewerTables { than: usize, attached_after: u64 },
-    /// Those on a table.
+    /// Those that a table is assigned to.
     OnTable(TableId),
     /// One proxy.
     Proxy(ProxyId),
@@ -92,12 +94,12 @@
     }
 }
 
-/// The messages that an update would begin.
+/// The messages that an update would add to the current batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NewMessages {
-    /// How many proxies would get one.
+    /// The number of proxies that would get a new message.
     pub count: usize,
-    /// How many the proxy among them with the most has had within the window.
+    /// The largest number of messages that one of these proxies got within the window.
     pub max_recent: usize,
 }
 
@@ -105,46 +107,47 @@
 #[derive(Default)]
 pub struct ProxySet {
     proxies: BTreeMap<ProxyId, ProxyState>,
-    /// How many attachments there were.
+    /// The number of attachments since the start.
     attachments: u64,
-    by_table: BTreeMap<TableId, usize>,
+    /// The number of proxies that each table is assigned to.
+    proxies_by_table: BTreeMap<TableId, usize>,
 }
 
 impl ProxySet {
-    /// Takes a proxy in, in place of its earlier attachment if there is one.
+    /// Adds a proxy, in place of its earlier attachment if there is one.
     pub fn attach(&mut self, proxy: ProxyId, state: ProxyState) {
         self.detach(proxy);
         self.attachments += 1;
         self.proxies.insert(proxy, ProxyState { generation: self.attachments, ..state });
     }
 
-    /// Forgets a proxy and its tables.
+    /// Removes a proxy with its table assignments.
     pub fn detach(&mut self, proxy: ProxyId) {
         let tables = self.proxies.remove(&proxy).map(|state| state.tables).unwrap_or_default();
         for table in tables {
-            *self.by_table.entry(table).or_default() -= 1;
+            *self.proxies_by_table.entry(table).or_default() -= 1;
         }
     }
 
-    /// Notes that a proxy was assigned a table.
+    /// Records that a table was assigned to a proxy.
     pub fn assign(&mut self, proxy: ProxyId, table: TableId) {
         if let Some(state) = self.proxies.get_mut(&proxy) {
             state.tables.push(table);
-            *self.by_table.entry(table).or_default() += 1;
+            *self.proxies_by_table.entry(table).or_default() += 1;
         }
     }
 
-    /// An attached proxy.
+    /// Returns the state of an attached proxy.
     pub fn get(&self, proxy: ProxyId) -> Option<&ProxyState> {
         self.proxies.get(&proxy)
     }
 
-    /// The generation of the newest attachment so far.
+    /// Returns the generation of the newest attachment so far; 0 before the first.
     pub fn latest_generation(&self) -> u64 {
         self.attachments
     }
 
-    /// Requests a second that the proxies of each subset usually have.
+    /// Returns the sum of the usual request rates of the proxies of each subset, in requests per second.
     pub fn request_rates(&self, subsets: usize) -> Vec<f64> {
         let mut rates = vec![0.0; subsets];
         for state in self.proxies.values() {
@@ -155,13 +158,13 @@
         rates
     }
 
-    /// Requests a second that a proxy usually has, on average.
+    /// Returns the mean of the proxies' usual request rates, in requests per second.
     pub fn mean_request_rate(&self) -> f64 {
         let rates: f64 = self.proxies.values().map(|state| state.request_rate).sum();
         rates / self.proxies.len().max(1) as f64
     }
 
-    /// Proxies on fewer tables than this, those with most requests first.
+    /// Returns the proxies with fewer than this number of tables, sorted by request rate, highest first.
     pub fn on_fewer_tables(&mut self, than: usize) -> Vec<(ProxyId, &mut ProxyState)> {
         let proxies = self.proxies.iter_mut().map(|(proxy, state)| (*proxy, state));
         let mut found: Vec<_> = proxies.filter(|(_, state)| state.tables.len() < than).collect();
@@ -169,30 +172,30 @@
         found
     }
 
-    /// How many proxies an update is for.
+    /// Returns the number of recipients.
     pub fn count(&self, recipients: Recipients) -> usize {
         match recipients {
             Recipients::OnFewerTables { .. } => {
                 self.proxies.values().filter(|proxy| recipients.includes(proxy)).count()
             }
-            Recipients::OnTable(table) => self.by_table.get(&table).copied().unwrap_or(0),
+            Recipients::OnTable(table) => self.proxies_by_table.get(&table).copied().unwrap_or(0),
             Recipients::Proxy(_) => 1,
         }
     }
 
-    /// The generation of the newest attachment among these; 0 if there is none.
+    /// Returns the generation of the newest attachment among the recipients; 0 if there are none.
     pub fn newest_generation(&self, recipients: Recipients) -> u64 {
         let included = self.proxies.values().filter(|proxy| recipients.includes(proxy));
         included.map(|proxy| proxy.generation).max().unwrap_or(0)
     }
 
-    /// The attachments of these.
+    /// Returns the attachments of the recipients.
     pub fn attachments(&self, recipients: Recipients) -> Vec<Attachment> {
         let included = self.proxies.values().filter(|proxy| recipients.includes(proxy));
         included.map(|proxy| Attachment { generation: proxy.generation, at: proxy.attached_at }).collect()
     }
 
-    /// The messages that an update at this time would begin.
+    /// Returns the messages that an update to these recipients would add to the batch of `now`.
     pub fn new_messages(&mut self, recipients: Recipients, now: Duration, window: Duration) -> NewMessages {
         let not_messaged = self.included_mut(recipients).filter(|proxy| !proxy.was_messaged_at(now));
         not_messaged.fold(NewMessages::default(), |messages, proxy| NewMessages {
@@ -201,7 +204,7 @@
         })
     }
 
-    /// Notes that a message to each of these was begun at this time.
+    /// Records that the batch of `now` contains a message to each recipient.
     pub fn record_messages(&mut self, recipients: Recipients, now: Duration) {
         let not_messaged = self.included_mut(recipients).filter(|proxy| !proxy.was_messaged_at(now));
         not_messaged.for_each(|proxy| proxy.messages.push_back(now));
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,9 +1,9 @@
-//! Rate limit of updates: how many table entries may wait in the channel to the proxies.
+//! Rate limit of updates: the number of table entries that may wait in the channel to the proxies.
 //!
-//! Decides, from the entries sent, the stated speed of the channel and acknowledgements, whether an update
-//! may go out now. Each priority may fill a fraction of the limits on queue and messages, so that urgent
-//! updates find room. The channel is taken to be slower than stated, as it is when things fail; once
-//! acknowledgements come, they tell.
+//! Decides whether an update may be sent now, from the entries sent, the configured speed of the channel and
+//! acknowledgements. Each priority may use a fraction of the limits on queue and messages, so that capacity
+//! remains for urgent updates. The channel is assumed to be slower than configured, as it is during failures;
+//! acknowledgements replace this assumption once they arrive.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 use crate::proxies::{NewMessages, ProxySet, Recipients};
 use crate::publish::Priority;
 
-/// The channel is taken to be so much slower than stated,
+/// Factor by which the channel is assumed to be slower than configured.
 const PESSIMISTIC_SLOWDOWN: f64 = 8.0;
-/// and so much for urgent updates: a wave of drains would else wait for what may never be true.
+/// The same factor for urgent updates. It is smaller, so that a batch of drains does not wait for entries
+/// that may have left the queue already.
 const URGENT_SLOWDOWN: f64 = 4.0;
 
-/// Entries that wait in the channel, if it is as slow as assumed.
+/// The estimated number of entries that wait in the channel, at each of the two assumed speeds.
 #[derive(Clone, Copy, Default)]
 struct QueueEstimate {
     pessimistic: f64,
@@ -24,6 +25,7 @@
 }
 
 impl QueueEstimate {
+    /// Subtracts the entries that leave the channel within `elapsed`.
     fn drain(&mut self, elapsed: Duration, entries_per_second: f64) {
         let seconds = elapsed.as_secs_f64();
         let drained = |slowdown: f64| seconds * (entries_per_second / slowdown);
@@ -37,39 +39,40 @@
     }
 }
 
-/// A single message that was acknowledged.
+/// An acknowledged message.
 struct AcknowledgedMessage {
-    /// The entries sent before the time at which it was sent.
+    /// The number of entries sent before the batch that it belongs to.
     position: f64,
     entries: f64,
 }
 
-/// The channel that carries updates to all proxies. What goes out at one time travels together, as one
-/// message to each proxy.
+/// The channel that carries updates to all proxies. Updates of the same time form a batch, which is sent as
+/// one message to each proxy.
 #[derive(Default)]
 pub struct UpdateChannel {
     estimate: QueueEstimate,
-    /// Entries that wait by the host's own count, where it has one.
+    /// The number of waiting entries by the host's own count, if it has one, plus those added since.
     reported: Option<f64>,
-    /// Entries sent since the start.
+    /// The number of entries sent since the start, with reserved ones before they are sent.
     sent: f64,
-    /// Those of them that are known to have left the channel, by the times at which they were sent.
+    /// The number of these up to the newest batch position that was acknowledged; all have left the channel.
     acknowledged: f64,
-    /// Messages that have left, of times that are not known to have left as a whole.
+    /// Acknowledged messages of batches that are not known to have left the channel completely.
     acknowledged_messages: Vec<AcknowledgedMessage>,
-    /// Entries sent up to the last position that was given out.
+    /// The number of entries sent at the last call of `record_sent`.
     position: f64,
-    /// The time of the estimate.
-    as_of: Duration,
-    /// Whom the updates of this time went to.
-    messaged: Vec<Recipients>,
+    /// The time of the estimate and of the current batch.
+    estimated_at: Duration,
+    /// The recipients of the updates in the current batch, single proxies excepted.
+    messaged_recipients: Vec<Recipients>,
 }
 
 impl UpdateChannel {
-    /// Reserves capacity for an update of this many entries to each recipient.
+    /// Reserves capacity for an update at `now`.
     ///
     /// # Errors
-    /// The queue or a proxy's messages would then fill more than the priority's fraction of the limits.
+    /// Returns the reason if the queue or the messages of a recipient would exceed the priority's fraction of
+    /// the limits. Nothing is reserved then.
     pub fn try_reserve(
         &mut self,
         proxies: &mut ProxySet,
@@ -80,7 +83,7 @@
         let Reservation { entries, recipients, priority } = update;
         let queue = self.queued(now, limits.max_entries_per_second);
         let queued = if priority < Priority::Drain { queue.pessimistic } else { queue.urgent };
-        let is_new = !self.messaged.contains(&recipients);
+        let is_new = !self.messaged_recipients.contains(&recipients);
         let new = if is_new {
             proxies.new_messages(recipients, now, limits.message_window)
         } else {
@@ -89,11 +92,12 @@
         let cost =
             (entries * proxies.count(recipients)) as f64 + new.count as f64 * limits.message_overhead_entries;
         let max_queued = limits.max_queued_entries * priority.limit_fraction();
-        // Messages run short sooner than the queue: those of urgent updates leave some to all others.
+        // The limit on messages is reached before that on the queue, so urgent updates get no more of it than
+        // assignments and leave some to all others.
         let max_messages = limits.max_messages * priority.max(Priority::Assignment).limit_fraction();
         let too_many_messages = new.count > 0 && new.max_recent as f64 >= max_messages;
         if too_many_messages || cost > max_queued {
-            return Err(NoCapacity::ForThis);
+            return Err(NoCapacity::ForUpdate);
         }
         if queued + cost > max_queued {
             return Err(NoCapacity::InQueue);
@@ -102,20 +106,20 @@
         if is_new {
             proxies.record_messages(recipients, now);
             if !matches!(recipients, Recipients::Proxy(_)) {
-                self.messaged.push(recipients);
+                self.messaged_recipients.push(recipients);
             }
         }
         Ok(())
     }
 
-    /// The host counts this many entries as waiting; a proxy that has stalled takes none.
+    /// Sets the number of entries that wait by the host's count, which includes those to stalled proxies.
     pub fn set_queued(&mut self, entries: f64) {
         self.reported = Some(entries);
     }
 
-    /// This many entries went out since the last call, whatever was reserved for them. Gives the position
-    /// that acknowledgements of these messages refer to: what was sent before them, as messages of one time
-    /// may enter the channel in any order.
+    /// Records the number of entries sent since the last call, which replaces the number reserved for them.
+    /// Returns the position that acknowledgements of these messages refer to: the number of entries sent
+    /// before them, as the messages of one batch may enter the channel in any order.
     pub fn record_sent(&mut self, entries: f64) -> f64 {
         let before = self.position;
         self.add(entries - (self.sent - before));
@@ -123,34 +127,38 @@
         before
     }
 
-    /// A message was acknowledged: what was sent before its time has left the channel, and of its time this
-    /// message.
+    /// Records that a message was acknowledged: all batches before its own have left the channel, and of its
+    /// own batch this message.
     pub fn record_acknowledged(&mut self, position: f64, entries: f64) {
         self.acknowledged = self.acknowledged.max(position);
         self.acknowledged_messages.push(AcknowledgedMessage { position, entries });
         self.acknowledged_messages.retain(|message| message.position >= self.acknowledged);
     }
 
+    /// Returns the number of waiting entries by estimate, acknowledgements and the host's count. A new time
+    /// starts a new batch.
     fn queued(&mut self, now: Duration, entries_per_second: f64) -> QueueEstimate {
-        let elapsed = now - self.as_of;
-        if now != self.as_of {
-            self.messaged.clear();
+        let elapsed = now - self.estimated_at;
+        if now != self.estimated_at {
+            self.messaged_recipients.clear();
         }
         self.estimate.drain(elapsed, entries_per_second);
-        self.as_of = now;
+        self.estimated_at = now;
         let mut queue = self.estimate;
         if self.position > 0.0 {
-            // Acknowledgements are true and late: they take the place of the hopeful estimate only.
-            let known = queue.pessimistic.min(self.unacknowledged());
-            queue = QueueEstimate { pessimistic: known, urgent: known };
+            // Acknowledgements are exact but late, so they can lower the pessimistic estimate only; they
+            // replace the one for urgent updates.
+            let bounded = queue.pessimistic.min(self.unacknowledged());
+            queue = QueueEstimate { pessimistic: bounded, urgent: bounded };
         }
         let reported = self.reported.unwrap_or(0.0);
         QueueEstimate { pessimistic: queue.pessimistic.max(reported), urgent: queue.urgent.max(reported) }
     }
 
+    /// Returns the number of entries that were sent and not acknowledged.
     fn unacknowledged(&self) -> f64 {
-        let single: f64 = self.acknowledged_messages.iter().map(|message| message.entries).sum();
-        (self.sent - self.acknowledged - single).max(0.0)
+        let acknowledged_singly: f64 = self.acknowledged_messages.iter().map(|message| message.entries).sum();
+        (self.sent - self.acknowledged - acknowledged_singly).max(0.0)
     }
 
     fn add(&mut self, entries: f64) {
@@ -160,19 +168,19 @@
     }
 }
 
-/// Why an update can't go out now.
+/// The reason why an update cannot be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoCapacity {
-    /// The queue is too full; it has capacity once it drains.
+    /// The queue has no capacity until it drains.
     InQueue,
-    /// Its recipients have had too many messages, or it is too large: others may go out all the same.
-    ForThis,
+    /// Its recipients have had too many messages, or it is too large; other updates may still be sent.
+    ForUpdate,
 }
 
-/// What an update asks of the channel.
+/// The capacity that an update needs in the channel.
 #[derive(Clone, Copy)]
 pub struct Reservation {
-    /// Entries for each recipient.
+    /// The number of entries for each recipient.
     pub entries: usize,
     pub recipients: Recipients,
     pub priority: Priority,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,14 +1,14 @@
-//! What an operator states at the start: the deployment, its limits and its rules, as typed values.
+//! The settings of a deployment as typed values: its classes, its limits and its rules.
 //!
-//! A host reads them once from its own form (JSON or XML) and fills in the defaults given here. Fractions are
-//! from 0 to 1, rates are per second, and a limit that is not stated is infinite.
+//! A host reads them once at its start from its own format (JSON or XML) and fills in the defaults given
+//! here. Fractions are from 0 to 1, rates are per second, and limits are infinite by default.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{MachineTypeId, ZoneId};
 
-/// Everything that decisions and their hosts read of an operator's settings.
+/// All settings that a controller and its host read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Names of the zones; a [`ZoneId`] is an index into this list.
@@ -17,19 +17,19 @@
     pub machine_types: Vec<String>,
     /// The request classes; a [`crate::ClassId`] is an index into this list.
     pub classes: Vec<ClassSettings>,
-    /// Controller instances that share the fleet's proxies between them, at least 1.
+    /// The number of controller instances that share the proxies of the fleet, at least 1.
     pub controllers: f64,
-    /// Whether endpoints may be health-checked.
+    /// True if endpoints may be health-checked.
     pub health_checks_allowed: bool,
-    /// Whether endpoints report their load with the answer to a health check.
+    /// True if endpoints report their load with the answer to a health check.
     pub load_on_health_checks: bool,
-    /// How long a host gathers events before it asks for actions, where the operator states it.
+    /// The time for which a host collects inputs before it asks for actions; `None` leaves it to the host.
     pub decision_interval: Option<Duration>,
-    /// The proxies and the channel to them.
+    /// Sizes and limits of the proxies and of the channel to them.
     pub fleet: FleetSettings,
-    /// What the fleet has to keep.
+    /// The rules that the fleet has to comply with.
     pub rules: RuleSettings,
-    /// Weights worked out ahead.
+    /// The solver, which calculates weights in advance.
     pub solver: SolverSettings,
 }
 
@@ -53,23 +53,23 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// The name that proxies and reports use.
+    /// The name that proxies and reports use; `None` if the class has none.
     pub name: Option<String>,
-    /// A request answered within this time has its full value.
+    /// The time within which an answered request has its full value.
     pub latency_objective: Duration,
-    /// A client gives up after this time.
+    /// The time after which a client gives up; `None` if it is not known.
     pub client_timeout: Option<Duration>,
-    /// What a request is worth if it meets the latency objective.
+    /// The value of a request that meets the latency objective.
     pub value: f64,
-    /// The part of the value that is left after the objective and before the client's timeout.
+    /// The fraction of the value that remains between the latency objective and the client timeout.
     pub late_value_fraction: f64,
-    /// `safe`, `keyed` or `unsafe`: whether a request may run twice.
+    /// `safe`, `keyed` or `unsafe`: determines if a request may be executed twice.
     pub effect: Option<String>,
-    /// Processor time of one request.
+    /// The processor time of one request.
     pub work: Option<Duration>,
-    /// The only zones whose endpoints may serve the class; none: all.
+    /// The only zones whose endpoints may serve the class; `None` allows all.
     pub only_zones: Option<Vec<ZoneId>>,
-    /// The only machine types that may serve the class; none: all.
+    /// The only machine types that may serve the class; `None` allows all.
     pub only_machine_types: Option<Vec<MachineTypeId>>,
 }
 
@@ -92,31 +92,32 @@
 /// Sizes and limits of the fleet of proxies and of the channel to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Proxies of all controllers together.
+    /// The number of proxies of all controllers together.
     pub proxies: Option<f64>,
-    /// How often proxies report what they met.
+    /// The time between two reports of a proxy.
     pub report_period: Duration,
-    /// How long a message travels to a proxy.
+    /// The delay of a message to a proxy.
     pub message_delay: Duration,
-    /// What one message costs in the channel beside its entries, in entries.
+    /// The cost of one message in the channel, beside its entries, as a number of entries.
     pub message_overhead_entries: f64,
-    /// Messages that one proxy may get within [`FleetSettings::message_window`].
+    /// The number of messages that one proxy may get within [`FleetSettings::message_window`].
     pub max_messages: f64,
-    /// The time over which messages to a proxy are counted.
+    /// The time window in which the messages to a proxy are counted.
     pub message_window: Duration,
-    /// Table entries that the channel sends a second.
+    /// The number of table entries that the channel sends per second.
     pub max_entries_per_second: f64,
-    /// Table entries that may wait in the channel.
+    /// The number of table entries that may wait in the channel.
     pub max_queued_entries: f64,
-    /// Connections that every endpoint accepts at least.
+    /// The smallest number of connections that any endpoint accepts.
     pub min_endpoint_connections: f64,
-    /// Failed attempts in a row after which a proxy ejects an endpoint on its own.
+    /// The number of consecutive failed attempts after which a proxy ejects an endpoint on its own; `None` or
+    /// 0 if it never does.
     pub proxy_ejection_threshold: Option<f64>,
-    /// Whether a proxy keeps ejections when it attaches to another controller.
+    /// True if a proxy keeps ejections when it attaches to another controller.
     pub keeps_ejections: bool,
     /// The highest weight in an endpoint list.
     pub max_weight: f64,
-    /// Ranges that keys are cut into; 0 where tables name endpoints.
+    /// The number of ranges that keys are divided into; 0 if tables contain endpoints instead of key ranges.
     pub key_ranges: f64,
 }
 
@@ -140,24 +141,26 @@
     }
 }
 
-/// The rules that the fleet has to keep.
+/// The rules that the fleet has to comply with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSettings {
-    /// A proxy may be without any endpoint for so long.
+    /// The longest time for which a proxy may be without any endpoint.
     pub max_time_without_endpoints: Duration,
-    /// A draining endpoint may get requests for so long.
+    /// The drain grace period: the time for which a draining endpoint may still get requests; `None` if there
+    /// is no limit.
     pub drain_grace: Option<Duration>,
-    /// Whether only draining, and not removal from the list, forbids requests to an endpoint.
+    /// True if an endpoint that is removed from the list stays in use, so that only draining forbids requests
+    /// to it.
     pub ignore_removals: bool,
-    /// The fraction of its weight that a process can do when it has just started.
+    /// The fraction of its weight that a process can serve when it has just started.
     pub initial_weight_fraction: f64,
-    /// The time after which a started process can do all of its weight.
+    /// The time after which a started process can serve its full weight.
     pub slow_start_window: Duration,
-    /// A process that is warming up is overloaded at this multiple of what it can do by then,
+    /// The multiple of its current capacity at which a process that is warming up counts as overloaded.
     pub warming_overload_factor: f64,
-    /// measured over this time.
+    /// The time over which this overload is measured.
     pub warming_overload_window: Duration,
-    /// Whether endpoints always have their listed weight or none.
+    /// True if endpoints always have their listed weight or none.
     pub fixed_weights: bool,
 }
 
@@ -176,18 +179,18 @@
     }
 }
 
-/// Weights that are worked out ahead by a solver.
+/// Settings of the solver, which calculates weights in advance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SolverSettings {
-    /// How often a plan is made; none: never.
+    /// The time between two plans; `None` disables the solver.
     pub interval: Option<Duration>,
-    /// Cores of an endpoint whose machine type states none.
+    /// The number of cores of an endpoint whose machine type is not in `cores_by_machine_type`.
     pub cores: f64,
-    /// Cores of an endpoint, for the machine types that state them.
+    /// The number of cores of an endpoint, by machine type.
     pub cores_by_machine_type: BTreeMap<MachineTypeId, f64>,
-    /// What a request that crosses zones costs, in units of value.
+    /// The cost of a request that crosses zones, in units of value.
     pub crossing_cost: f64,
-    /// Whether each zone has tables of its own.
+    /// True if each zone has its own tables.
     pub by_zone: bool,
 }
 
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -1,9 +1,10 @@
-//! Subsetting: a fleet too large for one table is cut into subsets, each run like a small fleet.
+//! Subsetting: a fleet that is too large for one table is divided into subsets, each managed like a small
+//! fleet.
 //!
-//! Decides, from sizes at the first list, how many subsets there are, which endpoints and proxies belong to
-//! each, and how much of its requests a full subset sends to another (deterministic subsetting as in the SRE
-//! literature, with spillover between localities as in Envoy). Subsets lie in groups, one subset for each
-//! zone, so that a zone that lost its endpoints has the others of its group beside it.
+//! Decides the number of subsets from the sizes at the first endpoint list, the endpoints of each subset, and
+//! the fraction of its requests that a saturated subset sends to another one (deterministic subsetting as in
+//! the SRE literature, with spillover between localities as in Envoy). Subsets form locality groups with one
+//! subset for each zone, so that a zone that has lost its endpoints can use the others of its group.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -14,29 +15,28 @@
 use crate::thresholds::{COMFORTABLE_LOAD, WEAK_FRACTION};
 use crate::{EndpointId, EndpointRecord, Settings, TableId, ZoneId};
 
-/// One table for all does not fit a fleet if publishing it to every proxy takes more than this fraction of
-/// the queue.
+/// Fraction of the queue above which publishing one table of all endpoints to every proxy is too expensive.
 const MAX_QUEUE_FRACTION: f64 = 0.2;
-/// The proxies of a subset may open this fraction of the connections that an endpoint accepts.
+/// Fraction of the connections accepted by an endpoint that the proxies of its subset may open.
 const MAX_CONNECTION_FRACTION: f64 = 0.1;
-/// Proxies that share a table, at least.
+/// Minimum number of proxies that share a table.
 const MIN_PROXIES_PER_SUBSET: f64 = 5.0;
 
-/// How the fleet is cut.
+/// The division of the fleet into subsets.
 #[derive(Default)]
 pub struct SubsetLayout {
-    /// Subsets in all; 0 before the first list.
+    /// The number of subsets; 0 before the first endpoint list.
     pub subsets: usize,
-    /// Subsets of a locality group.
+    /// The number of subsets in a locality group.
     group_size: usize,
-    /// Tables of each subset.
+    /// The number of tables of each subset.
     pub tables_per_subset: usize,
-    /// Zones that subsets are dealt to; 1 where a subset has endpoints of all zones.
+    /// The number of zones that subsets are distributed over; 1 if each subset has endpoints of all zones.
     zone_slots: usize,
 }
 
 impl SubsetLayout {
-    /// Cuts a fleet with this many endpoints.
+    /// Returns the layout for a fleet with this many endpoints.
     pub fn new(settings: &Settings, endpoints: usize) -> Self {
         let by_zone = settings.solver.by_zone;
         let too_large = table_cost(settings, endpoints) > MAX_QUEUE_FRACTION;
@@ -50,34 +50,35 @@
         }
     }
 
-    /// The tables of a subset.
+    /// Returns the tables of a subset.
     pub fn tables_of(&self, subset: usize) -> Range<TableId> {
         subset * self.tables_per_subset..(subset + 1) * self.tables_per_subset
     }
 
-    /// Whether a subset serves a zone.
+    /// Returns true if a subset serves a zone.
     pub fn serves_zone(&self, subset: usize, zone: ZoneId) -> bool {
         subset % self.zone_slots == zone % self.zone_slots
     }
 
-    /// The locality group of a subset. Subsets beyond the last whole group belong to it: alone, one that is
-    /// lost would have no other beside it.
+    /// Returns the locality group of a subset. Subsets beyond the last complete group belong to that group,
+    /// as a subset without a group would have no other to fall back to.
     pub fn group_of(&self, subset: usize) -> usize {
         (subset / self.group_size).min(self.subsets / self.group_size - 1)
     }
 
-    /// The first subset that serves a zone, 0 before there are any.
+    /// Returns the first subset that serves a zone; 0 if there are no subsets yet.
     pub fn first_for_zone(&self, zone: ZoneId) -> usize {
         (0..self.subsets).find(|subset| self.serves_zone(*subset, zone)).unwrap_or(0)
     }
 
-    /// Whether a table may use an endpoint, which is in its subset or one beside it.
+    /// Returns true if a table may use an endpoint: its restriction allows it, and both belong to the same
+    /// locality group.
     pub fn may_use(&self, table: &RoutingTable, state: &EndpointState) -> bool {
         self.group_of(state.subset) == self.group_of(table.subset) && table.restriction.allows(&state.record)
     }
 
-    /// The subset for a new endpoint. Endpoints are dealt like cards, so that each subset has its share of
-    /// every zone and machine type.
+    /// Returns the subset for a new endpoint. Endpoints are distributed evenly, so that each subset gets its
+    /// share of every zone and machine type.
     pub fn subset_for_endpoint(
         &self,
         record: &EndpointRecord,
@@ -86,7 +87,7 @@
         let mut members = vec![MemberCount::default(); self.subsets];
         for state in endpoints.values().filter(|state| !state.is_not_ready()) {
             let count = &mut members[state.subset];
-            count.alike += usize::from(dealing_key(&state.record) == dealing_key(record));
+            count.similar += usize::from(placement_key(&state.record) == placement_key(record));
             count.all += 1;
         }
         let serving = (0..self.subsets).filter(|subset| self.serves_zone(*subset, record.zone));
@@ -98,32 +99,37 @@
     }
 }
 
-/// Endpoints of a subset: those like the one to be dealt decide, then all.
+/// The number of endpoints in a subset. Compares by those with the same zone and machine type as the endpoint
+/// to be placed, then by all.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct MemberCount {
-    alike: usize,
+    similar: usize,
     all: usize,
 }
 
-/// Endpoints with the same key are alike.
-pub fn dealing_key(record: &EndpointRecord) -> (usize, usize) {
+/// Returns the key by which endpoints are distributed: machine type and zone.
+pub fn placement_key(record: &EndpointRecord) -> (usize, usize) {
     (record.machine_type, record.zone)
 }
 
-/// The fraction of the queue that one table of all endpoints takes at all proxies of a controller.
+/// Returns the fraction of the queue that it takes to publish one table of all endpoints to all proxies of a
+/// controller.
 fn table_cost(settings: &Settings, endpoints: usize) -> f64 {
     let proxies = settings.fleet.proxies.unwrap_or(0.0);
     endpoints as f64 * proxies / settings.controllers / settings.fleet.max_queued_entries
 }
 
+/// Returns the number of subsets that bounds the connections to each endpoint and keeps the minimum number of
+/// proxies per subset.
 fn subsets_by_size(settings: &Settings) -> usize {
     let proxies = settings.fleet.proxies.unwrap_or(0.0);
     let by_connections = proxies / (MAX_CONNECTION_FRACTION * settings.fleet.min_endpoint_connections);
     by_connections.min(proxies / settings.controllers / MIN_PROXIES_PER_SUBSET) as usize
 }
 
-/// Builds the tables of each subset, and the admissions at them sorted by value density, least first. Classes
-/// that may use the same endpoints share a table: each entry and assignment then costs once.
+/// Builds the tables of each subset, and the admissions at them sorted by value density, lowest first.
+/// Classes with the same restriction share a table, so that each of its entries and assignments is sent only
+/// once.
 pub fn build_tables(
     settings: &Settings,
     layout: &mut SubsetLayout,
@@ -131,17 +137,17 @@
     let mut tables: Vec<RoutingTable> = Vec::new();
     let mut admissions = Vec::new();
     for subset in 0..layout.subsets {
-        for (class, stated) in settings.classes.iter().enumerate() {
+        for (class, class_settings) in settings.classes.iter().enumerate() {
             let restriction = Restriction {
-                zones: stated.only_zones.clone(),
-                machine_types: stated.only_machine_types.clone(),
+                zones: class_settings.only_zones.clone(),
+                machine_types: class_settings.only_machine_types.clone(),
             };
-            let is_alike = |table: &RoutingTable| table.subset == subset && table.restriction == restriction;
-            let table = tables.iter().position(is_alike).unwrap_or(tables.len());
+            let is_same = |table: &RoutingTable| table.subset == subset && table.restriction == restriction;
+            let table = tables.iter().position(is_same).unwrap_or(tables.len());
             if table == tables.len() {
                 tables.push(RoutingTable::new(subset, restriction));
             }
-            admissions.push(ClassAdmission::new(stated, class, table));
+            admissions.push(ClassAdmission::new(class_settings, class, table));
         }
     }
     layout.tables_per_subset = tables.len() / layout.subsets;
@@ -149,23 +155,23 @@
     (tables, admissions)
 }
 
-/// Where the requests of a subset go.
+/// The spillover of a subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spillover {
-    /// The fraction that its own endpoints get.
+    /// The fraction of its requests that its own endpoints get.
     pub local_fraction: f64,
-    /// The subset of its group that gets the rest.
+    /// The subset of its locality group that gets the rest.
     pub target: usize,
 }
 
 impl Spillover {
-    /// All requests stay.
+    /// Returns the spillover of a subset that keeps all of its requests.
     pub fn none() -> Self {
         Spillover { local_fraction: 1.0, target: 0 }
     }
 }
 
-/// Reported load over a number of endpoints, by weight.
+/// The sum of the reported loads of several endpoints, each times its weight, and the sum of the weights.
 #[derive(Clone, Copy)]
 struct WeightedLoad {
     load: f64,
@@ -173,16 +179,18 @@
 }
 
 impl WeightedLoad {
-    /// From 0, idle, to 1; full where there is no weight.
+    /// Returns the weighted mean load, from 0 to 1; 1 if there is no weight.
     fn utilization(self) -> f64 {
         if self.weight > 1e-6 { self.load / self.weight } else { 1.0 }
     }
 }
 
-/// A subset whose endpoints are fuller than all of its group together sends a fraction of its requests to the
-/// emptiest beside it, and takes it back as they find headroom. Guards against a zone that lost endpoints, or
-/// that gets more requests than was stated, shedding load while others idle. It acts where endpoints report
-/// their load: idle ones that are warming up, or that nobody reaches, would else look like headroom.
+/// Updates the spillover of each subset. A subset with a higher utilization than its whole locality group
+/// sends a fraction of its requests to the least utilized subset of the group, and takes them back once its
+/// own endpoints have headroom. Otherwise a zone that has lost endpoints, or gets more requests than
+/// expected, would shed load while other zones are idle. Utilization follows from the load that endpoints
+/// report, where an endpoint without a report counts as idle. Without load reports, endpoints that are idle
+/// because they are warming up or unreachable would look like headroom, so nothing spills over then.
 pub fn update_spillover(
     spillover: &mut [Spillover],
     layout: &SubsetLayout,
@@ -199,19 +207,21 @@
             WeightedLoad { load: sum.load + loads[*subset].load, weight: sum.weight + loads[*subset].weight }
         });
         let mean = total.utilization();
-        let emptiest = members.iter().copied().min_by(|a, b| utilization(*a).total_cmp(&utilization(*b)));
+        let least_utilized =
+            members.iter().copied().min_by(|a, b| utilization(*a).total_cmp(&utilization(*b)));
         for subset in members {
             let Spillover { local_fraction, target } = &mut spillover[subset];
             if *local_fraction == 1.0 || utilization(*target) > utilization(subset) {
-                *target = emptiest.unwrap_or(subset);
+                *target = least_utilized.unwrap_or(subset);
             }
-            let even = COMFORTABLE_LOAD.max(mean) / utilization(subset).max(1e-9);
-            // The square root goes half the way at a time, as loads are reported late.
-            *local_fraction = (*local_fraction * even.sqrt()).clamp(WEAK_FRACTION, 1.0);
+            let correction = COMFORTABLE_LOAD.max(mean) / utilization(subset).max(1e-9);
+            // The square root is half of the correction on a logarithmic scale, as loads are reported late.
+            *local_fraction = (*local_fraction * correction.sqrt()).clamp(WEAK_FRACTION, 1.0);
         }
     }
 }
 
+/// Returns the reported load of the usable endpoints of each subset.
 fn reported_loads(
     layout: &SubsetLayout,
     endpoints: &BTreeMap<EndpointId, EndpointState>,
