--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -6,12 +6,12 @@
 
 use expect_test::{Expect, expect};
 use lockcroft_proxy::{
-    AttemptOutcome, Choice, ChosenEndpoint, CommandQueue, LoadBalancingLimits, LoadBalancingPolicy,
+    AttemptOutcome, Choice, ChosenEndpoint, ControlSession, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
 };
 use lockcroft_runtime_api::{AccessLevel, split};
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry};
-use lockcroft_table_store::AppliedSnapshot;
+use lockcroft_table_store::ProxySnapshot;
 use nanorand::{Rng, WyRand};
 
 const CLASSES: [&str; 2] = ["look-up", "search"];
@@ -179,7 +179,7 @@
     }
 
     /// Carries out a line of commands, with requests between its steps.
-    fn commands(&mut self, queue: &mut CommandQueue) {
+    fn commands(&mut self, queue: &mut ControlSession) {
         let count = self.rng.generate_range(1..8_u8);
         let line: Vec<String> = (0..count).map(|_| command(&mut self.rng)).collect();
         let line = line.join("; ");
@@ -195,14 +195,17 @@
 
     fn snapshot(&mut self, commands: &mut SnapshotCommands, version: u64) {
         let tables = BTreeMap::from([(0, random_table(&mut self.rng)), (1, random_table(&mut self.rng))]);
-        let assignment =
-            |table: u32| ProxyAssignment { table, admission_per_mille: 900 + table, retries: table == 0 };
+        let assignment = |table: u32| ProxyAssignment {
+            table,
+            admission_per_mille: 900 + table,
+            allows_retries: table == 0,
+        };
         let all =
             BTreeMap::from([("look-up".to_string(), assignment(0)), ("search".to_string(), assignment(1))]);
         let bound = if self.rng.generate_range(0..4_u8) > 0 { all } else { BTreeMap::new() };
         let withdrawn = BTreeSet::from([format!("e{}", self.rng.generate_range(0..6_u8))]);
         let tables = if bound.is_empty() { BTreeMap::new() } else { tables };
-        let snapshot = AppliedSnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+        let snapshot = ProxySnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
         for command in commands.commands(&self.state, &snapshot) {
             let answer = self.state.execute(&command).map_err(|error| error.to_string());
             self.transcript += &format!("{}: {answer:?}\n", command.joined_words());
@@ -219,9 +222,9 @@
         transcript: String::new(),
     };
     let mut queues = [
-        CommandQueue::new(AccessLevel::Admin),
-        CommandQueue::new(AccessLevel::Admin),
-        CommandQueue::new(AccessLevel::User),
+        ControlSession::new(AccessLevel::Admin),
+        ControlSession::new(AccessLevel::Admin),
+        ControlSession::new(AccessLevel::User),
     ];
     let mut snapshots = SnapshotCommands::default();
     for step in 0..400 {
