--- a/tests/controller/main.rs
+++ b/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! What the controller decides, as short printed traces.
+//! Tests of the controller's decisions, which are compared as short printed traces.
 
 mod health_checks;
 mod mass_attachment;
--- a/tests/controller/ordinary_path.rs
+++ b/tests/controller/ordinary_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: start-up hold, health checks, drains.
+//! Normal operation: start-up hold, health checks and drains.
 
 use crate::test_fleet::*;
 use expect_test::expect;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn hold_releases_each_table_once_all_endpoints_have_a_result() {
+fn start_up_hold_releases_each_table_once_all_endpoints_have_a_result() {
     let mut fleet = TestFleet::new(2);
     fleet.health[1] = HealthCheckOutcome::Failed;
     let trace = fleet.attach(0).attach(1).run_until(5200).lines_with(&[""]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn reattachments_do_not_renew_the_hold() {
+fn reattachments_do_not_extend_the_start_up_hold() {
     let mut fleet = TestFleet::new(2);
     fleet.attach(0).run_until(4000).controller.detach_proxy(0);
     let trace = fleet.run_until(4900).attach(0).run_until(5300).lines_with(&["assign", "released"]);
@@ -53,11 +53,12 @@
     .assert_eq(&trace);
 }
 
-/// Drains: a proxy that attaches later in the hold was notified of nothing yet.
+/// Guards against requests to draining endpoints: a proxy that attaches later during the hold has not been
+/// sent the ejection yet.
 #[test]
-fn drain_in_the_hold_ejects_at_default_tables_and_late_attachments() {
+fn drain_during_the_start_up_hold_is_ejected_at_earlier_and_later_attachments() {
     let mut fleet = TestFleet::new(4);
-    fleet.attach(0).run_until(1000).update_list(&[state(2, EndpointStatus::Draining)]).run_until(2000);
+    fleet.attach(0).run_until(1000).update_list(&[with_status(2, EndpointStatus::Draining)]).run_until(2000);
     let trace = fleet.attach(1).run_until(3000).lines_with(&["eject", "restore", "released"]);
     expect![[r#"
         1.0 eject 2
@@ -66,14 +67,14 @@
     .assert_eq(&trace);
 }
 
-/// No proxy without an endpoint: three endpoints fill the default table of a zone.
+/// Guards against a proxy without endpoints: a default table may contain only three endpoints.
 #[test]
-fn default_tables_that_may_be_all_ejected_are_replaced_early() {
+fn tables_are_released_early_when_a_default_table_may_be_fully_ejected() {
     let mut fleet = TestFleet::new(8);
     fleet
         .attach(0)
         .run_until(1000)
-        .update_list(&[0, 2, 4].map(|endpoint| state(endpoint, EndpointStatus::Removed)));
+        .update_list(&[0, 2, 4].map(|endpoint| with_status(endpoint, EndpointStatus::Removed)));
     let trace = fleet.run_until(1100).lines_with(&["eject", "restore", "released", "table 0"]);
     expect![[r#"
         1.0 table 0: endpoint 1 1
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn last_table_stays_when_all_endpoints_look_down() {
+fn last_published_weights_stay_when_all_endpoints_look_down() {
     let mut fleet = TestFleet::new(2);
     fleet.attach(0).run_until(6000).clear_trace().health.fill(HealthCheckOutcome::Refused);
     let trace = fleet.run_until(12_000).lines_with(&["table 0: endpoint", "eject", "restore"]);
@@ -98,9 +99,9 @@
     .assert_eq(&trace);
 }
 
-/// The same inputs give the same actions, however instances share a process.
+/// Instances in one process do not influence each other: the same inputs give the same actions.
 #[test]
-fn interleaved_instances_decide_alike() {
+fn interleaved_instances_make_the_same_decisions() {
     let mut pair = [TestFleet::new(4), TestFleet::new(4)];
     for step in 1..=80 {
         for fleet in &mut pair {
@@ -114,9 +115,10 @@
     assert_eq!(pair[0].trace, pair[1].trace);
 }
 
-/// Drains: an endpoint removed before this start cannot be named, but proxies may still use it.
+/// Guards against requests to removed endpoints: one that was removed before this start cannot be ejected,
+/// but proxies may still use it.
 #[test]
-fn hold_gives_way_to_the_drain_grace_when_the_list_had_changed_before() {
+fn start_up_hold_ends_within_the_drain_grace_period_when_the_list_had_changed_before() {
     let mut fleet = TestFleet::with(0, |settings| {
         settings.rules.drain_grace = Some(ms(2000));
     });
--- a/tests/controller/planned_weights.rs
+++ b/tests/controller/planned_weights.rs
@@ -1,4 +1,4 @@
-//! What plans made ahead change: tables by zone, and weights that the settings fix.
+//! Effects of the solver's plans and of fixed weights: tables by zone, planned weights, fallback.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use lockcroft::HealthCheckOutcome;
 
-/// Four endpoints, two a zone, and a proxy in each zone.
+/// Two endpoints and one proxy in each of two zones.
 fn by_zone() -> TestFleet {
     let mut fleet = TestFleet::with(4, |settings| {
         settings.solver.by_zone = true;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn without_a_plan_each_zone_has_a_table_of_its_own_endpoints() {
+fn each_zone_has_a_table_of_its_own_endpoints_without_a_plan() {
     let trace = by_zone().lines_with(&["endpoint", "assign"]);
     expect![[r#"
         5.0 table 0: endpoint 0 1
@@ -42,11 +42,11 @@
     .assert_eq(&trace);
 }
 
-/// A zone is lost that its table was planned on: the plan is some time old, and a quarter of one endpoint is
-/// not enough for all. The whole group stands in at once, as listed, and the plan holds again once they are
-/// back.
+/// Guards against overload when a zone loses the endpoints of its plan: the plan is not updated at once, and
+/// the rest of it, a quarter of one endpoint, cannot serve all requests. The table falls back to the whole
+/// locality group with listed weights, and returns to the plan once the endpoints are healthy again.
 #[test]
-fn group_stands_in_where_a_plan_has_lost_its_endpoints() {
+fn table_falls_back_to_its_group_when_planned_endpoints_are_lost() {
     let mut fleet = by_zone();
     fleet.controller.set_planned_weights(0, BTreeMap::from([(0, 1.0), (2, 1.0), (1, 0.25)]));
     fleet.run_until(7000).clear_trace();
@@ -70,8 +70,8 @@
     .assert_eq(&trace);
 }
 
-/// A weight below one step is no endpoint: with no other healthy, the rule on proxies without endpoints goes
-/// first.
+/// Guards against a proxy without endpoints: a planned weight that is rounded to 0 does not count as a usable
+/// endpoint, so the table falls back to its locality group.
 #[test]
 fn planned_weight_below_one_step_leaves_no_proxy_without_an_endpoint() {
     let mut fleet = by_zone();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn fixed_weights_stay_whatever_is_slow() {
+fn fixed_weights_stay_when_an_endpoint_is_slow() {
     let slow = [(50, 0, 800), (50, 0, 100), (50, 0, 100), (50, 0, 100)];
     let weights = |fixed: bool| {
         let mut fleet = TestFleet::with(4, |settings| settings.rules.fixed_weights = fixed);
@@ -97,5 +97,5 @@
         fleet.report_until(10_000, &slow).lines_with(&["endpoint 0"])
     };
     assert_eq!(weights(true), "");
-    assert!(!weights(false).is_empty(), "relief answers unless the terms fix weights");
+    assert!(!weights(false).is_empty(), "a slow endpoint loses weight unless the settings fix weights");
 }
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -1,4 +1,4 @@
-//! One test for each fault found so far. Each says which rule it guards, or which requests would be lost.
+//! Regression tests. Each states the failure that it guards against and its cause.
 
 use crate::test_fleet::*;
 use expect_test::expect;
@@ -6,8 +6,8 @@
 
 const HEALTHY: (u32, u32, u64) = (20, 0, 200);
 
-/// Slow start: an endpoint that restarted loses its weight at once, and regains it from the initial fraction
-/// on.
+/// Guards against overload after a restart: the endpoint loses its weight at once and regains it from the
+/// initial fraction.
 #[test]
 fn restarted_endpoint_loses_its_weight_at_once_and_regains_it_slowly() {
     let mut fleet = TestFleet::new(3);
@@ -21,11 +21,12 @@
     .assert_eq(&trace);
 }
 
-/// Slow start: proxies that are refused elsewhere all turn to the endpoint that was just started.
+/// Guards against overload during slow start: proxies whose attempts fail elsewhere would all use the
+/// endpoint that has just started.
 #[test]
 fn started_endpoint_gets_no_weight_while_failures_are_common() {
     let mut fleet = TestFleet::new(3);
-    fleet.attach(0).report_until(8000, &[HEALTHY; 3]).update_list(&[state(1, EndpointStatus::Removed)]);
+    fleet.attach(0).report_until(8000, &[HEALTHY; 3]).update_list(&[with_status(1, EndpointStatus::Removed)]);
     fleet
         .report_until(12_000, &[(20, 9, 900), (0, 0, 0), (20, 9, 900)])
         .clear_trace()
@@ -36,15 +37,15 @@
     expect![""].assert_eq(&trace);
 }
 
-/// Slow start: an ejection that ends while a proxy still holds tables of an earlier controller would
-/// give an endpoint that is warming up all of its weight.
+/// Guards against overload during slow start: a proxy that still uses tables of an earlier controller would
+/// give an endpoint that is warming up its full weight if the ejection ended.
 #[test]
 fn no_ejection_ends_before_all_proxies_have_tables() {
     let mut fleet = TestFleet::new(4);
     fleet
         .attach(0)
         .run_until(1000)
-        .update_list(&[state(1, EndpointStatus::Removed)])
+        .update_list(&[with_status(1, EndpointStatus::Removed)])
         .run_until(2000)
         .update_list(&[started(1, 500)]);
     let trace =
@@ -57,13 +58,13 @@
     .assert_eq(&trace);
 }
 
-/// Slow start, and the loss of a whole table: an instance that starts while a zone is lost
-/// took its single first entry for the last table, and all requests went there.
+/// Guards against all requests going to one endpoint: an instance that starts while a zone is lost treated
+/// the first entry that it published as the complete last table.
 #[test]
-fn table_released_early_holds_all_endpoints_not_known_to_be_down() {
+fn table_released_early_contains_all_endpoints_not_known_to_be_down() {
     let mut fleet = TestFleet::new(8);
     fleet
-        .update_list(&[0, 2, 4, 6].map(|endpoint| state(endpoint, EndpointStatus::Removed)))
+        .update_list(&[0, 2, 4, 6].map(|endpoint| with_status(endpoint, EndpointStatus::Removed)))
         .attach(0)
         .health
         .fill(HealthCheckOutcome::Failed);
@@ -78,14 +79,15 @@
     .assert_eq(&trace);
 }
 
-/// Loss of all endpoints one by one: under overload health checks time out, but proxies still get answers.
+/// Guards against the loss of all endpoints one by one: under overload, health checks time out although
+/// proxies still get answers.
 #[test]
 fn endpoint_that_answers_proxies_stays_up_though_health_checks_fail() {
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace().health[1] = HealthCheckOutcome::Failed;
     let trace = fleet.report_until(14_000, &[HEALTHY; 3]).lines_with(&["endpoint 1"]);
     expect![[""]].assert_eq(&trace);
-    // Once reports stop, health checks decide.
+    // Without reports, health checks decide.
     let trace = fleet.run_until(17_000).lines_with(&["endpoint 1"]);
     expect![[r#"
         16.4 table 0: endpoint 1 0
@@ -93,7 +95,7 @@
     .assert_eq(&trace);
 }
 
-/// Loss of requests at an endpoint that accepts them and answers none, while its health checks pass.
+/// Guards against lost requests at an endpoint that passes health checks but answers no requests.
 #[test]
 fn endpoint_that_fails_proxies_is_an_outlier_though_health_checks_pass() {
     let mut fleet = TestFleet::new(4);
@@ -111,9 +113,10 @@
     .assert_eq(&trace);
 }
 
-/// Loss of the whole fleet: a general slump makes no outlier, and load is shed instead.
+/// Guards against the loss of the whole fleet: if all endpoints fail, none is an outlier and load is shed
+/// instead.
 #[test]
-fn general_slump_makes_no_outlier_and_sheds_the_least_value_first() {
+fn failures_at_all_endpoints_make_no_outlier_and_shed_the_least_value_first() {
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace();
     fleet.report_until(13_000, &[(20, 18, 1400); 3]);
@@ -129,7 +132,7 @@
     .assert_eq(&trace);
 }
 
-/// Loss at a slow endpoint: it keeps the weight that it can serve.
+/// Guards against late answers at a slow endpoint, which keeps only the weight that it can serve.
 #[test]
 fn slow_endpoint_has_its_weight_reduced_and_regains_it_slowly() {
     let mut fleet = TestFleet::new(4);
@@ -146,9 +149,9 @@
     .assert_eq(&trace);
 }
 
-/// Short queue: a storm of attachments waits for its turn, a drain does not.
+/// Guards against a full queue: assignments wait when many proxies attach at once, but drains do not.
 #[test]
-fn attachment_storm_keeps_queue_and_messages_within_their_limits() {
+fn mass_attachment_keeps_queue_and_messages_within_their_limits() {
     let limits = |settings: &mut Settings| {
         settings.fleet.max_queued_entries = 60.0;
         settings.fleet.max_entries_per_second = 100.0;
@@ -160,7 +163,8 @@
     for proxy in 0..6 {
         fleet.attach(proxy);
     }
-    let trace = fleet.run_until(6500).update_list(&[state(3, EndpointStatus::Draining)]).run_until(12_000);
+    let trace =
+        fleet.run_until(6500).update_list(&[with_status(3, EndpointStatus::Draining)]).run_until(12_000);
     let trace = trace.lines_with(&["assign", "eject", "restore", "endpoint 3"]);
     expect![[r#"
         6.0 table 0: assign to proxy 0
@@ -175,15 +179,16 @@
     .assert_eq(&trace);
 }
 
-/// Drains: what was in flight when the stream broke is lost; the new assignment carries it.
+/// Guards against requests to a draining endpoint: updates in flight are lost when the stream breaks, so the
+/// new assignment has to include them.
 #[test]
-fn proxy_that_reattaches_during_a_drain_is_notified_again() {
+fn proxy_that_reattaches_during_a_drain_gets_a_table_without_the_endpoint() {
     let mut fleet = TestFleet::new(4);
     fleet
         .attach(0)
         .run_until(6000)
         .clear_trace()
-        .update_list(&[state(2, EndpointStatus::Draining)])
+        .update_list(&[with_status(2, EndpointStatus::Draining)])
         .run_until(6010)
         .controller
         .detach_proxy(0);
@@ -200,15 +205,15 @@
     .assert_eq(&trace);
 }
 
-/// Odd inputs are dropped: unknown endpoints and classes, proxies that detached, repeated records, old
-/// starts, health checks and reports of a removed endpoint, results that come after their timeout.
+/// Invalid inputs are ignored: unknown endpoints, classes and proxies, repeated records, health checks and
+/// reports of a removed endpoint, and results that arrive after their timeout.
 #[test]
-fn odd_inputs_change_nothing() {
+fn invalid_inputs_change_nothing() {
     let mut fleet = TestFleet::new(2);
     fleet
         .attach(0)
         .run_until(6000)
-        .update_list(&[state(1, EndpointStatus::Removed)])
+        .update_list(&[with_status(1, EndpointStatus::Removed)])
         .run_until(7000)
         .clear_trace();
     let now = fleet.now;
@@ -220,15 +225,16 @@
     fleet.controller.record_requests(9, 9, 5);
     fleet.controller.detach_proxy(9);
     let trace = fleet
-        .update_list(&[ready(0), ready(0), state(1, EndpointStatus::Removed)])
+        .update_list(&[ready(0), ready(0), with_status(1, EndpointStatus::Removed)])
         .run_until(8000)
         .lines_with(&[""]);
     expect![""].assert_eq(&trace);
 }
 
-/// Loss of a restricted class: its endpoints are overloaded while those that only others may use idle.
+/// Guards against lost requests of a restricted class: its endpoints were overloaded while endpoints that
+/// only other classes may use were idle.
 #[test]
-fn unrestricted_class_makes_room_for_a_restricted_one() {
+fn unrestricted_class_reserves_weight_for_a_restricted_one() {
     let mut fleet = TestFleet::with_restricted_class(4);
     fleet.attach(0).report_until(8000, &[HEALTHY; 4]).clear_trace();
     fleet.report_until(11_000, &[(20, 2, 900), HEALTHY, (20, 2, 900), HEALTHY]);
@@ -242,7 +248,8 @@
     .assert_eq(&trace);
 }
 
-/// Loss of a healthy endpoint: the timeout of an answered health check counted against the next one.
+/// Guards against the loss of a healthy endpoint: the timeout of an answered health check counted for the
+/// next one.
 #[test]
 fn answered_health_check_leaves_no_timeout_behind() {
     let mut fleet = TestFleet::new(2);
@@ -253,7 +260,8 @@
     expect![[""]].assert_eq(&trace);
 }
 
-/// Loss of the time until reports come: endpoints report with their health checks that all cores are in use.
+/// Guards against a late reaction: endpoints report that all cores are in use with their health checks,
+/// before proxies report higher latency.
 #[test]
 fn reported_load_reduces_weight_and_sheds_before_latency_rises() {
     let mut fleet = TestFleet::new(3);
@@ -273,8 +281,9 @@
     .assert_eq(&trace);
 }
 
-/// A fleet whose table does not fit its channel: four subsets of three endpoints, two in each zone.
-fn large() -> TestFleet {
+/// A fleet whose single table would exceed its fraction of the queue: four subsets of three endpoints, two
+/// subsets in each zone.
+fn large_fleet() -> TestFleet {
     let limits = |settings: &mut Settings| {
         settings.fleet.proxies = Some(20.0);
         settings.fleet.min_endpoint_connections = 40.0;
@@ -288,10 +297,11 @@
     fleet
 }
 
-/// Loss to connections: with one table for all, nearly every request opens one.
+/// Guards against lost requests for lack of connections: with one table for all proxies, nearly every request
+/// opens a connection.
 #[test]
-fn fleet_too_large_for_one_table_is_cut_into_subsets_by_zone() {
-    let trace = large().run_until(5000).lines_with(&["table 0", "proxy 1"]);
+fn fleet_too_large_for_one_table_is_divided_into_subsets_by_zone() {
+    let trace = large_fleet().run_until(5000).lines_with(&["table 0", "proxy 1"]);
     expect![[r#"
         5.0 table 0: endpoint 0 1
         5.0 table 0: endpoint 4 1
@@ -302,10 +312,11 @@
     .assert_eq(&trace);
 }
 
-/// No proxy without an endpoint: of a table only removals were urgent, and what replaced them waited.
+/// Guards against a proxy without endpoints: only removals from a table were urgent, so their replacements
+/// waited.
 #[test]
-fn subset_that_is_lost_takes_in_its_group_at_once() {
-    let mut fleet = large();
+fn lost_subset_falls_back_to_its_locality_group_at_once() {
+    let mut fleet = large_fleet();
     fleet
         .run_until(6000)
         .clear_trace()
@@ -322,7 +333,7 @@
     .assert_eq(&trace);
 }
 
-/// Requests shed in vain: answers are late though the endpoints report that they are idle.
+/// Guards against useless load shedding: answers are late although endpoints report that they are idle.
 #[test]
 fn latency_of_idle_endpoints_sheds_nothing() {
     let mut fleet = TestFleet::new(3);
@@ -335,8 +346,8 @@
     expect![""].assert_eq(&trace.lines_with(&["admit"]));
 }
 
-/// Requests shed for too long: after an overload endpoints reported headroom while their answers stayed a
-/// little late; admission rates between the two thresholds never recovered.
+/// Guards against load shedding that never ends: after an overload, endpoints reported headroom while their
+/// latency ratio stayed between the two thresholds, and admission rates did not recover.
 #[test]
 fn admission_recovers_by_reported_load() {
     let mut fleet = TestFleet::new(3);
@@ -357,13 +368,14 @@
     .assert_eq(&trace);
 }
 
-/// Endpoint 1 is replaced while the two others are overloaded; the weight that it has then.
-fn replaced(load: Option<f64>, failed: u32) -> (TestFleet, String) {
+/// Replaces endpoint 1 while the two others are overloaded, with `failed` of 20 attempts failing there. The
+/// new endpoint reports `load`. Returns the fleet and the trace of the weights of endpoint 1.
+fn replace_during_overload(load: Option<f64>, failed: u32) -> (TestFleet, String) {
     let mut fleet = TestFleet::new(3);
     let overloaded = [(20, failed, 900), (0, 0, 0), (20, failed, 900)];
     fleet.health.fill(HealthCheckOutcome::Passed(Some(0.99)));
     fleet.health[1] = HealthCheckOutcome::Passed(Some(0.4));
-    fleet.attach(0).report_until(8000, &[HEALTHY; 3]).update_list(&[state(1, EndpointStatus::Removed)]);
+    fleet.attach(0).report_until(8000, &[HEALTHY; 3]).update_list(&[with_status(1, EndpointStatus::Removed)]);
     fleet.report_until(12_000, &overloaded).clear_trace().health[1] = HealthCheckOutcome::Passed(load);
     let trace = fleet
         .update_list(&[started(1, 0)])
@@ -372,8 +384,9 @@
     (fleet, trace)
 }
 
-/// Loss of a subset: replacements idled while they warmed up, as the endpoints that were overloaded for want
-/// of them made it unstable. An endpoint that is full, or reports nothing, stays without weight.
+/// Guards against the loss of a subset: replacements were idle while they warmed up, as the endpoints that
+/// were overloaded without them made the subset unstable. An endpoint that is saturated, or reports no load,
+/// stays without weight.
 #[test]
 fn warming_endpoint_with_headroom_is_used_in_an_unstable_subset() {
     for (load, trace) in [
@@ -382,19 +395,21 @@
         (Some(0.99), ""),
         (None, ""),
     ] {
-        assert_eq!(replaced(load, 0).1, trace, "{load:?}");
+        assert_eq!(replace_during_overload(load, 0).1, trace, "{load:?}");
     }
 }
 
-/// Overload of a warming endpoint: in a burst of requests that clients retried, an endpoint that reported
-/// headroom had its whole weight and got several times what it could do. While its subset is slow it has half
-/// of it, and the whole once the subset is only unstable.
+/// Guards against overload of an endpoint that is warming up: during a burst of client retries, an endpoint
+/// that reported headroom had its full slow-start weight and got several times the requests that it could
+/// serve. While its subset is slow it gets half of that weight, and all of it once the subset is only
+/// unstable.
 #[test]
 fn warming_endpoint_with_headroom_has_half_its_weight_while_its_subset_is_slow() {
-    let (mut fleet, slow) = replaced(Some(0.1), 0);
+    let (mut fleet, slow) = replace_during_overload(Some(0.1), 0);
     assert_eq!(slow, "12.2 table 0: endpoint 1 0.1\n");
     fleet.health.fill(HealthCheckOutcome::Passed(Some(0.4)));
-    let uneasy = fleet.clear_trace().report_until(17_000, &[HEALTHY; 3]).lines_with(&["table 0: endpoint 1"]);
+    let unstable =
+        fleet.clear_trace().report_until(17_000, &[HEALTHY; 3]).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
         12.8 table 0: endpoint 1 0.15
         14.0 table 0: endpoint 1 0.35
@@ -404,13 +419,13 @@
         16.2 table 0: endpoint 1 0.55
         16.8 table 0: endpoint 1 0.6
     "#]]
-    .assert_eq(&uneasy);
+    .assert_eq(&unstable);
 }
 
-/// Where no report of a subset came, a warming endpoint with headroom is used past half its slow start of 10
-/// s.
+/// If no attempts in a subset were reported, an endpoint that is warming up and has headroom is used after
+/// half of its slow start of 10 s.
 #[test]
-fn warming_endpoint_of_an_unreported_subset_is_used_half_way() {
+fn warming_endpoint_of_an_unreported_subset_is_used_after_half_its_slow_start() {
     let mut fleet = TestFleet::new(3);
     fleet.health.fill(HealthCheckOutcome::Passed(Some(0.1)));
     fleet.attach(0).run_until(8000).clear_trace().update_list(&[started(1, 0)]);
@@ -424,13 +439,13 @@
     .assert_eq(&trace);
 }
 
-/// Overload of warming endpoints: where clients retry at once, endpoints that had
-/// reported headroom got several times what they could do, some by an old report, as they were too full
-/// to answer a health check.
+/// Guards against overload of endpoints that are warming up: when clients retried at once, endpoints that had
+/// reported headroom got several times the requests that they could serve, some because of an outdated
+/// report, as they were too busy to answer a health check.
 #[test]
 fn warming_endpoint_gets_nothing_where_attempts_fail_or_checks_are_rejected() {
-    assert_eq!(replaced(Some(0.1), 10).1, "");
-    let mut fleet = replaced(Some(0.1), 0).0;
+    assert_eq!(replace_during_overload(Some(0.1), 10).1, "");
+    let mut fleet = replace_during_overload(Some(0.1), 0).0;
     fleet.clear_trace().health[1] = HealthCheckOutcome::Rejected;
     let trace = fleet.run_until(13_500).lines_with(&["table 0: endpoint 1"]);
     expect![[r#"
@@ -440,10 +455,11 @@
     .assert_eq(&trace);
 }
 
-/// Requests shed in one zone while endpoints of another idled: a zone that is full by the reports of
-/// its endpoints spills over to the others of its group, and takes it back. Without reports nothing moves.
+/// Guards against load shedding in one zone while endpoints of another are idle: a zone that is saturated by
+/// the load that its endpoints report spills over to its locality group, until it has headroom again. Without
+/// load reports there is no spillover.
 #[test]
-fn full_zone_spills_over_to_another() {
+fn saturated_zone_spills_over_to_another() {
     let mut fleet = TestFleet::with(4, |settings| {
         settings.solver.by_zone = true;
     });
@@ -486,35 +502,37 @@
         16.0 table 0: endpoint 2 0.55
     "#]]
     .assert_eq(&trace);
-    let mut mute = TestFleet::with(4, |settings| {
+    let mut without_reports = TestFleet::with(4, |settings| {
         settings.solver.by_zone = true;
     });
-    mute.attach(0).attach(1).report_until(8000, &[HEALTHY; 4]).clear_trace();
+    without_reports.attach(0).attach(1).report_until(8000, &[HEALTHY; 4]).clear_trace();
     let slow = [(20, 0, 900), HEALTHY, (20, 0, 900), HEALTHY];
     assert_eq!(
-        mute.report_until(14_000, &slow).lines_with(&["table 0: endpoint 1", "table 0: endpoint 3"]),
+        without_reports
+            .report_until(14_000, &slow)
+            .lines_with(&["table 0: endpoint 1", "table 0: endpoint 3"]),
         ""
     );
 }
 
-/// No proxy without an endpoint: five subsets in groups of four zones left the fifth alone, and its
-/// proxies without an endpoint when its zone was lost.
+/// Guards against a proxy without endpoints: if the number of subsets is not a multiple of the number of
+/// zones, the last subset was alone in its locality group, and its proxies lost all endpoints with its zone.
 #[test]
-fn no_subset_is_alone_in_its_group() {
-    let figures = |settings: &mut Settings| {
+fn no_subset_is_alone_in_its_locality_group() {
+    let limits = |settings: &mut Settings| {
         settings.fleet.proxies = Some(30.0);
         settings.fleet.min_endpoint_connections = 100.0;
         settings.fleet.max_queued_entries = 500.0;
         settings.fleet.max_entries_per_second = 1e6;
     };
-    let mut fleet = TestFleet::with(12, figures);
+    let mut fleet = TestFleet::with(12, limits);
     for proxy in 0..9 {
         fleet.attach(2 * proxy);
     }
     fleet
         .run_until(8000)
         .clear_trace()
-        .update_list(&[0, 2, 4, 6, 8, 10].map(|endpoint| state(endpoint, EndpointStatus::Removed)));
+        .update_list(&[0, 2, 4, 6, 8, 10].map(|endpoint| with_status(endpoint, EndpointStatus::Removed)));
     let trace = fleet.run_until(8100).lines_with(&["table 2"]);
     expect![[r#"
         8.0 table 2: endpoint 2 0
@@ -530,15 +548,15 @@
     .assert_eq(&trace);
 }
 
-/// Drains: where common updates had filled their half of the queue at the
-/// pessimistic speed, many drains waited longer than the grace.
+/// Guards against requests to draining endpoints: when common updates had filled their half of the queue at
+/// the pessimistic speed, many drains waited for longer than the drain grace period.
 #[test]
 fn many_drains_do_not_wait_for_common_updates() {
-    let figures = |settings: &mut Settings| {
+    let limits = |settings: &mut Settings| {
         settings.fleet.max_queued_entries = 300.0;
         settings.fleet.max_entries_per_second = 200.0;
     };
-    let mut fleet = TestFleet::with(24, figures);
+    let mut fleet = TestFleet::with(24, limits);
     for proxy in 0..12 {
         fleet.attach(proxy);
     }
@@ -546,30 +564,30 @@
     let slow: Vec<_> =
         (0..24).map(|endpoint| if endpoint % 2 == 0 { (20, 0, 900) } else { HEALTHY }).collect();
     fleet.report_until(16_000, &slow).clear_trace();
-    let removed: Vec<_> = (12..24).map(|endpoint| state(endpoint, EndpointStatus::Removed)).collect();
+    let removed: Vec<_> = (12..24).map(|endpoint| with_status(endpoint, EndpointStatus::Removed)).collect();
     let trace = fleet.update_list(&removed).run_until(16_300).lines_with(&["endpoint"]);
     assert_eq!(trace.lines().filter(|line| line.ends_with(" 0")).count(), 12, "{trace}");
 }
 
-/// Before the first list there are no subsets and no groups.
+/// Guards against a failure before the first endpoint list, when there are no subsets and no locality groups.
 #[test]
-fn controller_without_a_list_waits() {
+fn controller_without_an_endpoint_list_takes_no_action() {
     let mut fleet = TestFleet::new(0);
     assert_eq!(fleet.attach(0).run_until(12_000).trace, "");
 }
 
-/// Loss of the weights of a whole group for seconds: urgent updates had taken the messages of all others.
+/// Guards against weights that are not updated for seconds: urgent updates had used up the limit on messages.
 #[test]
-fn urgent_updates_leave_messages_to_others() {
-    let few = |settings: &mut Settings| {
+fn urgent_updates_leave_messages_to_other_updates() {
+    let limits = |settings: &mut Settings| {
         settings.fleet.max_messages = 30.0;
         settings.fleet.message_window = ms(10000);
     };
-    let mut fleet = TestFleet::with(24, few);
+    let mut fleet = TestFleet::with(24, limits);
     fleet.attach(0).report_until(8000, &[HEALTHY; 24]);
     for endpoint in 4..24 {
         fleet
-            .update_list(&[state(endpoint, EndpointStatus::Draining)])
+            .update_list(&[with_status(endpoint, EndpointStatus::Draining)])
             .run_until(7000 + endpoint as u64 * 250 + 250);
     }
     fleet.clear_trace();
@@ -581,15 +599,16 @@
     .assert_eq(&trace);
 }
 
-/// All endpoints drain in the hold and come back. The ends of ejections wait
-/// for all proxies to have tables, and assignments waited for an entry that only came after these ends.
+/// Guards against a deadlock when all endpoints drain during the start-up hold and return: ejections end only
+/// when all proxies have tables, and assignments waited for an entry that was published only after the
+/// ejections ended.
 #[test]
-fn endpoints_that_all_drained_in_the_hold_are_used_again() {
+fn endpoints_that_all_drained_during_the_start_up_hold_are_used_again() {
     let mut fleet = TestFleet::new(3);
     fleet
         .attach(0)
         .run_until(4000)
-        .update_list(&[0, 1, 2].map(|endpoint| state(endpoint, EndpointStatus::Draining)))
+        .update_list(&[0, 1, 2].map(|endpoint| with_status(endpoint, EndpointStatus::Draining)))
         .run_until(4100);
     fleet.clear_trace().update_list(&[0, 1, 2].map(ready));
     let trace = fleet.run_until(6000).lines_with(&["table", "eject", "restore"]);
@@ -605,12 +624,12 @@
     .assert_eq(&trace);
 }
 
-/// A proxy attaches while an endpoint is ejected, and in the same
-/// moment the endpoint is ready again. The proxies that were notified before must see the end of it.
+/// Guards against an ejection that never ends: a proxy attaches while an endpoint is ejected, and at the same
+/// time the endpoint is ready again. The proxies that got the ejection must also get its end.
 #[test]
 fn attachment_does_not_lose_the_end_of_an_ejection() {
     let mut fleet = TestFleet::new(4);
-    fleet.attach(0).run_until(1000).update_list(&[state(2, EndpointStatus::Draining)]).run_until(2000);
+    fleet.attach(0).run_until(1000).update_list(&[with_status(2, EndpointStatus::Draining)]).run_until(2000);
     fleet.attach(1).update_list(&[ready(2)]);
     let trace = fleet.run_until(7000).lines_with(&["eject", "restore"]);
     expect![[r#"
--- a/tests/controller/test_fleet.rs
+++ b/tests/controller/test_fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet for a controller: two classes, two zones, some endpoints, and a printed trace of actions.
+//! A controller with a small simulated fleet (two classes, two zones, some endpoints) and a printed trace of
+//! its actions.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -12,27 +13,31 @@
     Duration::from_millis(millis)
 }
 
+/// The record of a ready endpoint; even numbers are in zone 0, odd numbers in zone 1.
 pub fn ready(endpoint: EndpointId) -> EndpointRecord {
     EndpointRecord { endpoint, zone: endpoint % 2, weight: 1.0, ..EndpointRecord::default() }
 }
 
-pub fn state(endpoint: EndpointId, state: EndpointStatus) -> EndpointRecord {
-    EndpointRecord { status: state, ..ready(endpoint) }
+/// The record of an endpoint with this status.
+pub fn with_status(endpoint: EndpointId, status: EndpointStatus) -> EndpointRecord {
+    EndpointRecord { status, ..ready(endpoint) }
 }
 
+/// The record of an endpoint whose process started this many milliseconds ago.
 pub fn started(endpoint: EndpointId, millis_ago: u64) -> EndpointRecord {
     EndpointRecord { age: Some(ms(millis_ago)), ..ready(endpoint) }
 }
 
+/// A controller with simulated time, endpoints and proxies.
 pub struct TestFleet {
     pub controller: Controller,
     pub now: Duration,
-    /// How the next health checks of each endpoint end.
+    /// The outcome of the next health checks of each endpoint.
     pub health: Vec<HealthCheckOutcome>,
-    /// Whether health checks are in the trace.
+    /// True if the trace contains health checks.
     pub print_health_checks: bool,
     pub trace: String,
-    /// How long a health check takes, in milliseconds.
+    /// The duration of a health check in milliseconds.
     pub check_duration_ms: u64,
 }
 
@@ -41,17 +46,17 @@
         TestFleet::with(endpoints, |_| {})
     }
 
-    /// The first class may use the endpoints of the first zone only.
+    /// A fleet whose first class may use only the endpoints of the first zone.
     pub fn with_restricted_class(endpoints: usize) -> Self {
         TestFleet::with(endpoints, |settings| settings.classes[0].only_zones = Some(vec![0]))
     }
 
-    /// No endpoint may be health-checked.
+    /// A fleet whose endpoints may not be health-checked.
     pub fn without_health_checks(endpoints: usize) -> Self {
         TestFleet::with(endpoints, |settings| settings.health_checks_allowed = false)
     }
 
-    /// The usual settings with some changes.
+    /// A fleet with the default test settings, changed by `change`.
     pub fn with(endpoints: usize, change: impl FnOnce(&mut Settings)) -> Self {
         let class = |name: &str, latency_objective, value| ClassSettings {
             name: Some(name.into()),
@@ -87,8 +92,7 @@
         }
     }
 
-    /// Pulls actions until there is none; every health check ends a little later as its endpoint's health
-    /// says, a failed one by not ending at all.
+    /// Adds all due actions to the trace and returns the endpoints whose health check starts.
     fn pull(&mut self) -> Vec<EndpointId> {
         let mut health_checks = Vec::new();
         while let Some(action) = self.controller.next_action(self.now) {
@@ -111,26 +115,28 @@
                 health_checks.push(endpoint);
             }
             if self.print_health_checks || !matches!(action, Action::CheckHealth(_)) {
-                writeln!(self.trace, "{at:.1} {text}").expect("a string takes all");
+                writeln!(self.trace, "{at:.1} {text}").expect("writing to a string does not fail");
             }
         }
         health_checks
     }
 
+    /// Runs until this time in milliseconds. Every health check ends after `check_duration_ms` with the
+    /// outcome in `health`; one that fails never ends.
     pub fn run_until(&mut self, millis: u64) -> &mut Self {
         let end = ms(millis);
-        let mut ends: Vec<(Duration, EndpointId)> = Vec::new();
+        let mut pending_checks: Vec<(Duration, EndpointId)> = Vec::new();
         loop {
-            let sent = self.now + ms(self.check_duration_ms);
-            ends.extend(self.pull().into_iter().map(|endpoint| (sent, endpoint)));
-            let check = ends.first().map_or(Duration::MAX, |(time, _)| *time);
+            let ends_at = self.now + ms(self.check_duration_ms);
+            pending_checks.extend(self.pull().into_iter().map(|endpoint| (ends_at, endpoint)));
+            let check = pending_checks.first().map_or(Duration::MAX, |(time, _)| *time);
             let next = self.controller.next_due().min(check);
             if next > end {
                 break;
             }
             self.now = next;
-            while ends.first().is_some_and(|(time, _)| *time <= next) {
-                let (_, endpoint) = ends.remove(0);
+            while pending_checks.first().is_some_and(|(time, _)| *time <= next) {
+                let (_, endpoint) = pending_checks.remove(0);
                 if self.health[endpoint] != HealthCheckOutcome::Failed {
                     self.controller.health_check_finished(
                         next,
@@ -145,17 +151,20 @@
         self
     }
 
+    /// Attaches a proxy without a table: one with an even number in zone 0, others in zone 1.
     pub fn attach(&mut self, proxy: usize) -> &mut Self {
         self.controller.attach_proxy(self.now, proxy, proxy % 2, 1.0, true);
         self
     }
 
+    /// Updates these records of the endpoint list.
     pub fn update_list(&mut self, entries: &[EndpointRecord]) -> &mut Self {
         self.controller.update_endpoints(self.now, false, 1, entries);
         self
     }
 
-    /// Each endpoint is reported once a second until then: attempts, failures, mean latency in milliseconds.
+    /// Runs until this time in milliseconds and reports once per second, for each endpoint, the number of
+    /// attempts, the number of failed ones and the mean latency in milliseconds.
     pub fn report_until(&mut self, millis: u64, reported: &[(u32, u32, u64)]) -> &mut Self {
         while self.now + ms(1000) <= ms(millis) {
             let next = self.now + ms(1000);
@@ -170,16 +179,17 @@
         self.run_until(millis)
     }
 
+    /// Clears the trace and discards all due actions; health checks that start here get no answer.
     pub fn clear_trace(&mut self) -> &mut Self {
         self.pull();
         self.trace.clear();
         self
     }
 
-    /// The lines of the trace that hold one of these words.
-    pub fn lines_with(&mut self, words: &[&str]) -> String {
+    /// The lines of the trace that contain one of these patterns.
+    pub fn lines_with(&mut self, patterns: &[&str]) -> String {
         self.pull();
-        let lines = self.trace.lines().filter(|line| words.iter().any(|word| line.contains(word)));
+        let lines = self.trace.lines().filter(|line| patterns.iter().any(|word| line.contains(word)));
         lines.fold(String::new(), |all, line| all + line + "\n")
     }
 }
