--- a/src/controller/evaluation.rs
+++ b/src/controller/evaluation.rs
@@ -19,6 +19,8 @@
 const SETTLE_PERIODS: f64 = 1.5;
 
 impl Controller {
+    /// Evaluates the reports since the last evaluation: health, weight factors, spillover and admission
+    /// rates.
     pub(super) fn evaluate_reports(&mut self, now: Duration) {
         let subsets = self.evaluate_endpoints(now);
         let admission_may_change = now >= self.next_admission_change;
@@ -79,6 +81,7 @@
             .any(|admission| admission.rate < 1.0 && self.tables[admission.table].subset == subset)
     }
 
+    /// Marks a subset as unstable, so that its endpoints that are warming up count as at risk.
     pub(super) fn mark_unstable(&mut self, now: Duration, subset: usize) {
         self.stability.mark_unstable(now, subset, self.settings.rules.slow_start_window);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -133,7 +133,8 @@
         self.ready_actions.pop_front()
     }
 
-    /// Returns true if an ejection was sent to all of its proxies since the plan was made.
+    /// Returns true if the update is an ejection that all proxies concerned have been sent since the plan was
+    /// made.
     fn is_already_ejected(&self, update: Update) -> bool {
         let Update::Eject(endpoint) = update else { return false };
         self.endpoints[&endpoint].ejected_up_to_generation >= self.newest_unassigned_generation()
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -13,6 +13,8 @@
 use crate::{EndpointId, TableId};
 
 impl Controller {
+    /// Replaces the pending updates by a new plan: changed admission rates, followed by all other updates in
+    /// the order of [`order_updates`].
     pub(super) fn plan(&mut self, now: Duration) {
         self.release_tables(now);
         for table in 0..self.tables.len() {
@@ -92,6 +94,7 @@
         }
     }
 
+    /// Returns the admissions of the classes that use a table.
     pub(super) fn admissions_at(&self, table: TableId) -> impl Iterator<Item = &ClassAdmission> {
         self.admissions.iter().filter(move |admission| admission.table == table)
     }
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -30,7 +30,8 @@
     Common,
     /// An assignment to a proxy that needs a table, or an entry of a table that lacks weight.
     Assignment,
-    /// An endpoint must not get requests any more: its drain grace period has started.
+    /// An update for an endpoint that must not get requests any more, as its drain grace period has started;
+    /// also the end of an ejection.
     Drain,
 }
 
@@ -64,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingUpdate {
     pub priority: Priority,
-    /// The time since which the update is pending; zero unless its priority is [`Priority::Drain`].
+    /// The time since which the update is pending; used only if its priority is [`Priority::Drain`].
     pub pending_since: Duration,
     pub update: Update,
 }
@@ -319,8 +320,9 @@
 }
 
 /// Returns the update that assigns a table to a proxy. A table replaces the ejections that the proxy would
-/// otherwise get one by one, and is as urgent as they are if it is the shorter message. Otherwise, proxies
-/// that attach one by one during a rollout would wait while the longer ejections fill the queue.
+/// otherwise get one by one, and is as urgent as they are if it has at most [`MAX_ENTRIES_PER_EJECTION`]
+/// entries for each of them. Otherwise, proxies that attach one by one during a rollout would wait for their
+/// tables while the ejections fill the queue.
 fn assignment(
     table: &RoutingTable,
     proxy: &ProxyState,
@@ -365,8 +367,8 @@
         }
     }
 
-    /// Returns the least loaded subset that serves the proxy's zone, or the least loaded of all others if
-    /// each of those would exceed its maximum load.
+    /// Returns the least loaded subset that serves the proxy's zone, or the least loaded of all subsets if
+    /// each of those would reach the maximum load.
     fn least_loaded(&self, layout: &SubsetLayout, proxy: &ProxyState) -> usize {
         let load = |subset: usize| (self.request_rates[subset] + proxy.request_rate) / self.weights[subset];
         let is_unsuited =
--- a/src/subsets.rs
+++ b/src/subsets.rs
@@ -41,12 +41,12 @@
         let by_zone = settings.solver.by_zone;
         let too_large = table_cost(settings, endpoints) > MAX_QUEUE_FRACTION;
         let group_size = if by_zone || too_large { settings.zones.len().max(1) } else { 1 };
-        let no_class_is_bound_to_zones = settings.classes.iter().all(|class| class.only_zones.is_none());
+        let no_class_is_restricted_to_zones = settings.classes.iter().all(|class| class.only_zones.is_none());
         SubsetLayout {
             subsets: if too_large { subsets_by_size(settings).max(group_size) } else { group_size },
             group_size,
             tables_per_subset: 0,
-            zone_slots: if by_zone || no_class_is_bound_to_zones { group_size } else { 1 },
+            zone_slots: if by_zone || no_class_is_restricted_to_zones { group_size } else { 1 },
         }
     }
 
