--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
     pub started_at: Duration,
     /// The time at which its slow start ends: from then on it can serve its full weight.
     pub warmed_up_at: Duration,
-    /// The factor on its listed weight that follows from measured latency, from 0.3 to 1.
+    /// The factor on its listed weight that follows from measured latency; at most 1.
     pub weight_factor: f64,
     /// Reports before this time are ignored: they describe an earlier process, or the time before a recovery.
     pub reports_valid_from: Duration,
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -205,8 +205,8 @@
     .assert_eq(&trace);
 }
 
-/// Invalid inputs are ignored: unknown endpoints, classes and proxies, repeated records, health checks and
-/// reports of a removed endpoint, and results that arrive after their timeout.
+/// Invalid inputs are ignored: unknown endpoints, classes and proxies, repeated records, old starts, health
+/// checks and reports of a removed endpoint, and results that arrive after their timeout.
 #[test]
 fn invalid_inputs_change_nothing() {
     let mut fleet = TestFleet::new(2);
@@ -515,8 +515,8 @@
     );
 }
 
-/// Guards against a proxy without endpoints: if the number of subsets is not a multiple of the number of
-/// zones, the last subset was alone in its locality group, and its proxies lost all endpoints with its zone.
+/// Guards against a proxy without endpoints: with five subsets in locality groups of four zones, the fifth
+/// subset was alone in its group, and its proxies lost all endpoints with its zone.
 #[test]
 fn no_subset_is_alone_in_its_locality_group() {
     let limits = |settings: &mut Settings| {
