--- a/crates/fleet/src/capacity_model.rs
+++ b/crates/fleet/src/capacity_model.rs
@@ -1,4 +1,4 @@
-//! Capacities of endpoints in cores, learned from their load reports and from how attempts at them ended.
+//! Capacities of endpoints in cores, learned from their load reports and from the outcome of attempts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,47 +6,51 @@
 use lockcroft::{EndpointId, EndpointState, MachineTypeId};
 use lockcroft_solver::{CapacityEstimator, CapacityPrior, LoadSample};
 
-/// Evidence of a capacity loses half of its force in so many plans.
+/// The half-life of the weight of a sample in a capacity estimate, in plans.
 const EVIDENCE_HALF_LIFE_PLANS: f64 = 12.0;
-/// Each health check moves an endpoint's load by this fraction.
+/// The smoothing factor of the exponentially weighted average of an endpoint's reported load.
 const LOAD_SMOOTHING: f64 = 0.25;
 
-/// The state of all endpoints, as the decisions have it.
+/// The state of all endpoints, as the controller keeps it.
 pub type Endpoints = BTreeMap<EndpointId, EndpointState>;
 
-/// What was reported of an endpoint since the last plan.
+/// Attempts that were reported for an endpoint since the last plan.
 #[derive(Clone, Copy, Default)]
 struct AttemptTotals {
     attempts: f64,
     failed: f64,
-    /// The sum of the times of those that did not fail, in seconds.
-    seconds: f64,
+    /// The sum of the latencies of attempts that did not fail, in seconds.
+    latency_sum_secs: f64,
 }
 
-/// Means over all requests that are asked for, by which attempts are judged.
+/// Means over the requests of all classes, against which attempts are compared.
 #[derive(Clone, Copy)]
 pub struct RequestMix {
-    /// Work of a request, in seconds of one core.
+    /// The work of a request, in seconds of one core.
     pub work: f64,
     /// The latency objective, in seconds.
     pub latency_objective: f64,
 }
 
-/// Capacities that were learned of each machine type, where enough endpoints of it showed theirs.
+/// Learned capacities, in cores, of the machine types of which enough endpoints have an estimate.
 pub type TypeCapacities = BTreeMap<MachineTypeId, f64>;
 
+/// Learns the capacity of each endpoint in cores.
 pub struct CapacityModel {
-    /// How long one plan stands.
+    /// The time between plans.
     interval: Duration,
-    /// Cores of an endpoint before anything was learned: of any machine type, or of its own.
+    /// The assumed cores of an endpoint whose machine type is neither stated nor learned.
     default_cores: f64,
+    /// Cores by machine type, from the settings.
     stated_cores: BTreeMap<MachineTypeId, f64>,
     estimator: CapacityEstimator,
-    /// Cores that endpoints had before the start.
+    /// Cores of endpoints, recovered from before the start.
     recovered: BTreeMap<EndpointId, f64>,
-    /// Whether capacities were learned since they were asked for.
+    /// True if capacities were learned since the last call of `take_changed`.
     has_changed: bool,
+    /// The smoothed load of each endpoint, as a fraction of its cores.
     loads: BTreeMap<EndpointId, f64>,
+    /// Attempts since the last call of `learn`.
     attempts: BTreeMap<EndpointId, AttemptTotals>,
 }
 
@@ -64,18 +68,19 @@
         }
     }
 
-    /// Takes the cores that endpoints had before the start: what they are taken for until they show more.
+    /// Sets the capacities, in cores, recovered from before the start. Each is the prior of its endpoint's estimate,
+    /// unless the settings state the cores of the machine type.
     pub fn recover(&mut self, capacities: impl Iterator<Item = (EndpointId, f64)>) {
         self.recovered = capacities.collect();
     }
 
-    /// The fraction of its cores that an endpoint reported to be in use.
+    /// Records the fraction of its cores that an endpoint reported to be in use.
     pub fn record_load(&mut self, endpoint: EndpointId, load: f64) {
-        let known = self.loads.entry(endpoint).or_insert(load);
-        *known += (load - *known) * LOAD_SMOOTHING;
+        let smoothed = self.loads.entry(endpoint).or_insert(load);
+        *smoothed += (load - *smoothed) * LOAD_SMOOTHING;
     }
 
-    /// Attempts that ended, with the mean time of those that did not fail.
+    /// Records attempts that ended; `mean_latency` is that of the attempts that did not fail.
     pub fn record_attempts(
         &mut self,
         endpoint: EndpointId,
@@ -86,15 +91,16 @@
         let totals = self.attempts.entry(endpoint).or_default();
         totals.attempts += f64::from(attempts);
         totals.failed += f64::from(failed);
-        totals.seconds += mean_latency.as_secs_f64() * f64::from(attempts.saturating_sub(failed));
+        totals.latency_sum_secs += mean_latency.as_secs_f64() * f64::from(attempts.saturating_sub(failed));
     }
 
-    /// Learns from all that was recorded since the last call.
+    /// Updates the estimates from the attempts recorded since the last call, and drops the estimates of endpoints
+    /// that are not in `endpoints`.
     pub fn learn(&mut self, now: Duration, endpoints: &Endpoints, mix: RequestMix) {
         let type_capacities = self.type_capacities(now, endpoints);
         for (endpoint, totals) in std::mem::take(&mut self.attempts) {
             let Some(state) = endpoints.get(&endpoint) else { continue };
-            // An endpoint that is warming up shows less than its capacity.
+            // An endpoint that is warming up completes less work than its capacity allows.
             if state.is_warming_up(now) || totals.attempts <= 0.0 {
                 continue;
             }
@@ -109,7 +115,7 @@
 
     fn sample(&self, endpoint: EndpointId, totals: AttemptTotals, mix: RequestMix) -> LoadSample {
         let succeeded = totals.attempts - totals.failed;
-        let latency = totals.seconds / succeeded.max(1.0);
+        let latency = totals.latency_sum_secs / succeeded.max(1.0);
         LoadSample {
             completed_work: succeeded * mix.work / self.interval.as_secs_f64(),
             is_late: latency > mix.latency_objective || totals.failed * 2.0 > totals.attempts,
@@ -118,7 +124,7 @@
         }
     }
 
-    /// Cores by endpoint as learned, if anything was since this was asked last.
+    /// Returns the learned capacities, in cores, if any were learned since the last call; otherwise an empty list.
     pub fn take_changed(&mut self, now: Duration, endpoints: &Endpoints) -> Vec<(EndpointId, f64)> {
         if !std::mem::take(&mut self.has_changed) {
             return Vec::new();
@@ -131,7 +137,7 @@
         endpoints.iter().filter_map(learned).collect()
     }
 
-    /// What endpoints of each machine type turned out to have, where enough of them showed it.
+    /// Returns the learned capacity, in cores, of each machine type of which enough endpoints have an estimate.
     pub fn type_capacities(&self, now: Duration, endpoints: &Endpoints) -> TypeCapacities {
         let mut by_type: BTreeMap<MachineTypeId, Vec<EndpointId>> = BTreeMap::new();
         for (endpoint, state) in endpoints {
@@ -146,7 +152,7 @@
         capacities
     }
 
-    /// The cores of an endpoint.
+    /// Returns the estimated capacity of an endpoint, in cores.
     pub fn capacity(&self, now: Duration, type_capacities: &TypeCapacities, state: &EndpointState) -> f64 {
         let prior = self.prior(type_capacities, state);
         self.estimator.estimate(now, state.record.endpoint, prior).capacity
--- a/crates/fleet/src/planned_class.rs
+++ b/crates/fleet/src/planned_class.rs
@@ -1,16 +1,17 @@
-//! A class as the solver has it, from the settings and from its demand.
+//! Conversion of a class from the settings to a class of a solver problem.
 
 use lockcroft::{ClassSettings, MachineTypeId};
 use lockcroft_solver::Class as ProblemClass;
 
-/// Where the work of a request is not stated, it is its latency objective divided by this.
+/// The work of a request defaults to its latency objective divided by this.
 const DEFAULT_WORK_DIVISOR: f64 = 10.0;
-/// The least work and the least latency objective of a class, in seconds.
+/// The lower limit of the work and of the latency objective of a class, in seconds.
 const MIN_SECONDS: f64 = 1e-6;
 
-/// A class as the settings state it, without demand, and the machine types that it is bound to.
+/// A class from the settings, without demand, and the machine types that it may use.
 pub struct PlannedClass {
     pub class: ProblemClass,
+    /// `None` if the class may use endpoints of all machine types.
     machine_types: Option<Vec<MachineTypeId>>,
 }
 
@@ -29,7 +30,7 @@
         PlannedClass { class, machine_types: settings.only_machine_types.clone() }
     }
 
-    /// The class of a problem with these endpoints, given by their machine types.
+    /// Returns the class with its demand by zone, for a problem whose endpoints have these machine types.
     pub fn with_demand(&self, demand: &[f64], machine_types: &[MachineTypeId]) -> ProblemClass {
         let allowed = self.machine_types.as_ref().map(|only| {
             (0..machine_types.len()).filter(|position| only.contains(&machine_types[*position])).collect()
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,6 +1,6 @@
-//! Listed weights worked out ahead: what the solver needs is gathered here from what the controller hears, and what
-//! it answers becomes the weights of the endpoint list and a ceiling of admission. When a problem is solved, and on
-//! which thread, is the host's matter; until there is an answer the last one stands.
+//! Plans of the solver. Builds solver problems from load reports, attempts and demand, and turns the answers into
+//! planned weights for the endpoint list and upper limits of the admission rates. The host solves a problem on a
+//! thread of its choice; the previous plan stays in use until the answer arrives.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,36 +18,38 @@
 use crate::demand_estimate::DemandEstimate;
 use crate::planned_class::PlannedClass;
 
-/// The changed entries of one plan fill the queue up to this fraction.
+/// The fraction of the limit on queued entries that the changed entries of one plan may take up.
 const MAX_QUEUE_FRACTION: f64 = 0.25;
-/// The most entries that one plan may change, whatever the queue holds.
+/// An upper limit on the entries that one plan may change, whatever the limit on queued entries is.
 const MAX_CHANGED_ENTRIES: f64 = 1e6;
-/// A problem to be solved, and the endpoints that its positions stand for.
+
+/// A problem for the solver, with the endpoint ids behind its positions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SolverTask {
-    /// What endpoints can do, and what is asked of them.
+    /// The capacities of the endpoints and the demand of the classes.
     pub problem: Problem,
-    /// The endpoint behind each position of the problem.
+    /// The endpoint at each position of the problem's endpoints.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// What a plan changes.
+/// The changes that a plan makes to weights and tables.
 #[derive(Default)]
 pub struct Plan {
-    /// Listed weights, in steps of the greatest.
+    /// New weights of the endpoint list, in units of [`crate::WeightScale`].
     pub weights: Vec<(EndpointId, u32)>,
-    /// Tables with the fraction that each endpoint has there of its listed weight.
+    /// For each changed table, the fraction of its listed weight that each endpoint has there.
     pub tables: Vec<(TableId, WeightFractions)>,
 }
 
-/// The last answer, for those who ask.
+/// A task with the solver's answer, kept for `show plan`.
 pub struct SolvedPlan {
     pub task: Arc<SolverTask>,
     pub answer: Answer,
+    /// The number of endpoints whose weight the plan changed.
     pub changed_entries: usize,
 }
 
-/// Gathers problems, and turns their answers into plans.
+/// Builds solver tasks at a fixed interval and turns their answers into plans.
 pub struct Planner {
     interval: Duration,
     crossing_cost: f64,
@@ -58,25 +60,27 @@
     capacity: CapacityModel,
     demand: DemandEstimate,
     stabilizer: PlanStabilizer,
-    /// Whether each zone has tables of its own.
+    /// True if each zone has tables of its own.
     by_zone: bool,
     tables: TableStabilizer,
+    /// The time from which the next task may be built.
     due: Duration,
     /// The task that is being solved.
     in_flight: Option<Arc<SolverTask>>,
+    /// The last task that was solved, with its answer.
     pub last: Option<SolvedPlan>,
 }
 
 impl Planner {
-    /// None unless the settings ask for plans.
+    /// Returns a planner, or `None` if the settings state no solver interval.
     pub fn new(settings: &Settings, zones: usize) -> Option<Self> {
         let solver = &settings.solver;
         let interval = solver.interval.filter(|interval| !interval.is_zero())?;
         let classes: Vec<_> = settings.classes.iter().map(PlannedClass::new).collect();
         Some(Planner {
             interval,
-            // One table for all zones sends as many requests across as it does, whatever that costs: to plan
-            // against it would only load one zone's endpoints more than the other's.
+            // A table shared by all zones sends the same fraction of requests across zones whatever the plan: a
+            // cost of crossing would only load the endpoints of one zone more than those of another.
             crossing_cost: if solver.by_zone { solver.crossing_cost } else { 0.0 },
             initial_weight_fraction: settings.rules.initial_weight_fraction,
             max_entries_per_second: settings.fleet.max_entries_per_second,
@@ -93,12 +97,12 @@
         })
     }
 
-    /// Takes the cores that endpoints had before the start.
+    /// Sets the capacities, in cores, that were recovered from before the start.
     pub fn recover_capacities(&mut self, capacities: impl Iterator<Item = (EndpointId, f64)>) {
         self.capacity.recover(capacities);
     }
 
-    /// Cores by endpoint as learned, if anything was since this was asked last.
+    /// Returns the learned capacities, in cores, if any were learned since the last call; otherwise an empty list.
     pub fn take_changed_capacities(
         &mut self,
         now: Duration,
@@ -107,12 +111,12 @@
         self.capacity.take_changed(now, endpoints)
     }
 
-    /// The fraction of its cores in use that an endpoint reported to a health check.
+    /// Records the fraction of its cores in use that an endpoint reported to a health check.
     pub fn record_load(&mut self, endpoint: EndpointId, load: f64) {
         self.capacity.record_load(endpoint, load);
     }
 
-    /// Attempts that ended, with the mean time of those that did not fail.
+    /// Records attempts that ended; `mean_latency` is that of the attempts that did not fail.
     pub fn record_attempts(
         &mut self,
         endpoint: EndpointId,
@@ -123,17 +127,18 @@
         self.capacity.record_attempts(endpoint, attempts, failed, mean_latency);
     }
 
-    /// Requests of a class that came to a proxy of a zone.
+    /// Records requests of a class that arrived at a proxy of a zone.
     pub fn record_requests(&mut self, zone: ZoneId, class: ClassId, requests: u32) {
         self.demand.count(zone, class, requests);
     }
 
-    /// When [`Planner::next_task`] has to be asked; while a task is in flight, its answer is waited for.
+    /// Returns the time at which [`Planner::next_task`] is due; `Duration::MAX` while a task is in flight.
     pub fn next_due(&self) -> Duration {
         if self.in_flight.is_some() { Duration::MAX } else { self.due }
     }
 
-    /// A task, if one is due and none is in flight.
+    /// Returns the next task if one is due, none is in flight and demand is known. Learns capacities from what was
+    /// recorded since the last task was due.
     pub fn next_task(&mut self, now: Duration, endpoints: &Endpoints) -> Option<Arc<SolverTask>> {
         if now < self.next_due() {
             return None;
@@ -143,7 +148,7 @@
         if let Some(mix) = self.request_mix() {
             self.capacity.learn(now, endpoints, mix);
         }
-        // Before anything was counted there is nothing to plan for, and the list stands.
+        // Without known demand there is nothing to plan for: the listed weights stay in use.
         if !self.demand.is_known() {
             return None;
         }
@@ -151,7 +156,7 @@
         self.in_flight.clone()
     }
 
-    /// The means over all demand; none where there is no demand.
+    /// Returns the means over the requests of all classes and zones, or `None` if there is no demand.
     fn request_mix(&self) -> Option<RequestMix> {
         let mut requests = 0.0;
         let mut work = 0.0;
@@ -166,7 +171,7 @@
             .then(|| RequestMix { work: work / requests, latency_objective: latency_objective / requests })
     }
 
-    /// The problem of this moment: the endpoints that may take requests, and the demand on them.
+    /// Builds the problem from the endpoints that may take requests now and the estimated demand.
     fn task(&self, now: Duration, endpoints: &Endpoints) -> SolverTask {
         let mut task = SolverTask { problem: Problem::default(), endpoints: Vec::new() };
         let mut machine_types = Vec::new();
@@ -193,12 +198,18 @@
         task
     }
 
-    /// Takes the answer to the task in flight, and gives what changes by it.
-    pub fn take_answer(&mut self, answer: Option<Answer>, proxies: usize, snapshot: ControllerState) -> Plan {
+    /// Takes the answer to the task in flight and returns the resulting changes. Returns no changes if there is no
+    /// answer or no task in flight.
+    pub fn take_answer(
+        &mut self,
+        answer: Option<Answer>,
+        proxies: usize,
+        controller_state: ControllerState,
+    ) -> Plan {
         let Some(task) = self.in_flight.take() else { return Plan::default() };
         let Some(mut answer) = answer else { return Plan::default() };
-        // Where no endpoint is up that a class may use, to reject its requests would mend nothing: the decisions
-        // keep what stands, and health checks may be wrong.
+        // A class without any usable endpoint is not limited: rejecting its requests would relieve no endpoint, the
+        // decisions keep the published entries, and the health checks may be wrong.
         for dropped in answer.shed.iter().filter(|dropped| dropped.capacity <= 0.0) {
             answer.admission_rates[dropped.class] = 1.0;
         }
@@ -206,7 +217,7 @@
         let SolverTask { problem, endpoints } = &*task;
         let weights = self.stabilizer.update(problem, endpoints, &answer, price);
         let scopes = match self.by_zone {
-            true => table_scopes(problem.zones, snapshot.tables, snapshot.admissions),
+            true => table_scopes(problem.zones, controller_state.tables, controller_state.admissions),
             false => Vec::new(),
         };
         let listed = self.stabilizer.weights();
@@ -215,7 +226,8 @@
         Plan { weights, tables }
     }
 
-    /// What it costs to change an entry: while it goes out to all proxies, everything else waits.
+    /// Returns the cost of changing an entry. While a changed entry is sent to all proxies, other updates wait; the
+    /// cost is the value of the requests that arrive during that time.
     fn change_price(&self, problem: &Problem, proxies: usize) -> ChangePrice {
         let proxies = proxies.max(1) as f64;
         let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.value;
@@ -228,13 +240,14 @@
         }
     }
 
-    /// The fraction of each class that may be admitted; none before the first answer.
+    /// Returns the planned admission rate of each class; empty before the first answer.
     pub fn planned_fractions(&self) -> &[f64] {
         self.stabilizer.admission_rates()
     }
 }
 
-/// The classes of each table and the zone of its proxies: tables of zones lie in ranges of one each.
+/// Returns the classes of each table and the zone of the proxies that it is assigned to. Subsets are assigned to the
+/// zones in turn, so the zone of a table is its subset modulo the number of zones.
 fn table_scopes(zones: usize, tables: &[RoutingTable], admissions: &[ClassAdmission]) -> Vec<TableScope> {
     let mut classes: BTreeMap<TableId, Vec<ClassId>> = BTreeMap::new();
     for admission in admissions {
