--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -84,13 +84,16 @@
     assert_eq!(last("r-a-1"), Some("set server t0/b-2 weight 0".into()));
     assert_eq!(last("r-b-1"), Some("set server t0/b-2 weight 0".into()));
     // From the list to the proxy's answer by the number of the batch.
-    let listed =
-        log.lines().filter(|line| line.contains("lockcroft::input: listed")).nth(1).expect("listed twice");
+    let listed = log
+        .lines()
+        .filter(|line| line.contains("lockcroft::input: updated the endpoint list"))
+        .nth(1)
+        .expect("listed twice");
     let batch = listed.split_whitespace().find(|word| word.starts_with("wave=")).expect("a wave");
     for text in [
         "lockcroft::action: t0: b-2 weighs 0",
-        "lockcroft::update: sent",
-        "lockcroft::acknowledgement: answered",
+        "lockcroft::update: sent update",
+        "lockcroft::acknowledgement: received acknowledgement",
     ] {
         let of_batch = |line: &&str| line.contains(text) && line.split_whitespace().any(|word| word == batch);
         assert!(log.lines().any(|line| of_batch(&line)), "{text} of {batch}\n{log}");
--- a/crates/fleet/src/actions.rs
+++ b/crates/fleet/src/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the decisions: what is published changes, and the proxies concerned are to be updated.
+//! Execution of the actions of the decisions: changes the published state and marks what proxies have to be sent.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::proxy_ledger::ProxyLedger;
 
 impl FleetController {
-    pub(crate) fn carry_out(&mut self, now: Duration, action: Action) {
+    pub(crate) fn execute(&mut self, now: Duration, action: Action) {
         match action {
             Action::CheckHealth(endpoint) => self.check_health(endpoint),
             Action::SetWeight { table, endpoint, weight } => self.set_weight(now, table, endpoint, weight),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An endpoint that is off the list by now has no address, and is not checked.
+    /// Requests a health check; an endpoint that is off the list has no address, and is not checked.
     fn check_health(&mut self, endpoint: EndpointId) {
         self.totals.health_checks += 1;
         if let Some(address) = self.endpoints.address(endpoint) {
@@ -42,23 +42,24 @@
     }
 
     fn assign_table(&mut self, now: Duration, table: TableId, classes: &[ClassId], proxy: ProxyId) {
-        self.log_action(&format!("t{table}: bind proxy {}", self.sessions[proxy].config.name));
+        self.log_action(&format!("t{table}: assigned to proxy {}", self.sessions[proxy].config.name));
         if !self.sessions[proxy].is_attached() {
             return;
         }
         self.attached_by_table.entry(table).or_default().insert(proxy);
-        if self.files.serves(proxy) {
+        if self.files.is_reader(proxy) {
             self.files.assign_table(now, proxy, table, classes);
             return;
         }
         let decided = self.decided_at(now);
         self.sessions[proxy].ledger.assign_table(table, classes, &self.published, decided);
-        self.to_update.insert(proxy);
+        self.update_queue.insert(proxy);
     }
 
     fn set_ejected(&mut self, now: Duration, endpoint: EndpointId, ejected: bool) {
         self.published.set_ejected(endpoint, ejected);
-        self.log_action(&format!("withdraw {}: {ejected}", self.endpoints.name(endpoint)));
+        let verb = if ejected { "eject" } else { "restore" };
+        self.log_action(&format!("{verb} {}", self.endpoints.name(endpoint)));
         self.files.mark_ejection(now, endpoint);
         let decided = self.decided_at(now);
         self.update_all_ledgers(|ledger| ledger.mark_ejection(endpoint, decided));
@@ -68,8 +69,8 @@
         let Admission { fraction, retry } = admission;
         self.published.set_admission(table, class, admission);
         let name = &self.names.classes[class];
-        let retries = if retry { ", second tries" } else { "" };
-        self.log_action(&format!("t{table}: {name} let in {fraction}{retries}"));
+        let retries = if retry { ", with retries" } else { "" };
+        self.log_action(&format!("t{table}: {name} admission rate {fraction}{retries}"));
         self.files.mark_admission(now, table, class);
         let decided = self.decided_at(now);
         self.update_ledgers_of(table, |ledger| ledger.mark_admission(table, class, decided));
@@ -81,7 +82,7 @@
             None => text,
         };
         info!(target: "lockcroft::event", wave = self.batch, "{text}");
-        self.add_event(&format!("note: {text}"));
+        self.add_event(&format!("event: {text}"));
     }
 
     fn log_action(&mut self, text: &str) {
@@ -89,21 +90,23 @@
         self.add_event(text);
     }
 
+    /// Updates the ledgers of all proxies that take commands.
     fn update_all_ledgers(&mut self, mut update: impl FnMut(&mut ProxyLedger)) {
         for (proxy, session) in self.sessions.iter_mut().enumerate() {
             if session.takes_commands() {
                 update(&mut session.ledger);
-                self.to_update.insert(proxy);
+                self.update_queue.insert(proxy);
             }
         }
     }
 
-    /// Ledgers of the proxies on a table. Of a large fleet these are few, which is why they are looked up by table.
+    /// Updates the ledgers of the proxies to which a table is assigned. They are looked up by table, because they are
+    /// few in a large fleet.
     fn update_ledgers_of(&mut self, table: TableId, mut update: impl FnMut(&mut ProxyLedger)) {
         for proxy in self.attached_by_table.get(&table).into_iter().flatten() {
-            if !self.files.serves(*proxy) {
+            if !self.files.is_reader(*proxy) {
                 update(&mut self.sessions[*proxy].ledger);
-                self.to_update.insert(*proxy);
+                self.update_queue.insert(*proxy);
             }
         }
     }
--- a/crates/fleet/src/applied_state.rs
+++ b/crates/fleet/src/applied_state.rs
@@ -1,4 +1,5 @@
-//! What one proxy holds, by its own responses: the entries of its backends, its map of classes, and admission.
+//! The state of one proxy as it reported and acknowledged it: the entries of its backends, its map of classes to
+//! backends, and admission.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,18 +11,20 @@
 use crate::endpoint_list::EndpointList;
 use crate::ledger_change::Change;
 
-/// Admission of one class, as far as the proxy acknowledged it on this connection.
+/// Admission of one class; a field is `None` until the proxy acknowledges it on this connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AppliedAdmission {
+    /// The admitted fraction in thousandths.
     pub thousandths: Option<u32>,
+    /// True if requests of the class may be retried.
     pub retry: Option<bool>,
 }
 
-/// What a proxy holds.
+/// The state of one proxy.
 #[derive(Default)]
 pub struct AppliedState {
     pub entries: BTreeMap<(Backend, EndpointId), AppliedEntry>,
-    /// Backends met at the proxy that are no tables, by their position.
+    /// The names of backends at the proxy that are not tables of a controller; [`Backend::Other`] is an index.
     other_backends: Vec<String>,
     /// The backend of each class in the proxy's map.
     pub class_map: BTreeMap<ClassId, Backend>,
@@ -29,8 +32,9 @@
 }
 
 impl AppliedState {
-    /// From the answers to `show servers state` and `show map classes`.
-    pub fn read(states: &[StateRow], map: &str, endpoints: &mut EndpointList, classes: &[String]) -> Self {
+    /// Builds the state from the responses to `show servers state` and `show map classes`. Assigns ids to unknown
+    /// endpoint names; skips lines of the map that are incomplete or name an unknown class.
+    pub fn parse(states: &[StateRow], map: &str, endpoints: &mut EndpointList, classes: &[String]) -> Self {
         let mut applied = AppliedState::default();
         for row in states {
             let endpoint = endpoints.intern(&row.endpoint);
@@ -50,7 +54,7 @@
         applied
     }
 
-    /// The digest that the proxy reports if it holds just this.
+    /// Returns the digest that the proxy reports if its state equals this one.
     pub fn digest(&self, endpoints: &EndpointList, classes: &[String]) -> i64 {
         let mut digest = Digest::default();
         self.digest_entries(endpoints, &mut digest);
@@ -65,7 +69,7 @@
         digest.value()
     }
 
-    /// Entries go into the digest in the order of their names, which is the proxy's order too.
+    /// Adds the entries in the order of their backend and endpoint names, as the proxy does.
     fn digest_entries(&self, endpoints: &EndpointList, digest: &mut Digest) {
         let mut entries: Vec<(String, &str, &AppliedEntry)> = Vec::with_capacity(self.entries.len());
         for ((backend, endpoint), entry) in &self.entries {
@@ -81,7 +85,7 @@
     fn admission_variables(&self, classes: &[String]) -> BTreeMap<String, i64> {
         let mut variables = BTreeMap::new();
         for (class, admission) in &self.admissions {
-            let name = |what: &str| class_variable_name(what, &classes[*class]);
+            let name = |prefix: &str| class_variable_name(prefix, &classes[*class]);
             variables.extend(admission.thousandths.map(|value| (name("level"), i64::from(value))));
             variables.extend(admission.retry.map(|retry| (name("again"), i64::from(retry))));
         }
@@ -100,7 +104,7 @@
         Backend::Other(position)
     }
 
-    /// The name of a backend as the proxy has it.
+    /// Returns the name of a backend at the proxy.
     pub fn backend_name(&self, backend: Backend) -> String {
         match backend {
             Backend::Table(table) => format!("t{table}"),
@@ -108,12 +112,12 @@
         }
     }
 
-    /// Whether no class is mapped to a table of a controller.
+    /// Returns true if no class is mapped to a table of a controller.
     pub fn has_no_table(&self) -> bool {
         !self.class_map.values().any(|backend| matches!(backend, Backend::Table(_)))
     }
 
-    /// Takes in what an acknowledged command changed.
+    /// Applies the change of a command that the proxy acknowledged with this response.
     pub fn apply(&mut self, change: Change, response: &str) {
         match change {
             Change::AddEntry { backend, endpoint, entry } => {
@@ -128,7 +132,7 @@
             Change::SetAddress { backend, endpoint, address } => {
                 self.change_entry(backend, endpoint, |entry| entry.address = Some(address));
             }
-            // An entry with requests in flight is not deleted; it stays, in maintenance.
+            // The proxy refuses to delete an entry with requests in flight; it remains in maintenance.
             Change::DeleteEntry { backend, endpoint } => {
                 if response.starts_with("Server deleted") {
                     self.entries.remove(&(backend, endpoint));
@@ -158,7 +162,7 @@
     }
 }
 
-/// The table behind a backend's name; none for a backend that is not a table.
+/// Returns the table whose backend has this name, or `None` if the backend is not a table.
 pub fn table_id(backend: &str) -> Option<TableId> {
     backend.strip_prefix('t')?.parse().ok()
 }
--- a/crates/fleet/src/desired_changes.rs
+++ b/crates/fleet/src/desired_changes.rs
@@ -1,4 +1,4 @@
-//! The changes that bring a proxy from what it acknowledged to what is published.
+//! The changes that take a proxy from its acknowledged state to the published state.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 use crate::ledger_change::{Change, ChangePhase};
 use crate::update_context::UpdateContext;
 
-/// What a change concerns.
+/// The object that a pending change concerns. The commands are derived when the message is built, from the published
+/// state of that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LedgerKey {
     Entry(TableId, EndpointId),
@@ -18,7 +19,7 @@
     Ejection(EndpointId),
 }
 
-/// The changes that a message is made of, each with what orders it.
+/// The changes of one message, each with its phase and the sequence number of its decision.
 #[derive(Default)]
 pub struct ChangeSet(Vec<(ChangePhase, u64, Change)>);
 
@@ -31,14 +32,15 @@
         self.0.is_empty()
     }
 
-    /// Stable, so that the commands of one entry keep their order.
+    /// Returns the changes by phase and then by sequence number. The sort is stable: the commands of one entry stay
+    /// in the order in which they were added.
     pub fn into_ordered(mut self) -> impl Iterator<Item = Change> {
         self.0.sort_by_key(|(phase, sequence, _)| (*phase, *sequence));
         self.0.into_iter().map(|(_, _, change)| change)
     }
 }
 
-/// Collects the changes of one pending key.
+/// Adds the changes of one pending key to a set, with the sequence number of the key.
 struct ChangeWriter<'a> {
     sequence: u64,
     set: &'a mut ChangeSet,
@@ -50,17 +52,19 @@
     }
 }
 
-/// What one proxy should hold, against what it holds.
+/// The desired state of one proxy compared with its acknowledged state.
 pub struct DesiredChanges<'a> {
+    /// The acknowledged state.
     pub applied: &'a AppliedState,
-    /// The tables that are assigned to it.
+    /// The tables that are assigned to the proxy.
     pub assigned: &'a BTreeMap<ClassId, TableId>,
     pub context: &'a UpdateContext<'a>,
 }
 
 impl DesiredChanges<'_> {
-    /// Adds the changes that one key takes, from what the proxy holds to what is published.
-    pub fn add(&self, key: LedgerKey, sequence: u64, set: &mut ChangeSet) {
+    /// Adds the changes that take the object of a key from its acknowledged to its published state; none if they are
+    /// equal.
+    pub fn add_changes(&self, key: LedgerKey, sequence: u64, set: &mut ChangeSet) {
         let changes = &mut ChangeWriter { sequence, set };
         match key {
             LedgerKey::Entry(table, endpoint) => self.add_entry_changes(table, endpoint, changes),
@@ -93,7 +97,7 @@
         let address = self.context.endpoints.address(endpoint);
         let Some(applied) = self.applied.entries.get(&(backend, endpoint)) else {
             if weight > 0 && address.is_some() {
-                // A new entry starts in maintenance, as the guide's `add server` has it.
+                // An entry added by `add server` is in maintenance, as in HAProxy's Management Guide.
                 let entry = AppliedEntry { weight, in_maintenance: true, address };
                 changes.push(ChangePhase::AddCapacity, Change::AddEntry { backend, endpoint, entry });
                 if !in_maintenance {
@@ -104,7 +108,7 @@
             return;
         };
         let Some(address) = address else {
-            // It is off the list: the entry goes for good, and has to be in maintenance for that.
+            // The endpoint is off the list: its entry is deleted, for which it has to be in maintenance.
             let change = Change::SetMaintenance { backend, endpoint, in_maintenance: true };
             changes.push(ChangePhase::RemoveCapacity, change);
             changes.push(ChangePhase::RemoveCapacity, Change::DeleteEntry { backend, endpoint });
--- a/crates/fleet/src/effect.rs
+++ b/crates/fleet/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the host is to carry out for the fleet controller.
+//! Work that the host carries out for the fleet controller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,44 +10,46 @@
 use crate::planner::SolverTask;
 use crate::publication::Publication;
 
-/// One piece of work for the host's sockets, files and threads.
+/// Work for the host's sockets, files or other threads.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Call the endpoint, and report to [`crate::FleetController::health_check_finished`].
+    /// Send a health check to the endpoint, and report its outcome to
+    /// [`crate::FleetController::health_check_finished`].
     CheckHealth {
         /// The endpoint to be checked.
         endpoint: EndpointId,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
     },
     /// Connect to the proxy, and report to [`crate::FleetController::connected`] or
     /// [`crate::FleetController::disconnected`].
     Connect {
-        /// The proxy to be connected.
+        /// The proxy to connect to.
         proxy: ProxyId,
-        /// The number of the connection, to be given back with each report of it.
+        /// The number of the connection, to be passed to each report about it.
         connection: u64,
-        /// How long to wait before the attempt.
+        /// The delay before the attempt.
         after: Duration,
     },
     /// Write commands to the proxy.
     Write {
-        /// The proxy that is addressed.
+        /// The proxy to write to.
         proxy: ProxyId,
-        /// The connection that the commands belong to; on any other they are dropped.
+        /// The connection that the commands belong to; if it is not the current one, they are dropped.
         connection: u64,
         /// Lines of the runtime API.
         text: String,
     },
     /// Write this snapshot of table files, and report to [`crate::FleetController::snapshot_written`].
     PublishSnapshot(Arc<Publication>),
-    /// Persist these entries across restarts, off the thread that decides.
+    /// Persist these entries, on a thread other than the controller's.
     SaveState(Vec<Entry>),
-    /// Solve this, off the thread that decides, and report to [`crate::FleetController::plan_solved`].
+    /// Solve this problem on a thread other than the controller's, and report to
+    /// [`crate::FleetController::plan_solved`].
     Solve(Arc<SolverTask>),
-    /// Give up the connection to the proxy; nothing that still arrives on it counts.
+    /// Close the connection to the proxy; what still arrives on it is ignored.
     Close {
-        /// The proxy that is disconnected.
+        /// The proxy to disconnect.
         proxy: ProxyId,
     },
 }
--- a/crates/fleet/src/endpoint_list.rs
+++ b/crates/fleet/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what its source states, and what operators set on top of it.
+//! The endpoint list: the entries that its source states, with operator overrides and planned weights.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,51 +9,52 @@
 use lockcroft_config::{EndpointEntry, EndpointListConfig};
 use lockcroft_host::NameInterner;
 
-/// An operator's override of one endpoint. It holds until the operator takes it back, whatever the source of the
-/// list states later.
+/// An operator's override of one endpoint. It stays in effect until the operator removes it, also when the list is
+/// replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OperatorOverride {
-    /// The endpoint is to drain.
+    /// True if a ready endpoint is treated as draining.
     pub draining: bool,
-    /// The weight in place of the listed one.
+    /// The weight that replaces the listed or planned one, if any.
     pub weight: Option<f64>,
 }
 
-/// As `show events` gives it.
+/// Formats the override as `show events` prints it.
 impl fmt::Display for OperatorOverride {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.debug_struct("Word").field("drains", &self.draining).field("weight", &self.weight).finish()
     }
 }
 
-/// How old an endpoint was when its start was first heard of.
+/// The age of an endpoint at the time when its start time was first read.
 #[derive(Clone, Copy)]
 struct ObservedAge {
     age: Duration,
+    /// When the start time was first read, on the controller's clock.
     at: Duration,
 }
 
-/// One endpoint as it is listed, with its start on the controller's own clock.
+/// A listed endpoint, with its age on the controller's clock if the list states its start time.
 struct ListedEndpoint {
     entry: EndpointEntry,
     observed_age: Option<ObservedAge>,
 }
 
-/// Endpoints by id. An id stays with its name, also when the endpoint is off the list.
+/// The listed endpoints by id. A name keeps its id when its endpoint is taken off the list.
 #[derive(Default)]
 pub struct EndpointList {
     names: NameInterner,
     listed: BTreeMap<EndpointId, ListedEndpoint>,
     overrides: BTreeMap<EndpointId, OperatorOverride>,
-    /// Weights that the solver worked out, in place of the listed ones.
+    /// Weights from solver plans, which replace the listed ones.
     planned_weights: BTreeMap<EndpointId, f64>,
     /// The version that the source gave the list.
     pub version: u64,
 }
 
 impl EndpointList {
-    /// Takes a whole list. A start that was known keeps its age on the controller's clock, so that two readings
-    /// of one file never look like two starts.
+    /// Replaces the list. An unchanged start time keeps the age that was observed first, so that reading a file again
+    /// does not look like a restart of its endpoints. A start time in the future counts as an age of 0.
     pub fn replace(&mut self, now: Duration, wall_clock: SystemTime, list: EndpointListConfig) {
         let mut previous = std::mem::take(&mut self.listed);
         self.version = list.version;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What the decisions are given: every endpoint of the list, with the operators' overrides.
+    /// Returns the record of each listed endpoint, with overrides and planned weights applied, and its age at `now`.
     #[must_use]
     pub fn records(&self, now: Duration) -> Vec<EndpointRecord> {
         self.listed.iter().map(|(endpoint, listed)| self.record(now, *endpoint, listed)).collect()
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Changes the override of an endpoint; one that says nothing is dropped.
+    /// Changes the override of an endpoint, and removes it if it is empty afterwards.
     pub fn change_override(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut OperatorOverride)) {
         let operator_override = self.overrides.entry(endpoint).or_default();
         change(operator_override);
@@ -104,41 +105,42 @@
         }
     }
 
-    /// The override of an endpoint; an empty one where no operator set any.
+    /// Returns the override of an endpoint, or an empty one if no operator set any.
     #[must_use]
     pub fn operator_override(&self, endpoint: EndpointId) -> OperatorOverride {
         self.overrides.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// Takes a weight that the solver worked out. It stands until the next, also while the endpoint is down.
+    /// Sets the planned weight of an endpoint. It stays in effect until the next one, also while the endpoint is
+    /// down.
     pub fn set_planned_weight(&mut self, endpoint: EndpointId, weight: f64) {
         self.planned_weights.insert(endpoint, weight);
     }
 
-    /// The id of a name that was met at a proxy; such an endpoint need not be on the list.
+    /// Returns the id of an endpoint name, which need not be on the list, and assigns one to an unknown name.
     pub fn intern(&mut self, name: &str) -> EndpointId {
         self.names.intern(name)
     }
 
-    /// The id of an endpoint of the list.
+    /// Returns the id of a listed endpoint.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.names.find(name).filter(|endpoint| self.listed.contains_key(endpoint))
     }
 
-    /// The name behind an id.
+    /// Returns the name of an endpoint.
     #[must_use]
     pub fn name(&self, endpoint: EndpointId) -> &str {
         self.names.name(endpoint)
     }
 
-    /// Where an endpoint of the list listens.
+    /// Returns the address on which an endpoint listens, or `None` if it is not listed.
     #[must_use]
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.listed.get(&endpoint).map(|listed| listed.entry.address)
     }
 
-    /// The weight that the source of the list states.
+    /// Returns the weight that the source of the list states, or `None` if the endpoint is not listed.
     #[must_use]
     pub fn listed_weight(&self, endpoint: EndpointId) -> Option<f64> {
         self.listed.get(&endpoint).map(|listed| listed.entry.weight)
--- a/crates/fleet/src/error.rs
+++ b/crates/fleet/src/error.rs
@@ -1,51 +1,52 @@
-//! The failures of this crate, one enum for each audience. Their texts are shown by the runtime API.
+//! Errors of proxy sessions, of snapshots and of operator commands. The runtime API shows their texts.
 
 use lockcroft_table_store::Epoch;
 use thiserror::Error;
 
-/// Why the connection to a proxy is given up. The text is the reason that `show proxies` gives.
+/// The reason for which the connection to a proxy is closed. `show proxies` shows the text.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The proxy answered although no command was outstanding.
-    #[error("an answer to nothing")]
+    /// The proxy sent a response although no command was outstanding.
+    #[error("unexpected response: no command is outstanding")]
     UnexpectedResponse,
-    /// The proxy answered more often than the message has commands.
-    #[error("an answer too many")]
+    /// The proxy sent more responses than the update has commands.
+    #[error("unexpected response: all commands of the update are answered")]
     TooManyResponses,
-    /// A controller with a later epoch has taken over; the proxy's own words.
+    /// A controller with a later epoch has taken over. Holds the proxy's response.
     #[error("{0}")]
     Superseded(String),
-    /// The table that the proxy sent cannot be read.
+    /// The proxy sent a table that cannot be parsed. Holds the parser's error.
     #[error("{0}")]
     MalformedTable(String),
-    /// The proxy did not carry out a command, so what it holds has to be read again.
-    #[error("{command:?} was answered with {response:?}")]
+    /// The proxy did not carry out a command, so its state has to be read again.
+    #[error("command {command:?} failed: the proxy answered {response:?}")]
     CommandFailed {
-        /// The command as it was written.
+        /// The command as it was sent.
         command: String,
-        /// What the proxy answered.
+        /// The proxy's response.
         response: String,
     },
-    /// The oldest outstanding command was not answered in time.
-    #[error("a command was left unanswered")]
+    /// The proxy did not respond to the oldest outstanding command in time.
+    #[error("timed out waiting for the response to a command")]
     ResponseTimeout,
 }
 
-/// Why a snapshot of table files did not go out.
+/// The reason for which a snapshot of table files was not written.
 #[derive(Debug, Error)]
 pub enum PublishError {
-    /// Another controller holds the folder under this epoch; nothing more is written.
-    #[error("superseded: a pilot of epoch {0} has taken over the folder; nothing is written any more")]
+    /// Another controller with this later epoch has taken over the folder. Nothing is written from then on.
+    #[error("superseded: a controller with epoch {0} has taken over the folder; writing has stopped")]
     Fenced(Epoch),
-    /// The snapshot could not be written; the last one stands and writing is retried.
-    #[error("no generation was written, the last one stands: {0}")]
+    /// The snapshot could not be written. The previous one stays in use, and writing is retried.
+    #[error("failed to write a snapshot, the previous one stays in use: {0}")]
     Failed(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// A result came while no snapshot was being written.
-    #[error("a generation that nobody asked for")]
+    /// A result arrived although no snapshot was being written.
+    #[error("received the result of a snapshot that was not requested")]
     Unexpected,
 }
 
-/// Why an operator's command is refused, in the words of HAProxy's Management Guide where it has them.
+/// The reason for which an operator's command is refused, worded as in HAProxy's Management Guide where it covers the
+/// case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OperatorError {
     /// No table has this name.
@@ -57,10 +58,10 @@
     /// The part before the slash names no table.
     #[error("No such backend.")]
     NoSuchBackend,
-    /// The part behind the slash names no endpoint of the list.
+    /// The part after the slash names no listed endpoint.
     #[error("No such server.")]
     NoSuchEndpoint,
-    /// The weight is no number, or is out of range.
+    /// The weight is not a number, or is out of range.
     #[error("Require <weight> or <weight%>.")]
     MalformedWeight,
 }
--- a/crates/fleet/src/event_log.rs
+++ b/crates/fleet/src/event_log.rs
@@ -1,21 +1,21 @@
-//! The last events and actions, for `show events`.
+//! The most recent events and actions, for `show events`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Older lines are dropped.
+/// The number of lines that are kept; older ones are dropped.
 const MAX_LINES: usize = 2048;
 
-/// A ring of lines. Each line has a position, so that a reader can go on where it stopped.
+/// A ring buffer of lines. Each line has a position, from which a reader can continue.
 #[derive(Default)]
 pub struct EventLog {
     ring: VecDeque<String>,
-    /// The position of the line that comes next.
+    /// The position of the next line.
     next: u64,
 }
 
 impl EventLog {
-    /// Adds a line that was caused by the inputs of this update batch.
+    /// Adds a line with its time and its update batch.
     pub fn add(&mut self, now: Duration, batch: u64, text: &str) {
         if self.ring.len() == MAX_LINES {
             self.ring.pop_front();
@@ -25,7 +25,7 @@
         self.next += 1;
     }
 
-    /// The lines from a position on, as far as they are still there; the position moves behind them.
+    /// Returns the lines from a position on, without those that were dropped, and advances the position to the end.
     pub fn since(&self, position: &mut u64) -> String {
         let first = self.next - self.ring.len() as u64;
         let skip = position.saturating_sub(first) as usize;
--- a/crates/fleet/src/file_distribution.rs
+++ b/crates/fleet/src/file_distribution.rs
@@ -1,7 +1,6 @@
-//! Distribution of tables to proxies that read files. What the decisions assign to them is gathered into one content,
-//! which goes out as a snapshot whenever it differs from the last: one file serves all proxies on a table. One
-//! snapshot is written at a time; what changes meanwhile goes with the next. Nothing is decided here about what
-//! stands in a table.
+//! Distribution of tables to proxies that read files. The tables of all these proxies form one content, which is
+//! written as a snapshot whenever it differs from the last one; proxies with the same table share its file. One
+//! snapshot is written at a time; changes made meanwhile are part of the next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,15 +16,15 @@
 use crate::snapshot_content::{Assignments, snapshot_content};
 use crate::update_context::UpdateContext;
 
-/// After a snapshot that could not be written the next attempt waits for so long, and twice as long each time.
+/// The delay before writing is retried after the first failure; it doubles with each further failure.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(5);
-/// The decision times of so many snapshots are kept for proxies that are still to apply them.
+/// The number of snapshots whose decision time is kept, to compute the latency when proxies apply them.
 const MAX_TRACKED_SNAPSHOTS: usize = 64;
 /// The longest latency that is recorded, in microseconds.
 pub const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// What differs from what was written last, as far as is known before the content is made.
+/// An object that may differ from the last snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PendingEntry {
     Entry(TableId, EndpointId),
@@ -36,7 +35,7 @@
 
 /// A proxy that reads files.
 #[derive(Default)]
-struct Reader {
+struct FileReader {
     name: String,
     assigned: Assignments,
     report: AppliedReport,
@@ -46,10 +45,11 @@
 struct PublicationInFlight {
     publication: Arc<Publication>,
     entries: BTreeSet<PendingEntry>,
+    /// The time of the oldest decision in it.
     since: Duration,
 }
 
-/// Counts for `show info`.
+/// Counters for `show info`.
 #[derive(Clone, Copy, Default)]
 pub struct PublicationTotals {
     pub snapshots: u64,
@@ -58,37 +58,40 @@
     pub bytes: u64,
 }
 
+/// The tables of the proxies that read files, and the snapshots written of them.
 pub struct FileDistribution {
-    readers: BTreeMap<ProxyId, Reader>,
+    readers: BTreeMap<ProxyId, FileReader>,
     reader_ids: BTreeMap<String, ProxyId>,
     retained_snapshots: usize,
     pending: BTreeSet<PendingEntry>,
-    /// When the oldest pending entry was decided.
+    /// The time of the oldest decision among the pending entries.
     pending_since: Duration,
     last_content: Option<SnapshotContent>,
     pub last_snapshot: Option<WrittenSnapshot>,
     in_flight: Option<PublicationInFlight>,
+    /// The delay after the last failure; zero after a success.
     backoff: Duration,
+    /// The time before which nothing is written.
     retry_at: Duration,
-    /// The epoch that fences this controller off, so that nothing is written any more.
+    /// The epoch of the controller that has taken over the folder. If set, nothing is written any more.
     pub fenced_by: Option<Epoch>,
-    /// What went wrong last.
+    /// The error of the last attempt to write, if it failed.
     pub last_error: Option<String>,
-    /// When the content of each snapshot was decided.
+    /// The time of the oldest decision in each recent snapshot.
     decided_at: BTreeMap<Version, Duration>,
     pub totals: PublicationTotals,
-    /// Microseconds from a decision to a proxy that has applied it.
+    /// The time from a decision until a proxy applied it, in microseconds.
     pub apply_latency: Histogram<u64>,
 }
 
 impl FileDistribution {
-    /// For these proxies, which read files.
+    /// Creates the distribution for these proxies, which read files.
     ///
     /// # Panics
-    /// Never: the histogram's bounds are constants.
+    /// Does not panic: the bounds of the histogram are valid constants.
     pub fn new(retained_snapshots: usize, proxies: impl Iterator<Item = (ProxyId, String)>) -> Self {
-        let reader = |(proxy, name): (ProxyId, String)| (proxy, Reader { name, ..Reader::default() });
-        let readers: BTreeMap<ProxyId, Reader> = proxies.map(reader).collect();
+        let reader = |(proxy, name): (ProxyId, String)| (proxy, FileReader { name, ..FileReader::default() });
+        let readers: BTreeMap<ProxyId, FileReader> = proxies.map(reader).collect();
         FileDistribution {
             reader_ids: readers.iter().map(|(proxy, reader)| (reader.name.clone(), *proxy)).collect(),
             readers,
@@ -108,13 +111,13 @@
         }
     }
 
-    /// Whether any proxy reads files.
-    pub fn is_used(&self) -> bool {
+    /// Returns true if any proxy reads files.
+    pub fn has_readers(&self) -> bool {
         !self.readers.is_empty()
     }
 
-    /// Whether this proxy reads files.
-    pub fn serves(&self, proxy: ProxyId) -> bool {
+    /// Returns true if this proxy reads files.
+    pub fn is_reader(&self, proxy: ProxyId) -> bool {
         self.readers.contains_key(&proxy)
     }
 
@@ -129,29 +132,30 @@
         self.readers.values().any(|reader| reader.assigned.values().any(|assigned| *assigned == table))
     }
 
-    /// An entry of a table changed.
+    /// Marks an entry of a table as changed, if the table is assigned to a reader.
     pub fn mark_entry(&mut self, now: Duration, table: TableId, endpoint: EndpointId) {
         if self.is_assigned(table) {
             self.mark(now, PendingEntry::Entry(table, endpoint));
         }
     }
 
-    /// Admission of a class changed in a table.
+    /// Marks the admission of a class in a table as changed, if the table is assigned to a reader.
     pub fn mark_admission(&mut self, now: Duration, table: TableId, class: ClassId) {
         if self.is_assigned(table) {
             self.mark(now, PendingEntry::Admission(table, class));
         }
     }
 
-    /// An endpoint was ejected or restored. It reaches all readers, whatever tables they hold, and whether they are
-    /// connected or not.
+    /// Marks an endpoint as ejected or restored. Ejections apply to all readers, whatever their tables, and whether
+    /// or not they are attached.
     pub fn mark_ejection(&mut self, now: Duration, endpoint: EndpointId) {
-        if self.is_used() {
+        if self.has_readers() {
             self.mark(now, PendingEntry::Ejection(endpoint));
         }
     }
 
-    /// The proxy stays on a table until it is assigned another, also while it is disconnected: the files reach it.
+    /// Assigns a table to a reader for these classes. The assignment stays in effect until the next one, also while
+    /// the proxy is disconnected, because it can still read files.
     pub fn assign_table(&mut self, now: Duration, proxy: ProxyId, table: TableId, classes: &[ClassId]) {
         let Some(reader) = self.readers.get_mut(&proxy) else { return };
         let mut changed = false;
@@ -163,18 +167,19 @@
         }
     }
 
-    /// Entries that wait to be written.
+    /// Returns the number of entries that are pending or being written.
     pub fn queued_entries(&self) -> usize {
         self.pending.len() + self.in_flight.as_ref().map_or(0, |in_flight| in_flight.entries.len())
     }
 
-    /// When [`FileDistribution::next_publication`] may have something to give.
+    /// Returns the time at which [`FileDistribution::next_publication`] is due; `Duration::MAX` if nothing is
+    /// pending, a snapshot is being written, or another controller has taken over.
     pub fn next_due(&self) -> Duration {
         let is_idle = self.pending.is_empty() || self.in_flight.is_some() || self.fenced_by.is_some();
         if is_idle { Duration::MAX } else { self.retry_at }
     }
 
-    /// The next snapshot, if anything differs and none is being written.
+    /// Returns the next snapshot if one is due and its content differs from the last one.
     pub fn next_publication(&mut self, now: Duration, context: &UpdateContext) -> Option<Arc<Publication>> {
         if now < self.next_due() {
             return None;
@@ -185,10 +190,9 @@
         if self.last_content.as_ref() == Some(&content) {
             return None;
         }
-        // A reader without a table of this epoch has to find those of the epoch before.
-        let earlier_epochs = self.readers.values().any(|reader| reader.assigned.is_empty());
-        let keep =
-            RetentionPolicy { max_snapshots: self.retained_snapshots, keep_earlier_epochs: earlier_epochs };
+        // A reader without a table of this epoch continues to use those of an earlier epoch.
+        let keep_earlier_epochs = self.readers.values().any(|reader| reader.assigned.is_empty());
+        let keep = RetentionPolicy { max_snapshots: self.retained_snapshots, keep_earlier_epochs };
         let publication = Arc::new(Publication { content, keep });
         self.in_flight = Some(PublicationInFlight {
             publication: publication.clone(),
@@ -198,10 +202,10 @@
         Some(publication)
     }
 
-    /// How the writing of the snapshot in flight ended.
+    /// Records the result of writing the snapshot in flight, and returns it.
     ///
     /// # Errors
-    /// Why it did not go out, for the people on call; the last one stands.
+    /// Returns the error of the result, or [`PublishError::Unexpected`] if no snapshot is in flight.
     pub fn publication_finished(
         &mut self,
         now: Duration,
@@ -238,7 +242,7 @@
         self.last_error = None;
     }
 
-    /// What did not go out waits again, with what came meanwhile.
+    /// Makes the entries of a failed snapshot pending again, and sets the time of the next attempt.
     fn retry_later(&mut self, now: Duration, in_flight: PublicationInFlight) {
         self.totals.failures += 1;
         self.pending_since = match self.pending.is_empty() {
@@ -250,16 +254,18 @@
         self.retry_at = now + self.backoff;
     }
 
-    /// Takes in what a proxy reports. Gives the text of an event for a snapshot that it newly refuses.
+    /// Records the report of a proxy, and returns the text of an event if the proxy newly rejects a snapshot.
     pub fn record_report(&mut self, report: AppliedReport) -> Option<String> {
         let epoch = self.last_snapshot.map(|snapshot| snapshot.epoch);
         let reader = self.readers.get_mut(self.reader_ids.get(&report.proxy)?)?;
-        let of_epoch = |report: &AppliedReport| report.applied.filter(|applied| Some(applied.epoch) == epoch);
-        if let Some(AppliedVersion { version, applied_at, .. }) = of_epoch(&report) {
-            let earlier = of_epoch(&reader.report).map_or(0, |applied| applied.version);
-            // A proxy that was started anew may report less than before.
-            for (_, since) in self.decided_at.iter().filter(|(of, _)| **of > earlier && **of <= version) {
-                let latency = applied_at.saturating_sub(*since);
+        let applied_in_epoch =
+            |report: &AppliedReport| report.applied.filter(|applied| Some(applied.epoch) == epoch);
+        if let Some(AppliedVersion { version, applied_at, .. }) = applied_in_epoch(&report) {
+            let earlier = applied_in_epoch(&reader.report).map_or(0, |applied| applied.version);
+            // After a restart of the proxy, `version` may be less than `earlier`; then nothing is recorded.
+            let newly_applied = |snapshot: Version| snapshot > earlier && snapshot <= version;
+            for (_, decided_at) in self.decided_at.iter().filter(|(snapshot, _)| newly_applied(**snapshot)) {
+                let latency = applied_at.saturating_sub(*decided_at);
                 self.apply_latency.saturating_record(latency.as_micros() as u64);
             }
         }
@@ -267,15 +273,16 @@
             report.rejected.clone().filter(|rejected| reader.report.rejected.as_ref() != Some(rejected));
         reader.report = report;
         let RejectedVersion { epoch, version, reason } = rejected?;
-        Some(format!("{} refuses e{epoch} g{version}: {reason}", reader.name))
+        Some(format!("{} rejects snapshot e{epoch} g{version}: {reason}", reader.name))
     }
 
-    /// What a proxy reported last; none for one that reads no files.
+    /// Returns the last report of a proxy, which is empty before the first one, or `None` if the proxy reads no
+    /// files.
     pub fn report(&self, proxy: ProxyId) -> Option<&AppliedReport> {
         self.readers.get(&proxy).map(|reader| &reader.report)
     }
 
-    /// The tables that are assigned to a proxy that reads files.
+    /// Returns the tables that are assigned to a proxy; none if the proxy reads no files.
     pub fn tables(&self, proxy: ProxyId) -> BTreeSet<TableId> {
         let assigned = self.readers.get(&proxy).map(|reader| reader.assigned.values().copied());
         assigned.into_iter().flatten().collect()
--- a/crates/fleet/src/fleet_controller.rs
+++ b/crates/fleet/src/fleet_controller.rs
@@ -1,5 +1,5 @@
-//! Hosts the decisions: inputs go in as calls (`inputs`, `sessions`, `state_recovery`), actions are pulled until there
-//! is none, and what they ask for comes out as effects. Bookkeeping only.
+//! Drives the decisions: other modules forward inputs to them (`inputs`, `sessions`, `state_recovery`); here their
+//! actions are executed until none is left, and the resulting effects are returned.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -23,39 +23,40 @@
 use crate::update_context::UpdateContext;
 use crate::weight_scale::WeightScale;
 
-/// The shortest time between two readings of a proxy's counters, whatever the settings state.
+/// The lower limit of the time between two readings of a proxy's counters.
 const MIN_REPORT_PERIOD: Duration = Duration::from_millis(100);
 
-/// What falls due at a time of its own, beside the decisions' own times. Those of one time go by this order.
+/// Timers of the fleet controller; the decisions keep their own. Timers of the same time expire in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Whether the oldest command of a connection was answered.
+    /// Check that the oldest outstanding command of a connection has not timed out.
     ResponseTimeout { proxy: ProxyId, connection: u64 },
-    /// The counters of a proxy are read.
+    /// Read the counters of a proxy.
     CollectStatistics { proxy: ProxyId, connection: u64 },
 }
 
-/// Sums of the attempts that were reported of an endpoint since the start.
+/// Attempts at an endpoint that were reported since the start.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct EndpointCounters {
     pub attempts: u64,
     pub failed: u64,
-    /// Of those that did not fail.
+    /// The sum of the latencies of attempts that did not fail, in milliseconds.
     pub latency_sum_ms: f64,
 }
 
-/// Counts for `show info`.
+/// Counters for `show info`.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Totals {
     pub actions: u64,
     pub messages: u64,
     pub entries: u64,
     pub health_checks: u64,
+    /// The maximum number of queued entries since the counters were cleared.
     pub peak_queued_entries: usize,
 }
 
-/// The controller's state beside its decisions. All its methods are called from one thread, with times of one
-/// monotonic clock that begins at the start.
+/// The state of a controller around its decisions. Its methods take times of one monotonic clock, which is 0 at the
+/// start of the controller. They do not block.
 pub struct FleetController {
     pub(crate) controller: Controller,
     pub(crate) names: NameIndex,
@@ -67,27 +68,29 @@
     pub(crate) name: String,
     pub(crate) now: Duration,
     pub(crate) endpoint_counters: BTreeMap<EndpointId, EndpointCounters>,
-    /// Requests since the start, by class.
+    /// The requests of each class since the start.
     pub(crate) request_counts: Vec<u64>,
     pub(crate) totals: Totals,
-    /// Microseconds from a decision to the last response to its message.
+    /// The time from a decision to the last response to its message, in microseconds.
     pub(crate) acknowledgement_latency: Histogram<u64>,
     pub(crate) max_queued_entries: f64,
-    /// The number of the update batch: all that was decided at one time.
+    /// The number of the current update batch: the actions of one call of `run_actions`, and the inputs since the last
+    /// call that had any.
     pub(crate) batch: u64,
     pub(crate) planner: Option<Planner>,
     pub(crate) files: FileDistribution,
     pub(crate) recorder: Option<StateRecorder>,
     pub(crate) state_store_status: StateStoreStatus,
-    /// What was known before the start, until the first list says which endpoints there are.
+    /// State from before the start, until it is applied with the first endpoint list.
     pub(crate) recovered_state: Option<RecoveredState>,
-    /// Proxies that a message may have to go to.
-    pub(crate) to_update: BTreeSet<ProxyId>,
-    /// Attached proxies by the tables that they were assigned.
+    /// Proxies for which there may be a message to send.
+    pub(crate) update_queue: BTreeSet<ProxyId>,
+    /// The attached proxies to which each table was assigned.
     pub(crate) attached_by_table: BTreeMap<TableId, BTreeSet<ProxyId>>,
     pub(crate) effects: VecDeque<Effect>,
     pub(crate) timers: BTreeSet<(Duration, Timer)>,
     pub(crate) rng: WyRand,
+    /// The time between two readings of a proxy's counters.
     pub(crate) report_period: Duration,
     pub(crate) response_timeout: Duration,
     pub(crate) reconnect_backoff: BackoffRange,
@@ -95,17 +98,18 @@
 }
 
 impl FleetController {
-    /// Begins with a connection to each proxy. The epoch fences off controllers that came before, and earlier
-    /// connections of this one: milliseconds of the wall clock at the start will do.
+    /// Creates a controller whose first effects connect to each proxy. `epoch` is the wall clock at the start in
+    /// milliseconds. It is the fencing token by which proxies refuse earlier controllers and earlier connections of
+    /// this one, and the base of the times of saved state.
     ///
     /// # Panics
-    /// Never: the histogram's bounds are constants.
+    /// Does not panic: the bounds of the histogram are valid constants.
     #[must_use]
     pub fn new(config: &DaemonConfig, epoch: u64) -> Self {
         let settings = &config.settings;
         let retained_snapshots = config.table_files.as_ref().map_or(0, |files| files.retained_snapshots);
-        let readers = config.proxies.iter().enumerate().filter(|(_, proxy)| proxy.reads_files);
-        let readers = readers.map(|(proxy, config)| (proxy, config.name.clone()));
+        let file_readers = config.proxies.iter().enumerate().filter(|(_, proxy)| proxy.reads_files);
+        let file_readers = file_readers.map(|(proxy, config)| (proxy, config.name.clone()));
         let connect = |proxy| Effect::Connect { proxy, connection: 0, after: Duration::ZERO };
         FleetController {
             controller: Controller::new(settings.clone(), config.seed),
@@ -125,11 +129,11 @@
             max_queued_entries: settings.fleet.max_queued_entries,
             batch: 1,
             planner: Planner::new(settings, config.names.zones.len()),
-            files: FileDistribution::new(retained_snapshots, readers),
+            files: FileDistribution::new(retained_snapshots, file_readers),
             recorder: None,
             state_store_status: StateStoreStatus::default(),
             recovered_state: None,
-            to_update: BTreeSet::new(),
+            update_queue: BTreeSet::new(),
             attached_by_table: BTreeMap::new(),
             effects: (0..config.proxies.len()).map(connect).collect(),
             timers: BTreeSet::new(),
@@ -141,10 +145,10 @@
         }
     }
 
-    /// When [`FleetController::run_actions`] has to be called at the latest.
+    /// Returns the latest time for the next call of [`FleetController::run_actions`].
     #[must_use]
     pub fn next_due(&self) -> Duration {
-        if !self.to_update.is_empty() {
+        if !self.update_queue.is_empty() {
             return self.now;
         }
         let timers = self.timers.first().map_or(Duration::MAX, |(time, _)| *time);
@@ -153,33 +157,36 @@
         self.controller.next_due().min(timers).min(plan).min(self.files.next_due()).min(recording)
     }
 
-    /// Entries that wait for all proxies, or are on their way to one.
+    /// Returns the number of entries that are pending or in flight, summed over all proxies that take commands, plus
+    /// those of the next and the current snapshot of table files.
     #[must_use]
     pub fn queued_entries(&self) -> usize {
-        let at_proxies: usize = self.sessions.iter().map(|session| session.ledger.queued_entries()).sum();
-        at_proxies + self.files.queued_entries()
+        let of_sessions: usize = self.sessions.iter().map(|session| session.ledger.queued_entries()).sum();
+        of_sessions + self.files.queued_entries()
     }
 
-    /// Forgets the latencies of updates and the most entries that waited; the guide's `clear counters`.
+    /// Resets the latencies of updates and snapshots and the maximum of queued entries, for `clear counters`.
     pub fn clear_counters(&mut self) {
         self.acknowledgement_latency.reset();
         self.files.apply_latency.reset();
         self.totals.peak_queued_entries = 0;
     }
 
-    /// Pulls actions from the decisions until there is none, and gives out what is to be carried out.
+    /// Expires timers, executes the actions of the decisions until none is left, and returns the effects for the
+    /// host. The effects include those of inputs since the last call. Messages to many proxies are spread over
+    /// several calls; [`FleetController::next_due`] then asks for the next call at once.
     pub fn run_actions(&mut self, now: Duration) -> Vec<Effect> {
         self.now = now;
         self.expire_timers(now);
         let endpoints = self.controller.state().endpoints;
         let task = self.planner.as_mut().and_then(|planner| planner.next_task(now, endpoints));
         self.effects.extend(task.map(Effect::Solve));
-        // The decisions hold updates back while too much waits, so they get the true number first.
+        // The decisions limit updates by the number of queued entries, so it is set before they are asked.
         self.controller.set_queued_entries(self.queued_entries());
         let actions_before = self.totals.actions;
         while let Some(action) = self.controller.next_action(now) {
             self.totals.actions += 1;
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         self.totals.peak_queued_entries = self.totals.peak_queued_entries.max(self.queued_entries());
         self.publish_snapshot(now);
@@ -206,17 +213,17 @@
         self.events.add(self.now, self.batch, text);
     }
 
-    /// What is decided now belongs to the current update batch.
+    /// Returns the time and the update batch of a decision made now.
     pub(crate) fn decided_at(&self, now: Duration) -> DecidedAt {
         DecidedAt { time: now, batch: self.batch }
     }
 
-    /// Attached proxies that were assigned a table.
+    /// Returns the number of attached proxies to which a table was assigned.
     pub(crate) fn attached_count(&self, table: TableId) -> usize {
         self.attached_by_table.get(&table).map_or(0, BTreeSet::len)
     }
 
-    /// All attached proxies.
+    /// Returns the number of attached proxies.
     pub(crate) fn attached_total(&self) -> usize {
         self.sessions.iter().filter(|session| session.is_attached()).count()
     }
--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -1,5 +1,5 @@
-//! Inputs beside those of the proxies' connections: the endpoint list, operators, health checks, plans, and the
-//! folders of table files and of learned state.
+//! Inputs other than those of proxy connections: the endpoint list, operator overrides, health checks, solver
+//! answers, and results of writing table files.
 
 use std::time::{Duration, SystemTime};
 
@@ -16,11 +16,11 @@
 use crate::publication::AppliedReport;
 
 impl FleetController {
-    /// The endpoint list was read anew. The first one also brings back what was known before the start.
+    /// Replaces the endpoint list. The first list also applies the state that was recovered from before the start.
     pub fn update_endpoint_list(&mut self, now: Duration, wall_clock: SystemTime, list: EndpointListConfig) {
         self.now = now;
         let (version, endpoints) = (list.version, list.entries.len());
-        info!(target: "lockcroft::input", wave = self.batch, version, endpoints, "listed");
+        info!(target: "lockcroft::input", wave = self.batch, version, endpoints, "updated the endpoint list");
         self.add_event(&format!("list at version {version}, {endpoints} servers"));
         self.endpoints.replace(now, wall_clock, list);
         self.forward_endpoint_list(now);
@@ -34,17 +34,18 @@
         self.controller.update_endpoints(now, true, self.endpoints.version, &records);
     }
 
-    /// An operator changes the override of an endpoint of the list.
+    /// Changes the operator override of a listed endpoint.
     pub fn override_endpoint(&mut self, endpoint: EndpointId, change: impl FnOnce(&mut OperatorOverride)) {
         self.endpoints.change_override(endpoint, change);
         let name = self.endpoints.name(endpoint).to_string();
         let operator_override = self.endpoints.operator_override(endpoint);
-        info!(target: "lockcroft::input", wave = self.batch, endpoint = name, ?operator_override, "operator");
+        info!(target: "lockcroft::input", wave = self.batch, endpoint = name, ?operator_override,
+            "changed an operator override");
         self.add_event(&format!("operator: {name}: {operator_override}"));
         self.forward_endpoint_list(self.now);
     }
 
-    /// How a health check ended, and how long it took.
+    /// Records the outcome and the latency of a health check.
     pub fn health_check_finished(
         &mut self,
         now: Duration,
@@ -54,15 +55,15 @@
     ) {
         self.now = now;
         debug!(target: "lockcroft::input", wave = self.batch, endpoint = self.endpoints.name(endpoint), ?outcome,
-            ms = latency.as_millis() as u64, "probed");
+            ms = latency.as_millis() as u64, "health check finished");
         if let (Some(planner), HealthCheckOutcome::Passed(Some(load))) = (&mut self.planner, outcome) {
             planner.record_load(endpoint, load);
         }
         self.controller.health_check_finished(now, endpoint, outcome, latency);
     }
 
-    /// The answer to the task in flight; none if it was no sound problem. Weights that it changes are the list's
-    /// from now on.
+    /// Takes the solver's answer to the task in flight; `None` if the problem was invalid. The weights that the plan
+    /// changes replace the listed ones.
     pub fn plan_solved(&mut self, now: Duration, answer: Option<Answer>) {
         self.now = now;
         let attached = self.attached_total();
@@ -71,44 +72,46 @@
         for (class, fraction) in planner.planned_fractions().iter().enumerate() {
             self.controller.set_planned_admission(class, *fraction);
         }
-        for (endpoint, steps) in &weights {
-            // Never 0, so that requests have somewhere to go if all others fail.
-            let weight = self.weight_scale.weight(f64::from((*steps).max(1)));
+        for (endpoint, units) in &weights {
+            // At least 1, so that the endpoint can still take requests if all others fail.
+            let weight = self.weight_scale.weight(f64::from((*units).max(1)));
             self.endpoints.set_planned_weight(*endpoint, weight);
         }
-        for (table, shares) in tables {
-            self.add_event(&format!("plan: t{table} by {} servers", shares.len()));
-            self.controller.set_planned_weights(table, shares);
+        for (table, fractions) in tables {
+            self.add_event(&format!("plan: t{table}: weights of {} endpoints", fractions.len()));
+            self.controller.set_planned_weights(table, fractions);
         }
         if !weights.is_empty() {
-            info!(target: "lockcroft::input", wave = self.batch, entries = weights.len(), "planned");
-            self.add_event(&format!("plan: {} lines of the list", weights.len()));
+            info!(target: "lockcroft::input", wave = self.batch, entries = weights.len(), "applied a solver plan");
+            self.add_event(&format!("plan: listed weights of {} endpoints", weights.len()));
             self.forward_endpoint_list(now);
         }
     }
 
-    /// How the writing of the snapshot in flight ended.
+    /// Records the result of writing the snapshot in flight.
     pub fn snapshot_written(&mut self, now: Duration, result: Result<WrittenSnapshot, PublishError>) {
         self.now = now;
         match self.files.publication_finished(now, result) {
             Ok(WrittenSnapshot { epoch, version, files, linked, bytes }) => {
-                debug!(target: "lockcroft::update", wave = self.batch, epoch, version, files, linked, bytes, "written");
+                debug!(target: "lockcroft::update", wave = self.batch, epoch, version, files, linked, bytes,
+                    "wrote a snapshot");
                 self.add_event(&format!(
                     "files: e{epoch} g{version}, {files} written, {linked} linked, {bytes} bytes"
                 ));
             }
             Err(error) => {
-                warn!(target: "lockcroft::update", wave = self.batch, reason = error.to_string(), "not written");
+                warn!(target: "lockcroft::update", wave = self.batch, reason = error.to_string(),
+                    "failed to write a snapshot");
                 self.add_event(&format!("files: {error}"));
             }
         }
     }
 
-    /// What a proxy that reads files reports of itself.
+    /// Records the report of a proxy that reads files.
     pub fn snapshot_applied(&mut self, now: Duration, report: AppliedReport) {
         self.now = now;
         if let Some(text) = self.files.record_report(report) {
-            warn!(target: "lockcroft::input", wave = self.batch, text, "refused");
+            warn!(target: "lockcroft::input", wave = self.batch, text, "a proxy rejected a snapshot");
             self.add_event(&format!("files: {text}"));
         }
     }
--- a/crates/fleet/src/ledger_change.rs
+++ b/crates/fleet/src/ledger_change.rs
@@ -1,4 +1,4 @@
-//! One change at a proxy, and when it comes within a message.
+//! A change at a proxy, and its place in the order of an update message.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::applied_entry::{AppliedEntry, Backend};
 
-/// What a command changes at the proxy.
+/// A change that one command makes at the proxy.
 #[derive(Clone, Copy, Debug)]
 pub enum Change {
     AddEntry { backend: Backend, endpoint: EndpointId, entry: AppliedEntry },
@@ -20,20 +20,20 @@
 }
 
 impl Change {
-    /// Whether the response says that it was done.
+    /// Returns true if the response says that the proxy carried the command out.
     pub fn succeeded(&self, response: &str) -> bool {
         match self {
             Change::AddEntry { .. } => response.starts_with("New server registered"),
             Change::SetAddress { .. } => response.contains("changed"),
-            // Requests may still be in flight there; in maintenance as it is, the entry does no harm.
+            // A refusal means that requests are still in flight; the entry is in maintenance and may remain.
             Change::DeleteEntry { .. } => true,
             _ => response.is_empty(),
         }
     }
 }
 
-/// When a change comes within a message: what adds capacity comes before what takes it away, so that a proxy that
-/// stops half way has too much rather than nothing.
+/// The order of changes within a message. Changes that add capacity come before those that remove it, so that a proxy
+/// that stops partway has excess capacity rather than none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangePhase {
     AddCapacity,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,11 +1,12 @@
-//! What a running controller knows beside its decisions: the endpoint list with the operators' overrides, what
-//! each proxy has acknowledged, and the counters of proxies turned into reports. [`FleetController`] hosts the
-//! decisions of [`lockcroft::Controller`]: inputs go in as calls, and an [`Effect`] comes out for each thing that
-//! is to be carried out on a socket or a file. There is no I/O and no clock here, and nothing about endpoints,
-//! weights or requests is decided here.
+//! State of a controller daemon around its decisions: the endpoint list with operator overrides, the sessions and
+//! acknowledged state of the proxies, their counters, table snapshots and solver plans.
 //!
-//! Start reading at [`FleetController::run_actions`]; `sessions` holds the way of a response, `proxy_ledger` the
-//! difference between the desired and the acknowledged state of a proxy.
+//! [`FleetController`] drives [`lockcroft::Controller`]. Inputs are method calls; work on sockets, files and other
+//! threads is returned as [`Effect`]s. The crate does no I/O, reads no clock, and makes no decisions about
+//! endpoints, weights or requests.
+//!
+//! [`FleetController::run_actions`] is the entry point for readers. `sessions` handles connections and responses;
+//! `proxy_ledger` computes the difference between the desired and the acknowledged state of a proxy.
 
 #![warn(missing_docs)]
 
--- a/crates/fleet/src/proxy_ledger.rs
+++ b/crates/fleet/src/proxy_ledger.rs
@@ -1,6 +1,6 @@
-//! One proxy's ledger: what it should hold against what it acknowledged, and the update on its way. Changes that
-//! wait are named by what they concern and are not kept as text: a proxy that stalls for long gets each entry once,
-//! as it is by then, and what waits is bounded by its tables.
+//! The ledger of one proxy: its desired and its acknowledged state, and the update in flight. Pending changes are
+//! kept as keys of the objects that they concern, not as commands: a proxy that stalls is later sent each entry once,
+//! with its latest value, and the number of pending changes is bounded by the size of the proxy's tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::update_context::UpdateContext;
 use crate::update_in_flight::{AcknowledgedUpdate, UpdateInFlight, UpdateMessage};
 
-/// When a change was decided first, and in which update batch.
+/// The time of a decision and its update batch.
 #[derive(Clone, Copy, Debug)]
 pub struct DecidedAt {
     pub time: Duration,
@@ -25,23 +25,24 @@
 /// A change that waits for the next message.
 #[derive(Clone, Copy, Debug)]
 struct PendingChange {
-    /// Its position in the order of decisions.
+    /// The position in the order of decisions on this connection.
     sequence: u64,
+    /// The first decision since the last message that concerns the key.
     decided: DecidedAt,
 }
 
-/// Desired against acknowledged state of one proxy.
+/// The desired and the acknowledged state of one proxy.
 #[derive(Default)]
 pub struct ProxyLedger {
     applied: AppliedState,
-    /// Tables that the decisions assigned to it on this connection.
+    /// The tables that the decisions assigned to the proxy on this connection.
     assigned: BTreeMap<ClassId, TableId>,
     pending: BTreeMap<LedgerKey, PendingChange>,
     last_sequence: u64,
     in_flight: Option<UpdateInFlight>,
 }
 
-/// A ledger for a connection that was just made, from what the proxy holds.
+/// Creates the ledger of a new connection from the state that the proxy reported.
 impl From<AppliedState> for ProxyLedger {
     fn from(applied: AppliedState) -> Self {
         ProxyLedger { applied, ..ProxyLedger::default() }
@@ -49,22 +50,23 @@
 }
 
 impl ProxyLedger {
-    /// What the proxy held when its connection ended; updates and assignments are of one connection.
+    /// Returns the acknowledged state when the connection has ended, and drops the assignments and the update in
+    /// flight, which are valid for one connection only.
     pub fn into_applied(self) -> AppliedState {
         self.applied
     }
 
-    /// Whether the proxy holds no table of a controller.
+    /// Returns true if the proxy maps no class to a table of a controller.
     pub fn has_no_table(&self) -> bool {
         self.applied.has_no_table()
     }
 
-    /// Changes that wait or are on their way.
+    /// Returns the number of changes that are pending or in flight.
     pub fn queued_entries(&self) -> usize {
         self.pending.len() + self.in_flight.as_ref().map_or(0, UpdateInFlight::entries)
     }
 
-    /// The tables that are assigned to it.
+    /// Returns the tables that are assigned to the proxy.
     pub fn tables(&self) -> BTreeSet<TableId> {
         self.assigned.values().copied().collect()
     }
@@ -79,15 +81,15 @@
         self.pending.entry(key).or_insert(PendingChange { sequence, decided });
     }
 
-    /// An entry of a table changed.
+    /// Marks an entry of a table as changed, if the table is assigned to the proxy.
     pub fn mark_entry(&mut self, table: TableId, endpoint: EndpointId, decided: DecidedAt) {
         if self.is_assigned(table) {
             self.mark(LedgerKey::Entry(table, endpoint), decided);
         }
     }
 
-    /// Assigns a table for these classes. What the proxy holds of it from before is brought in line: entries that
-    /// are right already cost nothing, entries that are not published are deleted.
+    /// Assigns a table for these classes. Entries that the proxy already has in the table are reconciled: those that
+    /// match cost no command, those that are not published are deleted.
     pub fn assign_table(
         &mut self,
         table: TableId,
@@ -111,21 +113,22 @@
         }
     }
 
-    /// Admission of a class changed in a table.
+    /// Marks the admission of a class as changed, if the class is assigned to this table.
     pub fn mark_admission(&mut self, table: TableId, class: ClassId, decided: DecidedAt) {
         if self.assigned.get(&class) == Some(&table) {
             self.mark(LedgerKey::Admission(class), decided);
         }
     }
 
-    /// An endpoint was ejected or restored: it concerns every backend that holds it.
+    /// Marks an endpoint as ejected or restored, if any backend of the proxy has an entry of it.
     pub fn mark_ejection(&mut self, endpoint: EndpointId, decided: DecidedAt) {
         if self.applied.entries.keys().any(|(_, applied_endpoint)| *applied_endpoint == endpoint) {
             self.mark(LedgerKey::Ejection(endpoint), decided);
         }
     }
 
-    /// The next message, unless one is on its way.
+    /// Returns the next message: the pending changes if no update is in flight, or the commit of the one in flight if
+    /// it is due.
     pub fn next_message(&mut self, context: &UpdateContext) -> Option<UpdateMessage> {
         if let Some(in_flight) = &mut self.in_flight {
             return in_flight.take_commit();
@@ -138,7 +141,7 @@
         let mut entries = 0;
         for (key, PendingChange { sequence, .. }) in pending {
             let before = set.len();
-            desired.add(key, sequence, &mut set);
+            desired.add_changes(key, sequence, &mut set);
             entries += usize::from(set.len() > before);
         }
         if set.is_empty() {
@@ -151,11 +154,12 @@
         Some(message)
     }
 
-    /// The response to the oldest outstanding command of the update. Only now is held what it changes. Gives the
-    /// update once all of it is acknowledged.
+    /// Handles the response to the oldest outstanding command of the update, and applies what it acknowledges to the
+    /// state of the proxy. Returns the update with the last response to it.
     ///
     /// # Errors
-    /// The proxy did not carry the command out: what it holds has to be read again.
+    /// Returns an error if no update is in flight, or if the proxy did not carry the command out and its state has to
+    /// be read again.
     pub fn acknowledge(&mut self, response: &str) -> Result<Option<AcknowledgedUpdate>, SessionError> {
         let in_flight = self.in_flight.as_mut().ok_or(SessionError::UnexpectedResponse)?;
         let changes = in_flight.acknowledge(response)?;
@@ -169,7 +173,7 @@
         Ok(acknowledged)
     }
 
-    /// Whether the proxy waits for the commit of what it prepared.
+    /// Returns true if all changes of a transaction are prepared and its commit is still to be sent.
     pub fn is_commit_due(&self) -> bool {
         self.in_flight.as_ref().is_some_and(UpdateInFlight::is_commit_due)
     }
--- a/crates/fleet/src/proxy_session.rs
+++ b/crates/fleet/src/proxy_session.rs
@@ -1,4 +1,4 @@
-//! One proxy's connection: connecting, reading what the proxy holds, attached; and what is outstanding on it.
+//! The session of one proxy: its connection, its phase, and the outstanding requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,65 +12,68 @@
 use crate::proxy_counters::Counters;
 use crate::proxy_ledger::ProxyLedger;
 
-/// Waits between attempts to connect are shortened by up to this fraction, so that proxies which were lost
-/// together are not connected together.
+/// The maximum fraction by which the delay between attempts to connect is shortened at random, so that proxies that
+/// were lost at the same time are not reconnected at the same time.
 const MAX_JITTER: f64 = 0.5;
 
-/// Where a connection stands.
+/// The phase of a proxy's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionPhase {
     /// There is no connection.
     Disconnected,
-    /// There is a connection, and the proxy is asked what it holds.
+    /// There is a connection, and the state of the proxy is being read.
     Reconciling,
-    /// What the proxy holds is known, and it takes part in the decisions.
+    /// The state of the proxy is known, and it takes part in the decisions.
     Attached,
 }
 
-/// What an outstanding command asked for; responses come in the order of the commands.
+/// The purpose of an outstanding command. Responses come in the order of the commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingRequest {
-    /// Interactive mode, so that the connection stays open.
+    /// Switch to interactive mode, so that the connection stays open.
     Prompt,
-    /// Whether the proxy accepts this controller, or a later one has taken over.
+    /// Set the epoch, which the proxy refuses if a later controller has taken over.
     Epoch,
-    /// Whether the proxy holds what it held when its last connection ended.
+    /// Read the digest of the proxy's state, to compare it with the last acknowledged state.
     Digest,
-    /// Its table entries.
+    /// Read the table entries.
     States,
-    /// Its map of classes to tables.
+    /// Read the map of classes to tables.
     Map,
-    /// One command of an update.
+    /// Carry out one command of an update.
     Update,
-    /// Its counters.
+    /// Read the counters.
     Statistics,
 }
 
-/// A command that was sent and not answered yet.
+/// A command that was sent and has no response yet.
 #[derive(Clone, Copy, Debug)]
 pub struct OutstandingRequest {
     pub request: PendingRequest,
     pub sent_at: Duration,
 }
 
+/// The session of one proxy, across its connections.
 pub struct ProxySession {
     pub config: ProxyConfig,
     pub phase: SessionPhase,
-    /// Connections are numbered: what arrives late from an earlier one is ignored.
+    /// The number of the connection. Late inputs of an earlier connection are ignored.
     pub connection: u64,
-    /// Since when the phase has lasted.
-    pub since: Duration,
+    /// When the phase began.
+    pub phase_since: Duration,
     pub ledger: ProxyLedger,
-    /// What the proxy held when its last connection ended.
+    /// The acknowledged state when the proxy was last detached; `None` once it is attached again.
     pub last_applied: Option<AppliedState>,
     pub counters: Counters,
     pub outstanding: VecDeque<OutstandingRequest>,
-    /// The table entries that were read, until the map is read too.
+    /// The table entries that were read, until the map is read as well.
     pub states: Vec<StateRow>,
     pub last_response_at: Option<Duration>,
+    /// The number of lost connections and failed attempts to connect.
     pub disconnects: u64,
-    /// Why the last connection ended, or was not made.
+    /// The reason of the last disconnect or failed attempt.
     pub reason: String,
+    /// The delay before the next attempt to connect, without jitter.
     backoff: Duration,
 }
 
@@ -80,7 +83,7 @@
             config,
             phase: SessionPhase::Disconnected,
             connection: 0,
-            since: Duration::ZERO,
+            phase_since: Duration::ZERO,
             ledger: ProxyLedger::default(),
             last_applied: None,
             counters: Counters::default(),
@@ -88,7 +91,7 @@
             states: Vec::new(),
             last_response_at: None,
             disconnects: 0,
-            reason: "not dialled yet".into(),
+            reason: "not connected yet".into(),
             backoff: Duration::ZERO,
         }
     }
@@ -97,28 +100,28 @@
         self.phase == SessionPhase::Attached
     }
 
-    /// Whether updates go to it as commands: it is attached, and does not read table files.
+    /// Returns true if updates are sent to the proxy as commands: it is attached, and does not read table files.
     pub fn takes_commands(&self) -> bool {
         self.is_attached() && !self.config.reads_files
     }
 
-    /// How long to wait before the next attempt to connect: exponential backoff with jitter, which starts anew if
-    /// the last connection lasted for longer than the longest wait.
+    /// Returns the delay before the next attempt to connect: exponential backoff with jitter, which starts over if
+    /// the proxy was attached for longer than the maximum delay.
     pub fn next_backoff(&mut self, now: Duration, range: BackoffRange, rng: &mut WyRand) -> Duration {
-        let was_stable = self.is_attached() && now.saturating_sub(self.since) > range.max;
+        let was_stable = self.is_attached() && now.saturating_sub(self.phase_since) > range.max;
         self.backoff = if was_stable { range.min } else { (self.backoff * 2).clamp(range.min, range.max) };
         let draw = f64::from(rng.generate::<u32>()) / f64::from(u32::MAX);
         self.backoff.mul_f64(1.0 - MAX_JITTER * draw)
     }
 
-    /// The connection is gone, and with it all that was outstanding on it.
+    /// Drops the connection with its outstanding requests, and keeps the acknowledged state of an attached proxy.
     pub fn disconnect(&mut self, now: Duration, reason: &str) {
         let ledger = std::mem::take(&mut self.ledger);
         if self.is_attached() {
             self.last_applied = Some(ledger.into_applied());
         }
         self.phase = SessionPhase::Disconnected;
-        self.since = now;
+        self.phase_since = now;
         self.connection += 1;
         self.counters = Counters::default();
         self.outstanding.clear();
@@ -126,15 +129,16 @@
         self.reason = reason.into();
     }
 
+    /// Adds an outstanding request for a command that is being sent.
     pub fn push_request(&mut self, request: PendingRequest, now: Duration) {
         self.outstanding.push_back(OutstandingRequest { request, sent_at: now });
     }
 
-    /// Takes the proxy's table entries, until its map is read too.
+    /// Reads the table entries from a response, and keeps them until the map is read as well.
     ///
     /// # Errors
-    /// The response is no table of states.
-    pub fn take_states(&mut self, response: &str) -> Result<(), SessionError> {
+    /// Returns an error if the response is not a table of server states.
+    pub fn read_states(&mut self, response: &str) -> Result<(), SessionError> {
         self.states =
             read_states(response).map_err(|error| SessionError::MalformedTable(error.to_string()))?;
         Ok(())
--- a/crates/fleet/src/publication.rs
+++ b/crates/fleet/src/publication.rs
@@ -1,4 +1,4 @@
-//! A snapshot of table files on its way out, and what proxies report of the ones they read.
+//! Snapshots of table files to be written, and the reports of proxies that read them.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 /// A snapshot to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publication {
-    /// The tables, and who uses them.
+    /// The tables, and the proxies to which they are assigned.
     pub content: SnapshotContent,
-    /// Which earlier snapshots stay.
+    /// The earlier snapshots that are kept.
     pub keep: RetentionPolicy,
 }
 
@@ -25,24 +25,24 @@
     pub applied_at: Duration,
 }
 
-/// A snapshot that a proxy refuses.
+/// A snapshot that a proxy rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedVersion {
     /// The epoch of the controller that wrote it.
     pub epoch: Epoch,
     /// The version within the epoch.
     pub version: Version,
-    /// Why, in the proxy's words.
+    /// The reason that the proxy gives.
     pub reason: String,
 }
 
-/// What a proxy reports of itself in its status file.
+/// The report of a proxy from its status file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedReport {
     /// The proxy's name.
     pub proxy: String,
-    /// The last snapshot that it has applied.
+    /// The last snapshot that the proxy applied.
     pub applied: Option<AppliedVersion>,
-    /// The last that it refused.
+    /// The last snapshot that the proxy rejected, if any.
     pub rejected: Option<RejectedVersion>,
 }
--- a/crates/fleet/src/sessions.rs
+++ b/crates/fleet/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The proxies' connections: made and broken, what arrives on them, and responses that are overdue.
+//! Connections to proxies: connects and disconnects, responses, and response timeouts.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use crate::proxy_ledger::ProxyLedger;
 use crate::proxy_session::{PendingRequest, SessionPhase};
 
-/// The golden ratio's fraction: its multiples are spread evenly over any period.
-const GOLDEN_FRACTION: f64 = 0.618_034;
+/// The fractional part of the golden ratio; the fractional parts of its multiples are spread evenly over 0 to 1.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_034;
 
 const GET_DIGEST: &str = "get var proc.digest\n";
 const SHOW_TABLES: &str = "show servers state; show map classes\n";
 const SHOW_STATISTICS: &str = "show stat\n";
 
 impl FleetController {
-    /// What arrives late from an earlier connection is ignored.
+    /// Returns false for an earlier connection, whose late inputs are ignored.
     fn is_current(&self, proxy: ProxyId, connection: u64) -> bool {
         self.sessions[proxy].connection == connection
     }
 
-    /// A connection was made: the proxy is asked what it holds before anything is sent to it.
+    /// Handles a new connection: reads the state of the proxy before any update is sent.
     pub fn connected(&mut self, now: Duration, proxy: ProxyId, connection: u64) {
         self.now = now;
         if !self.is_current(proxy, connection) {
@@ -34,15 +34,15 @@
         }
         let session = &mut self.sessions[proxy];
         session.phase = SessionPhase::Reconciling;
-        session.since = now;
-        // What a proxy that reads files holds changes without its connection, and is always read anew.
+        session.phase_since = now;
+        // The state of a proxy that reads files changes while it is disconnected, and is always read in full.
         if session.config.reads_files {
             session.last_applied = None;
         }
         session.push_request(PendingRequest::Prompt, now);
         session.push_request(PendingRequest::Epoch, now);
-        // A proxy that was known is asked first whether anything changed while it was away.
-        let question = if session.last_applied.is_some() {
+        // A digest shows whether the state changed while the proxy was disconnected.
+        let query = if session.last_applied.is_some() {
             session.push_request(PendingRequest::Digest, now);
             GET_DIGEST
         } else {
@@ -51,11 +51,11 @@
             SHOW_TABLES
         };
         let epoch = u128::from(self.epoch) + now.as_millis();
-        let text = format!("prompt i\nset var proc.epoch int({epoch})\n{question}");
+        let text = format!("prompt i\nset var proc.epoch int({epoch})\n{query}");
         self.write(now, proxy, text);
     }
 
-    /// A connection could not be made, or broke.
+    /// Handles a failed attempt to connect or a lost connection, and schedules the next attempt.
     pub fn disconnected(&mut self, now: Duration, proxy: ProxyId, connection: u64, reason: &str) {
         self.now = now;
         if !self.is_current(proxy, connection) {
@@ -69,8 +69,8 @@
         let connection = session.connection;
         if was_attached || is_new_reason {
             let name = session.config.name.clone();
-            warn!(target: "lockcroft::input", wave = self.batch, proxy = name, reason, "left");
-            self.add_event(&format!("proxy {name} left: {reason}"));
+            warn!(target: "lockcroft::input", wave = self.batch, proxy = name, reason, "proxy disconnected");
+            self.add_event(&format!("proxy {name} disconnected: {reason}"));
         }
         if was_attached {
             for proxies in self.attached_by_table.values_mut() {
@@ -82,7 +82,7 @@
         self.effects.push_back(Effect::Connect { proxy, connection, after });
     }
 
-    /// The response to the oldest outstanding command. One that is not as expected breaks the connection.
+    /// Handles the response to the oldest outstanding command. An unexpected response closes the connection.
     pub fn response_received(&mut self, now: Duration, proxy: ProxyId, connection: u64, response: &str) {
         self.now = now;
         if !self.is_current(proxy, connection) {
@@ -105,19 +105,20 @@
                 }
             }
             PendingRequest::Digest => self.compare_digest(now, proxy, response),
-            PendingRequest::States => session.take_states(response)?,
+            PendingRequest::States => session.read_states(response)?,
             PendingRequest::Map => {
                 let states = std::mem::take(&mut session.states);
-                let applied = AppliedState::read(&states, response, &mut self.endpoints, &self.names.classes);
+                let applied =
+                    AppliedState::parse(&states, response, &mut self.endpoints, &self.names.classes);
                 self.attach(now, proxy, applied);
             }
-            PendingRequest::Update => self.acknowledge(now, proxy, response)?,
-            PendingRequest::Statistics => self.take_statistics(now, proxy, response)?,
+            PendingRequest::Update => self.acknowledge_update(now, proxy, response)?,
+            PendingRequest::Statistics => self.record_statistics(now, proxy, response)?,
         }
         Ok(())
     }
 
-    /// A proxy that still holds what it held is attached at once; any other is asked for all that it holds.
+    /// Attaches the proxy if its digest matches the last acknowledged state; otherwise reads its state in full.
     fn compare_digest(&mut self, now: Duration, proxy: ProxyId, response: &str) {
         let session = &mut self.sessions[proxy];
         let reported: Option<i64> = response.split(['<', '>']).nth(1).and_then(|value| value.parse().ok());
@@ -138,14 +139,14 @@
         session.last_applied = None;
         session.counters = Counters::default();
         session.phase = SessionPhase::Attached;
-        session.since = now;
+        session.phase_since = now;
         let has_no_table = session.ledger.has_no_table();
         let connection = session.connection;
         let name = session.config.name.clone();
-        info!(target: "lockcroft::input", wave = self.batch, proxy = name, has_no_table, "joined");
-        self.add_event(&format!("proxy {name} joined, fresh: {has_no_table}"));
-        // Readings are spread over the period, so that the reports of a fleet come evenly.
-        let offset = self.report_period.mul_f64((proxy as f64 * GOLDEN_FRACTION).fract());
+        info!(target: "lockcroft::input", wave = self.batch, proxy = name, has_no_table, "proxy attached");
+        self.add_event(&format!("proxy {name} attached, without table: {has_no_table}"));
+        // Readings of different proxies are spread evenly over the period.
+        let offset = self.report_period.mul_f64((proxy as f64 * GOLDEN_RATIO_FRACTION).fract());
         self.timers.insert((now + offset, Timer::CollectStatistics { proxy, connection }));
         let decided = self.decided_at(now);
         let session = &mut self.sessions[proxy];
@@ -153,7 +154,7 @@
             for endpoint in &self.published.ejected {
                 session.ledger.mark_ejection(*endpoint, decided);
             }
-            self.to_update.insert(proxy);
+            self.update_queue.insert(proxy);
         }
         let (zone, request_rate) = (session.config.zone, session.config.request_rate);
         self.controller.attach_proxy(now, proxy, zone, request_rate, has_no_table);
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Each command sets a timer of its own; for a command that was sent later one is already there.
+    /// Closes the connection if its oldest outstanding command has timed out. Each write sets a timer of its own, so
+    /// that none has to be set here for commands that were sent later.
     fn check_response_timeout(&mut self, now: Duration, proxy: ProxyId, connection: u64) {
         let Some(oldest) = self.sessions[proxy].outstanding.front() else { return };
         if oldest.sent_at + self.response_timeout <= now {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Writes commands whose requests are outstanding already.
+    /// Writes commands to a proxy and sets their response timeout. The caller has added their outstanding requests.
     pub(crate) fn write(&mut self, now: Duration, proxy: ProxyId, text: String) {
         let connection = self.sessions[proxy].connection;
         self.timers.insert((now + self.response_timeout, Timer::ResponseTimeout { proxy, connection }));
--- a/crates/fleet/src/snapshot_content.rs
+++ b/crates/fleet/src/snapshot_content.rs
@@ -1,4 +1,4 @@
-//! What one snapshot of table files holds, from what is published and which tables proxies are assigned.
+//! Content of a snapshot of table files, built from the published tables and the assignments of proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,14 @@
 
 use crate::update_context::UpdateContext;
 
-/// Admission of a class for which nothing is published.
-const OPEN: Admission = Admission { fraction: 1.0, retry: false };
+/// The admission of a class for which none is published: all requests are admitted, without retries.
+const DEFAULT_ADMISSION: Admission = Admission { fraction: 1.0, retry: false };
 
-/// The tables of a proxy by class.
+/// The table assigned to each class of a proxy.
 pub type Assignments = BTreeMap<ClassId, TableId>;
 
-/// The content for these proxies. Those with the same tables form a group, so that one file serves all of them.
+/// Returns the content for these proxies. Proxies with the same assignments form a group, which shares one file;
+/// those without assignments are left out.
 pub fn snapshot_content<'a>(
     proxies: impl Iterator<Item = (&'a str, &'a Assignments)>,
     context: &UpdateContext,
@@ -26,12 +27,12 @@
     }
     let mut content = SnapshotContent::default();
     for (number, (assigned, proxies)) in (0..).zip(groups) {
-        let mut bound = BTreeMap::new();
+        let mut assignments = BTreeMap::new();
         for (class, table) in assigned {
             content.tables.entry(table as u32).or_insert_with(|| table_entries(table, context));
-            bound.insert(context.classes[class].clone(), assignment(class, table, context));
+            assignments.insert(context.classes[class].clone(), assignment(class, table, context));
         }
-        content.groups.insert(number, ProxyGroup { proxies, assignments: bound });
+        content.groups.insert(number, ProxyGroup { proxies, assignments });
     }
     let ejected = context.published.ejected.iter();
     content.ejected = ejected.map(|endpoint| context.endpoints.name(*endpoint).into()).collect();
@@ -39,21 +40,22 @@
 }
 
 fn table_entries(table: TableId, context: &UpdateContext) -> Table {
-    let mut lines = BTreeMap::new();
+    let mut entries = BTreeMap::new();
     for (endpoint, weight) in
         context.published.tables.get(&table).into_iter().flat_map(|table| &table.entries)
     {
-        // An endpoint that is off the list has no address any more, and no entry.
+        // An endpoint that is off the list has no address, and gets no entry.
         let Some(address) = context.endpoints.address(*endpoint) else { continue };
         let weight = context.weight_scale.units(*weight);
-        lines.insert(context.endpoints.name(*endpoint).to_string(), TableEntry { address, weight });
+        entries.insert(context.endpoints.name(*endpoint).to_string(), TableEntry { address, weight });
     }
-    Table { entries: lines }
+    Table { entries }
 }
 
 fn assignment(class: ClassId, table: TableId, context: &UpdateContext) -> ProxyAssignment {
     let published = context.published.tables.get(&table);
-    let admission = published.and_then(|table| table.admissions.get(&class)).copied().unwrap_or(OPEN);
+    let admission =
+        published.and_then(|table| table.admissions.get(&class)).copied().unwrap_or(DEFAULT_ADMISSION);
     ProxyAssignment {
         table: table as u32,
         admission_per_mille: (admission.fraction * 1000.0).round() as u32,
--- a/crates/fleet/src/state_recorder.rs
+++ b/crates/fleet/src/state_recorder.rs
@@ -1,6 +1,6 @@
-//! What is worth keeping across a restart: the few figures of each endpoint and of admission that the decisions
-//! learned, given out when they differ from what was given out last. A slice at a time, so that no decision waits
-//! for a walk of the fleet.
+//! Selects the learned state of endpoints and admission to be persisted across restarts. A value is recorded when it
+//! differs from the value recorded last. Endpoints are visited in slices, so that no decision waits for a pass over
+//! the whole fleet.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -12,22 +12,25 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// Endpoints that are looked at in one slice.
+/// The maximum number of endpoints in one slice.
 const MAX_SLICE_ENDPOINTS: usize = 32;
 /// The time between slices.
 const SLICE_INTERVAL: Duration = Duration::from_millis(20);
-/// Fractions are recorded in steps of one twentieth, as tables have them.
-const STEPS: f64 = 20.0;
+/// Fractions and cores are recorded in steps of one twentieth, the steps in which tables are published.
+const STEPS_PER_UNIT: f64 = 20.0;
 
+/// Compares learned state with what was recorded last.
 pub struct StateRecorder {
-    /// What was given out last.
+    /// The values recorded last.
     recorded: BTreeMap<EntryKey, EntryValue>,
-    /// The endpoint behind which the next slice begins; admission comes with the first slice.
+    /// The last endpoint of the previous slice. `None` if the next slice is the first of a pass, which includes
+    /// admission.
     resume_after: Option<EndpointId>,
+    /// When the next slice is due.
     due: Duration,
-    /// Milliseconds of the wall clock at the controller's start.
+    /// The wall clock at the controller's start, in milliseconds since the Unix epoch.
     start_ms: u64,
-    /// How many entries were given out since the start.
+    /// The number of entries recorded since the start, without capacities.
     pub recorded_entries: usize,
 }
 
@@ -42,18 +45,18 @@
         }
     }
 
-    /// When the next slice is due.
+    /// Returns the time at which the next slice is due.
     pub fn next_due(&self) -> Duration {
         self.due
     }
 
-    /// Makes the next slice due at once.
-    pub fn hasten(&mut self) {
+    /// Makes the next slice due now.
+    pub fn make_due(&mut self) {
         self.due = Duration::ZERO;
     }
 
-    /// Whether the next slice begins with the first endpoint.
-    pub fn is_at_start(&self) -> bool {
+    /// Returns true if the next slice is the first of a pass.
+    pub fn is_at_pass_start(&self) -> bool {
         self.resume_after.is_none()
     }
 
@@ -61,7 +64,7 @@
         self.start_ms + time.as_millis() as u64
     }
 
-    /// What of the next slice differs from what was given out last.
+    /// Returns the values of the next slice that differ from those recorded last; nothing if no slice is due.
     pub fn record_slice(
         &mut self,
         now: Duration,
@@ -85,7 +88,7 @@
         let mut last = None;
         for (endpoint, state) in endpoints.range((start, Unbounded)).take(MAX_SLICE_ENDPOINTS) {
             let key = EntryKey::Endpoint(list.name(*endpoint).into());
-            let value = EntryValue::Endpoint(self.endpoint_note(now, state, names));
+            let value = EntryValue::Endpoint(self.endpoint_value(now, state, names));
             self.record(now, key, value, &mut entries);
             last = Some(*endpoint);
         }
@@ -95,7 +98,7 @@
         entries
     }
 
-    /// Capacities that the solver learned, where they moved by a step.
+    /// Returns the learned capacities, in cores, that differ by at least a step from those recorded last.
     pub fn record_capacities(
         &mut self,
         now: Duration,
@@ -104,7 +107,7 @@
     ) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (endpoint, cores) in capacities {
-            let cores = (cores * STEPS).round().max(1.0) / STEPS;
+            let cores = (cores * STEPS_PER_UNIT).round().max(1.0) / STEPS_PER_UNIT;
             let key = EntryKey::Capacity(list.name(endpoint).into());
             self.record(now, key, EntryValue::Capacity(cores), &mut entries);
         }
@@ -118,8 +121,9 @@
         }
     }
 
-    /// Times that have passed are recorded as 0, so that they do not change any more.
-    fn endpoint_note(&self, now: Duration, state: &EndpointState, names: &NameIndex) -> RecordedEndpoint {
+    /// Returns the value to record for an endpoint. Times in the past are recorded as 0, so that they no longer
+    /// change.
+    fn endpoint_value(&self, now: Duration, state: &EndpointState, names: &NameIndex) -> RecordedEndpoint {
         let future_ms = |time: Duration| if time > now { self.wall_clock_ms(time) } else { 0 };
         let name = |names: &[String], position: usize| names.get(position).cloned().unwrap_or_default();
         let record = &state.record;
@@ -138,5 +142,5 @@
 }
 
 fn round_to_step(fraction: f64) -> f64 {
-    (fraction.clamp(0.0, 1.0) * STEPS).round() / STEPS
+    (fraction.clamp(0.0, 1.0) * STEPS_PER_UNIT).round() / STEPS_PER_UNIT
 }
--- a/crates/fleet/src/state_recovery.rs
+++ b/crates/fleet/src/state_recovery.rs
@@ -1,4 +1,4 @@
-//! What is persisted across restarts: taken over at the start, and given out from then on.
+//! Recovery of persisted state at the start, and recording of state to be persisted.
 
 use std::time::Duration;
 
@@ -12,18 +12,20 @@
 use crate::state_store_status::StateStoreStatus;
 
 impl FleetController {
-    /// Takes over from before the start what is still good of it, and from now on gives out what is to be persisted.
+    /// Sets the state recovered from before the start, which is applied with the first endpoint list, and starts to
+    /// record state: from now on, effects of [`FleetController::run_actions`] include [`Effect::SaveState`].
     pub fn restore_state(&mut self, recovered: RecoveredState) {
         self.recorder = Some(StateRecorder::new(self.epoch));
         self.recovered_state = Some(recovered);
     }
 
-    /// How the store of learned state fares.
+    /// Sets the status of the store of learned state, for `show memory`.
     pub fn state_saved(&mut self, status: StateStoreStatus) {
         self.state_store_status = status;
     }
 
-    /// Behind the first list: endpoints that were removed meanwhile are named, and nothing is made less careful.
+    /// Applies recovered state after the first endpoint list. Endpoints that were removed while the controller was
+    /// down are included, so that the decisions eject them at proxies that still have entries of them.
     pub(crate) fn apply_recovered_state(&mut self, now: Duration, recovered: RecoveredState) {
         let (endpoints, admissions) = (recovered.endpoints.len(), recovered.admission_rates.len());
         for endpoint in recovered.endpoints {
@@ -40,11 +42,11 @@
         }
         if endpoints + admissions > 0 {
             info!(target: "lockcroft::input", wave = self.batch, endpoints, admissions, "recalled");
-            self.add_event(&format!("recalled: {endpoints} servers, {admissions} levels"));
+            self.add_event(&format!("recovered state: {endpoints} endpoints, {admissions} admission rates"));
         }
     }
 
-    /// An endpoint of a zone or machine type that is configured no more is passed over.
+    /// Passes a recovered endpoint to the decisions, unless its zone or machine type is no longer configured.
     fn recover_endpoint(&mut self, now: Duration, recovered: &RecoveredEndpoint) {
         let Ok(zone) = self.names.zone(&recovered.zone) else { return };
         let Ok(machine_type) = self.names.machine_type(&recovered.machine_type) else { return };
@@ -66,14 +68,15 @@
         self.controller.recover_endpoint(now, recovered);
     }
 
-    /// Gives out all that was learned and not given out yet, at the end of the controller.
+    /// Returns the effects that save all state not recorded yet, for the shutdown of the controller. Other pending
+    /// effects are dropped.
     pub fn record_all_state(&mut self, now: Duration) -> Vec<Effect> {
-        // What is left of the pass under way, then a whole one.
+        // The rest of the current pass, then a complete one.
         for _ in 0..2 {
             while let Some(recorder) = &mut self.recorder {
-                recorder.hasten();
+                recorder.make_due();
                 self.record_state(now);
-                if self.recorder.as_ref().is_none_or(StateRecorder::is_at_start) {
+                if self.recorder.as_ref().is_none_or(StateRecorder::is_at_pass_start) {
                     break;
                 }
             }
@@ -81,7 +84,7 @@
         self.effects.drain(..).filter(|effect| matches!(effect, Effect::SaveState(_))).collect()
     }
 
-    /// Gives out what was learned since the last call.
+    /// Adds an effect that saves the state of the next slice, if one is due, and newly learned capacities.
     pub(crate) fn record_state(&mut self, now: Duration) {
         let Some(recorder) = &mut self.recorder else { return };
         let ControllerState { endpoints, admissions, .. } = self.controller.state();
--- a/crates/fleet/src/state_store_status.rs
+++ b/crates/fleet/src/state_store_status.rs
@@ -1,18 +1,18 @@
-//! How the store of learned state fares.
+//! Status of the store of learned state.
 
 use std::time::Duration;
 
-/// How the store of learned state fares, for `show memory`.
+/// The status of the store of learned state, for `show memory`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateStoreStatus {
-    /// How many entries it holds.
+    /// The number of stored entries.
     pub entries: usize,
-    /// The size of its journal in bytes.
+    /// The size of the journal in bytes.
     pub bytes: usize,
     /// The number of the snapshot in use.
     pub snapshot_number: u64,
-    /// How long the last flush took.
+    /// The duration of the last flush.
     pub last_flush: Duration,
-    /// Why nothing is persisted for now.
+    /// The error that currently prevents state from being persisted, if any.
     pub error: Option<String>,
 }
--- a/crates/fleet/src/statistics.rs
+++ b/crates/fleet/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Counters that proxies report, handed on to the decisions and to the solver's planner.
+//! Collection of the counters of proxies for the decisions and the solver's planner.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::proxy_counters::CounterDelta;
 
 impl FleetController {
-    /// Takes the response to `show stat`, and sets the time of the next.
+    /// Handles the response to `show stat`, and schedules the next reading.
     ///
     /// # Errors
-    /// The response is no table of counters.
-    pub(crate) fn take_statistics(
+    /// Returns an error if the response is not a table of counters.
+    pub(crate) fn record_statistics(
         &mut self,
         now: Duration,
         proxy: ProxyId,
@@ -43,14 +43,14 @@
                 counters.failed += u64::from(failed);
                 counters.latency_sum_ms += mean_latency.as_secs_f64() * 1e3 * f64::from(attempts - failed);
                 debug!(target: "lockcroft::input", wave = self.batch, proxy = config.name, endpoint = name,
-                    attempts, failed, ms = mean_latency.as_millis() as u64, "reported");
+                    attempts, failed, ms = mean_latency.as_millis() as u64, "received attempt counters");
                 if let Some(planner) = &mut self.planner {
                     planner.record_attempts(endpoint, attempts, failed, mean_latency);
                 }
                 self.controller.record_attempts(now, endpoint, attempts, failed, mean_latency);
             }
             CounterDelta::Class { name, requests } => {
-                // A frontend that is none of the configured classes is the proxy's own matter.
+                // A frontend that is not a configured class is of no concern to the controller.
                 let Ok(class) = self.names.class(&name) else { return };
                 self.request_counts[class] += u64::from(requests);
                 if let Some(planner) = &mut self.planner {
--- a/crates/fleet/src/update_context.rs
+++ b/crates/fleet/src/update_context.rs
@@ -1,4 +1,4 @@
-//! The command of the runtime API that brings a change about.
+//! Commands of the runtime API for changes at a proxy.
 
 use std::fmt::{self, Write};
 
@@ -12,7 +12,7 @@
 use crate::ledger_change::Change;
 use crate::weight_scale::WeightScale;
 
-/// Names and weights that updates are made of.
+/// The published state and the names that the commands of an update are built from.
 pub struct UpdateContext<'a> {
     pub published: &'a PublishedTables,
     pub endpoints: &'a EndpointList,
@@ -21,32 +21,37 @@
 }
 
 impl UpdateContext<'_> {
-    /// Writes the command that brings a change about.
+    /// Appends the command for a change to `text`. `applied` is the state of the proxy that the command is for.
     ///
     /// # Errors
-    /// Those of the writer; a `String` has none.
+    /// Returns the errors of writing to a `String`, which do not occur.
     pub fn write_command(&self, change: Change, applied: &AppliedState, text: &mut String) -> fmt::Result {
-        let place = |backend: Backend, endpoint: EndpointId| {
+        let server_name = |backend: Backend, endpoint: EndpointId| {
             format!("{}/{}", applied.backend_name(backend), self.endpoints.name(endpoint))
         };
         match change {
             Change::AddEntry { backend, endpoint, entry } => {
                 let address = entry.address_or_unspecified();
-                write!(text, "add server {} {address} weight {}", place(backend, endpoint), entry.weight)
+                write!(
+                    text,
+                    "add server {} {address} weight {}",
+                    server_name(backend, endpoint),
+                    entry.weight
+                )
             }
             Change::DeleteEntry { backend, endpoint } => {
-                write!(text, "del server {}", place(backend, endpoint))
+                write!(text, "del server {}", server_name(backend, endpoint))
             }
             Change::SetWeight { backend, endpoint, weight } => {
-                write!(text, "set server {} weight {weight}", place(backend, endpoint))
+                write!(text, "set server {} weight {weight}", server_name(backend, endpoint))
             }
             Change::SetMaintenance { backend, endpoint, in_maintenance } => {
                 let state = if in_maintenance { "maint" } else { "ready" };
-                write!(text, "set server {} state {state}", place(backend, endpoint))
+                write!(text, "set server {} state {state}", server_name(backend, endpoint))
             }
             Change::SetAddress { backend, endpoint, address } => {
                 let (ip, port) = (address.ip(), address.port());
-                write!(text, "set server {} addr {ip} port {port}", place(backend, endpoint))
+                write!(text, "set server {} addr {ip} port {port}", server_name(backend, endpoint))
             }
             Change::MapClass { class, table, is_mapped } => {
                 let verb = if is_mapped { "set" } else { "add" };
--- a/crates/fleet/src/update_in_flight.rs
+++ b/crates/fleet/src/update_in_flight.rs
@@ -1,5 +1,5 @@
-//! One message on its way to a proxy: its text, the commands that are still to be answered, and the transaction
-//! that a message of several lines is wrapped in.
+//! An update in flight to a proxy: its text, its commands without a response, and the transaction that makes a
+//! message of several lines take effect as a whole.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -12,70 +12,74 @@
 use crate::ledger_change::Change;
 use crate::update_context::UpdateContext;
 
-/// A line of a message is ended behind the command with which it grows beyond this, in bytes: half of what a proxy
-/// takes. A message of several lines is prepared and committed, so that it takes effect as a whole.
-const LINE_BYTES: usize = MAX_LINE_BYTES / 2;
+/// A line of a message ends after the command that makes it longer than this: half of the longest line that a proxy
+/// accepts. A message of several lines is prepared and then committed, so that it takes effect as a whole.
+const LINE_SPLIT_BYTES: usize = MAX_LINE_BYTES / 2;
 
 const PREPARE: &str = "prepare map tables";
 
 /// A message to one proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpdateMessage {
-    /// Lines for its socket.
+    /// Lines of the runtime API.
     pub text: String,
-    /// How many responses will come.
+    /// The number of commands, each of which is answered by one response.
     pub commands: usize,
-    /// How many pending changes of the ledger it carries.
+    /// The number of ledger keys whose changes it carries.
     pub entries: usize,
     /// The update batch that it belongs to.
     pub batch: u64,
 }
 
-/// An update that the proxy has carried out in full.
+/// An update, reported once the proxy has carried it out in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcknowledgedUpdate {
-    /// When the oldest change in it was decided.
+    /// The time of the oldest decision in it.
     pub since: Duration,
     /// The update batch that it belongs to.
     pub batch: u64,
-    /// How many pending changes of the ledger it carried.
+    /// The number of ledger keys whose changes it carried.
     pub entries: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Command {
-    /// Opens a transaction of several lines.
+    /// Opens a transaction; its response is the version to commit.
     Prepare,
     Change(Change),
+    /// Makes the prepared changes take effect.
     Commit,
 }
 
-/// A command, and where it stands in the text.
+/// A command without a response, and its range in the text of the message.
 #[derive(Debug)]
 struct OutstandingCommand {
     range: Range<usize>,
     command: Command,
 }
 
-/// A change that the proxy carried out, and what it said.
+/// A change that the proxy carried out, and its response.
 #[derive(Debug)]
 pub struct AppliedChange {
     pub change: Change,
     pub response: String,
 }
 
-/// A proxy that knows no transactions gives no version, and carries a message out line by line.
+/// A transaction that the proxy opened. A proxy without support for transactions returns no version; it carries a
+/// message out line by line.
 #[derive(Debug)]
 struct Transaction {
     version: String,
-    /// What is held once it is committed.
+    /// The changes that take effect with the commit.
     prepared: Vec<AppliedChange>,
-    /// All was prepared; the commit is still to be sent.
+    /// True if all changes are prepared and the commit is still to be sent.
     commit_due: bool,
 }
 
+/// An update from its first message to the last response.
 #[derive(Debug)]
 pub struct UpdateInFlight {
+    /// The text of the message that was built last.
     text: String,
     outstanding: VecDeque<OutstandingCommand>,
     transaction: Option<Transaction>,
@@ -83,7 +87,7 @@
 }
 
 impl UpdateInFlight {
-    /// Writes the commands of these changes. `update` is what is told once all of them are acknowledged.
+    /// Creates the update with the commands of these changes. `update` is returned once all of them are acknowledged.
     pub fn new(
         changes: impl Iterator<Item = Change>,
         update: AcknowledgedUpdate,
@@ -94,7 +98,7 @@
         let mut outstanding = VecDeque::new();
         let mut line_start = 0;
         for change in changes {
-            if text.len() - line_start > LINE_BYTES {
+            if text.len() - line_start > LINE_SPLIT_BYTES {
                 text.push('\n');
                 line_start = text.len();
             }
@@ -102,7 +106,7 @@
                 text.push_str("; ");
             }
             let start = text.len();
-            // Writing to a String cannot fail.
+            // Writing to a `String` does not fail.
             let _ = context.write_command(change, applied, &mut text);
             let command = Command::Change(change);
             outstanding.push_back(OutstandingCommand { range: start..text.len(), command });
@@ -125,7 +129,7 @@
         self.outstanding.push_front(prepare);
     }
 
-    /// The message as it is sent first.
+    /// Returns the first message of the update.
     pub fn message(&self) -> UpdateMessage {
         UpdateMessage {
             text: self.text.clone(),
@@ -135,17 +139,17 @@
         }
     }
 
-    /// How many pending changes of the ledger it carries.
+    /// Returns the number of ledger keys whose changes it carries.
     pub fn entries(&self) -> usize {
         self.update.entries
     }
 
-    /// Whether the proxy waits for the commit of what it prepared.
+    /// Returns true if all changes are prepared and the commit is still to be sent.
     pub fn is_commit_due(&self) -> bool {
         self.transaction.as_ref().is_some_and(|transaction| transaction.commit_due)
     }
 
-    /// The commit, if it is due. It is given once.
+    /// Returns the message with the commit if it is due, once.
     pub fn take_commit(&mut self) -> Option<UpdateMessage> {
         let transaction = self.transaction.as_mut().filter(|transaction| transaction.commit_due)?;
         transaction.commit_due = false;
@@ -153,10 +157,12 @@
         Some(UpdateMessage { text: self.text.clone(), commands: 1, entries: 0, batch })
     }
 
-    /// The response to the oldest outstanding command. Gives what the proxy holds from now on.
+    /// Handles the response to the oldest outstanding command, and returns the changes that took effect with it: none
+    /// while a transaction is prepared, all of its changes when it is committed.
     ///
     /// # Errors
-    /// The proxy did not carry the command out: what it holds has to be read again.
+    /// Returns an error if no command is outstanding, or if the proxy did not carry the command out and its state has
+    /// to be read again.
     pub fn acknowledge(&mut self, response: &str) -> Result<Vec<AppliedChange>, SessionError> {
         let OutstandingCommand { range, command } =
             self.outstanding.pop_front().ok_or(SessionError::TooManyResponses)?;
@@ -170,10 +176,10 @@
                 true
             }
             Command::Change(change) => {
-                let carried_out = AppliedChange { change, response: response.into() };
+                let applied_change = AppliedChange { change, response: response.into() };
                 match &mut self.transaction {
-                    Some(transaction) => transaction.prepared.push(carried_out),
-                    None => applied.push(carried_out),
+                    Some(transaction) => transaction.prepared.push(applied_change),
+                    None => applied.push(applied_change),
                 }
                 change.succeeded(response)
             }
@@ -190,7 +196,7 @@
         Ok(applied)
     }
 
-    /// Once all is prepared, the commit is the one command that is left.
+    /// Replaces the text by the commit of the transaction once no command is outstanding.
     fn prepare_commit(&mut self) {
         if !self.outstanding.is_empty() {
             return;
@@ -202,7 +208,7 @@
         self.outstanding.push_back(OutstandingCommand { range, command: Command::Commit });
     }
 
-    /// What was acknowledged, once no command is outstanding.
+    /// Returns the update once no command is outstanding.
     pub fn acknowledged(&self) -> Option<AcknowledgedUpdate> {
         self.outstanding.is_empty().then_some(self.update)
     }
--- a/crates/fleet/src/updates.rs
+++ b/crates/fleet/src/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of proxies: sent when the decisions changed something, and acknowledged by the responses to them.
+//! Updates of proxies: sends messages with pending changes, and handles their acknowledgements.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::update_context::UpdateContext;
 use crate::update_in_flight::{AcknowledgedUpdate, UpdateMessage};
 
-/// So many messages are written before the host takes them to its sockets.
+/// The maximum number of messages written by one call of `run_actions`.
 const MAX_MESSAGES_PER_RUN: usize = 32;
 
 impl FleetController {
-    /// All that was decided at one time goes out as one message to each proxy concerned; one that has not answered
-    /// its last message gets the next with its answer. In a storm the first proxies have their messages, and work
-    /// on them, while those of the others are still being written.
+    /// Sends one message with all pending changes to each queued proxy without an update in flight; the others are
+    /// queued again when they acknowledge theirs. The number of messages is limited, so that in a large batch the
+    /// first proxies process their messages while the remaining ones are still being written.
     pub(crate) fn send_updates(&mut self, now: Duration) {
         for _ in 0..MAX_MESSAGES_PER_RUN {
-            let Some(proxy) = self.to_update.pop_first() else { return };
+            let Some(proxy) = self.update_queue.pop_first() else { return };
             if let Some(message) = self.next_message(proxy) {
                 self.send_update(now, proxy, message);
             }
@@ -43,18 +43,19 @@
         self.totals.messages += 1;
         self.totals.entries += entries as u64;
         let session = &mut self.sessions[proxy];
-        debug!(target: "lockcroft::update", wave = batch, proxy = session.config.name, entries, commands, "sent");
+        debug!(target: "lockcroft::update", wave = batch, proxy = session.config.name, entries, commands,
+            "sent update");
         for _ in 0..commands {
             session.push_request(PendingRequest::Update, now);
         }
         self.write(now, proxy, text);
     }
 
-    /// Takes the response to one command of an update.
+    /// Handles the response to one command of an update.
     ///
     /// # Errors
-    /// The proxy did not carry the command out.
-    pub(crate) fn acknowledge(
+    /// Returns an error if the response was not expected, or if the proxy did not carry the command out.
+    pub(crate) fn acknowledge_update(
         &mut self,
         now: Duration,
         proxy: ProxyId,
@@ -63,14 +64,14 @@
         let session = &mut self.sessions[proxy];
         let acknowledged = session.ledger.acknowledge(response)?;
         if session.ledger.is_commit_due() {
-            self.to_update.insert(proxy);
+            self.update_queue.insert(proxy);
         }
         if let Some(AcknowledgedUpdate { since, batch, entries }) = acknowledged {
             let us = now.saturating_sub(since).as_micros() as u64;
             debug!(target: "lockcroft::acknowledgement", wave = batch, proxy = session.config.name, entries, us,
-                "answered");
+                "received acknowledgement");
             self.acknowledgement_latency.saturating_record(us);
-            self.to_update.insert(proxy);
+            self.update_queue.insert(proxy);
         }
         Ok(())
     }
--- a/crates/fleet/src/views/arguments.rs
+++ b/crates/fleet/src/views/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments of operators' commands.
+//! Parsing of arguments of operator commands.
 
 use lockcroft::EndpointId;
 
@@ -7,10 +7,10 @@
 use crate::weight_scale::WeightScale;
 
 impl FleetController {
-    /// The endpoint behind `BACKEND/SERVER`, where the backend is a table or `servers`.
+    /// Returns the endpoint that `BACKEND/SERVER` names, where the backend is a table or `servers`.
     ///
     /// # Errors
-    /// The argument names no endpoint of the list, or no table.
+    /// Returns an error if the argument has another form, or names no listed endpoint or no table.
     pub fn find_endpoint(&self, argument: &str) -> Result<EndpointId, OperatorError> {
         let (backend, endpoint) = argument.split_once('/').ok_or(OperatorError::MissingEndpoint)?;
         let tables = self.controller.state().tables.len();
@@ -21,10 +21,11 @@
         self.endpoints.find(endpoint).ok_or(OperatorError::NoSuchEndpoint)
     }
 
-    /// The weight that `N` or `N%` stands for, for this endpoint.
+    /// Returns the weight that `N`, in units of [`WeightScale`], or `N%`, a percentage of the listed weight, gives
+    /// this endpoint.
     ///
     /// # Errors
-    /// The text is no number, or the weight is out of range.
+    /// Returns an error if the text is not a number, or the weight is out of range.
     pub fn parse_weight(&self, endpoint: EndpointId, text: &str) -> Result<f64, OperatorError> {
         match text.strip_suffix('%') {
             Some(percent) => self.parse_percentage(endpoint, percent),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Percentages are of the listed weight.
+    /// Returns the weight for a percentage of the listed weight.
     fn parse_percentage(&self, endpoint: EndpointId, percent: &str) -> Result<f64, OperatorError> {
         let percent: f64 = percent.parse().map_err(|_| OperatorError::MalformedWeight)?;
         let listed = self.endpoints.listed_weight(endpoint).unwrap_or(1.0);
--- a/crates/fleet/src/views/endpoints.rs
+++ b/crates/fleet/src/views/endpoints.rs
@@ -1,4 +1,4 @@
-//! `show stat` and `show servers state`: what is known of endpoints.
+//! `show stat` and `show servers state`: counters and state of endpoints.
 
 use std::fmt::Write;
 
@@ -10,11 +10,11 @@
 use crate::error::OperatorError;
 use crate::fleet_controller::FleetController;
 
-/// The backend that stands for all endpoints of the list.
+/// The name of the backend that contains all listed endpoints.
 const ALL_ENDPOINTS: &str = "servers";
 
 impl FleetController {
-    /// Counters as the guide's `show stat`: a row for each class and for each endpoint of a table.
+    /// Returns counters in the format of `show stat`: a row for each class, and for each endpoint of each table.
     #[must_use]
     pub fn show_stat(&self) -> String {
         let ControllerState { endpoints, tables, .. } = self.controller.state();
@@ -40,7 +40,7 @@
         StatRow {
             name: format!("t{table}"),
             endpoint: self.endpoints.name(endpoint).into(),
-            status: status_word(state).into(),
+            status: status_text(state).into(),
             weight: u64::from(self.weight_scale.units(weight)),
             total: counters.attempts,
             response_errors: counters.failed,
@@ -50,23 +50,24 @@
         }
     }
 
-    /// The state of endpoints in the guide's form, of one table or of all endpoints as `servers`; behind it, as
-    /// comments, what that form has no place for.
+    /// Returns the state of endpoints in the format of `show servers state`, for one table, for all endpoints as the
+    /// backend `servers`, or for all of these if `backend` is `None`. State that the format has no columns for
+    /// follows in comment lines.
     ///
     /// # Errors
-    /// There is no such table.
+    /// Returns an error if `backend` is neither `servers` nor a table with entries.
     pub fn show_endpoints(&self, backend: Option<&str>) -> Result<String, OperatorError> {
         let ControllerState { endpoints, tables, .. } = self.controller.state();
-        let is_wanted = |name: &str| backend.is_none_or(|wanted| wanted == name);
+        let is_selected = |name: &str| backend.is_none_or(|selected| selected == name);
         let mut rows = Vec::new();
-        if is_wanted(ALL_ENDPOINTS) {
+        if is_selected(ALL_ENDPOINTS) {
             rows.extend(
                 endpoints.iter().map(|(endpoint, state)| self.state_row(ALL_ENDPOINTS, *endpoint, state)),
             );
         }
         for (number, table) in tables.iter().enumerate() {
             let name = format!("t{number}");
-            if !is_wanted(&name) {
+            if !is_selected(&name) {
                 continue;
             }
             for (endpoint, weight) in &table.published {
@@ -78,7 +79,7 @@
             return Err(OperatorError::UnknownBackend);
         }
         let mut text = write_states(&rows);
-        if is_wanted(ALL_ENDPOINTS) {
+        if is_selected(ALL_ENDPOINTS) {
             for (endpoint, state) in endpoints {
                 let _ = writeln!(text, "# {}", self.endpoint_comment(*endpoint, state));
             }
@@ -89,9 +90,9 @@
     fn state_row(&self, backend: &str, endpoint: EndpointId, state: &EndpointState) -> StateRow {
         let address = self.endpoints.address(endpoint);
         let is_draining = state.record.status == EndpointStatus::Draining;
-        let is_closed = state.record.status == EndpointStatus::Removed || state.ejected;
+        let in_maintenance = state.record.status == EndpointStatus::Removed || state.ejected;
         let drain = if is_draining { FORCED_DRAIN } else { 0 };
-        let maintenance = if is_closed { FORCED_MAINT } else { 0 };
+        let maintenance = if in_maintenance { FORCED_MAINT } else { 0 };
         StateRow {
             backend: backend.into(),
             endpoint: self.endpoints.name(endpoint).into(),
@@ -106,8 +107,8 @@
 
     fn endpoint_comment(&self, endpoint: EndpointId, state: &EndpointState) -> String {
         let counter = state.health.value().map_or("unknown".into(), |counter| counter.to_string());
-        let warming_up_for = state.warmed_up_at.saturating_sub(self.now);
-        let outlier_for = state.outlier_until.saturating_sub(self.now);
+        let slow_start_remaining = state.warmed_up_at.saturating_sub(self.now);
+        let outlier_remaining = state.outlier_until.saturating_sub(self.now);
         let listed = match state.record.status {
             EndpointStatus::Ready => "ready",
             EndpointStatus::Draining => "draining",
@@ -121,8 +122,8 @@
             state.record.weight,
             state.weight_factor,
             state.subset,
-            warming_up_for.as_secs_f64(),
-            outlier_for.as_secs_f64(),
+            slow_start_remaining.as_secs_f64(),
+            outlier_remaining.as_secs_f64(),
             state.ejected,
         )
     }
@@ -138,8 +139,8 @@
     }
 }
 
-/// The guide's word for the status of a server.
-fn status_word(state: &EndpointState) -> &'static str {
+/// Returns the status of a server as HAProxy names it.
+fn status_text(state: &EndpointState) -> &'static str {
     match state.record.status {
         EndpointStatus::Draining => "DRAIN",
         EndpointStatus::Removed => "MAINT",
--- a/crates/fleet/src/views/fleet.rs
+++ b/crates/fleet/src/views/fleet.rs
@@ -1,4 +1,4 @@
-//! `show backend`, `show proxies` and `show levels`: tables, the proxies that use them, and admission.
+//! `show backend`, `show proxies` and `show levels`: tables, proxies and admission.
 
 use std::fmt::Write;
 
@@ -9,7 +9,8 @@
 use crate::publication::{AppliedReport, AppliedVersion, RejectedVersion};
 
 impl FleetController {
-    /// One line a table: how many proxies are on it, what is published and what is desired.
+    /// Returns one line for each table: the number of its proxies, the sums of its published and desired weights, and
+    /// its latency ratio.
     #[must_use]
     pub fn show_tables(&self) -> String {
         let mut text = "# name part released proxies lines published wanted late kept\n".to_string();
@@ -27,7 +28,7 @@
         text
     }
 
-    /// One line a proxy: its connection, tables, queued entries and last response.
+    /// Returns one line for each proxy: its session, tables, queued entries and last response.
     #[must_use]
     pub fn show_proxies(&self) -> String {
         let mut text =
@@ -48,13 +49,13 @@
         let tables = if tables.is_empty() { "-".into() } else { tables.join(",") };
         let last_response = session.last_response_at.map(|at| self.now.saturating_sub(at).as_secs_f64());
         let last_response = last_response.map_or("-".into(), |ago| format!("{ago:.1}"));
-        let lasted = self.now.saturating_sub(session.since).as_secs_f64();
+        let phase_secs = self.now.saturating_sub(session.phase_since).as_secs_f64();
         let reason = if session.is_attached() { "-" } else { &session.reason };
         format!(
-            "{} {} {} {lasted:.1} {tables} {} {last_response} {} {} {reason}{}",
+            "{} {} {} {phase_secs:.1} {tables} {} {last_response} {} {} {reason}{}",
             session.config.name,
             self.names.zones[session.config.zone],
-            phase_word(session.phase),
+            phase_text(session.phase),
             session.ledger.queued_entries(),
             session.disconnects,
             report.map_or("commands".into(), applied_text),
@@ -62,7 +63,7 @@
         )
     }
 
-    /// One line a class and table: the fraction that is admitted, desired and published, and the demand.
+    /// Returns one line for each class and table: the desired and the published admission rate, and the demand.
     #[must_use]
     pub fn show_admission(&self) -> String {
         let mut text = "# class table wanted published demand\n".to_string();
@@ -78,7 +79,7 @@
     }
 }
 
-fn phase_word(phase: SessionPhase) -> &'static str {
+fn phase_text(phase: SessionPhase) -> &'static str {
     match phase {
         SessionPhase::Disconnected => "away",
         SessionPhase::Reconciling => "asking",
--- a/crates/fleet/src/views/info.rs
+++ b/crates/fleet/src/views/info.rs
@@ -1,4 +1,4 @@
-//! `show info` and `show memory`: one `Name: value` a line.
+//! `show info` and `show memory`: lines of the form `Name: value`.
 
 use lockcroft::ControllerState;
 
@@ -6,18 +6,18 @@
 use crate::fleet_controller::FleetController;
 use crate::state_store_status::StateStoreStatus;
 
-/// A name, and its value as text.
+/// The name and the value of a line.
 type InfoLine = (&'static str, String);
 
 impl FleetController {
-    /// The controller's state in numbers, as the guide's `show info`.
+    /// Returns figures of the controller in the format of `show info`.
     #[must_use]
     pub fn show_info(&self) -> String {
         let mut lines = self.identity_lines();
         lines.extend(self.fleet_lines());
         lines.extend(self.update_lines());
-        if self.files.is_used() {
-            lines.extend(self.file_lines());
+        if self.files.has_readers() {
+            lines.extend(self.snapshot_lines());
         }
         write_lines(&lines)
     }
@@ -35,7 +35,7 @@
     fn fleet_lines(&self) -> Vec<InfoLine> {
         let ControllerState { endpoints, tables, .. } = self.controller.state();
         let up = endpoints.values().filter(|state| state.is_up()).count();
-        let held = tables.iter().filter(|table| !table.released).count();
+        let unreleased = tables.iter().filter(|table| !table.released).count();
         vec![
             ("Servers", endpoints.len().to_string()),
             ("ServersUp", up.to_string()),
@@ -43,7 +43,7 @@
             ("Proxies", self.sessions.len().to_string()),
             ("ProxiesJoined", self.attached_total().to_string()),
             ("Tables", tables.len().to_string()),
-            ("TablesHeld", held.to_string()),
+            ("TablesHeld", unreleased.to_string()),
         ]
     }
 
@@ -64,7 +64,7 @@
         ]
     }
 
-    fn file_lines(&self) -> Vec<InfoLine> {
+    fn snapshot_lines(&self) -> Vec<InfoLine> {
         let FileDistribution { last_snapshot, fenced_by, last_error, totals, apply_latency, .. } =
             &self.files;
         let (epoch, version) = last_snapshot.map_or((0, 0), |last| (last.epoch, last.version));
@@ -83,7 +83,7 @@
         ]
     }
 
-    /// What is persisted across restarts, and how the store fares.
+    /// Returns the status of the store of learned state, for `show memory`.
     #[must_use]
     pub fn show_state_store(&self) -> String {
         let Some(recorder) = &self.recorder else { return "No memory is set.\n".into() };
--- a/crates/fleet/src/views/mod.rs
+++ b/crates/fleet/src/views/mod.rs
@@ -1,7 +1,7 @@
-//! What a controller shows to operators through the runtime API: tables in the form of HAProxy's Management Guide
-//! where it has one. The words shown are the runtime API's and stay as they are, whatever the code calls a thing.
+//! Responses to operator commands of the runtime API, in the formats of HAProxy's Management Guide where it defines
+//! one. Column names, keys and values are part of the runtime API and may differ from the names in the code.
 //!
-//! Writing to a `String` cannot fail, so what `writeln!` gives back is passed over in these modules.
+//! Writing to a `String` does not fail, so these modules ignore the results of `write!` and `writeln!`.
 
 mod arguments;
 mod endpoints;
@@ -12,7 +12,8 @@
 use crate::fleet_controller::FleetController;
 
 impl FleetController {
-    /// The events from a position on, as far as they are still there; the position moves behind them.
+    /// Returns the events from a position on, without those that were dropped, and advances the position to the end.
+    /// The first position is 0.
     pub fn events_since(&self, position: &mut u64) -> String {
         self.events.since(position)
     }
--- a/crates/fleet/src/views/plan.rs
+++ b/crates/fleet/src/views/plan.rs
@@ -9,7 +9,7 @@
 use crate::planner::SolvedPlan;
 
 impl FleetController {
-    /// The problem that was solved last, with the names of its endpoints.
+    /// Returns the problem that was solved last, with the names of its endpoints by position.
     #[must_use]
     pub fn last_problem(&self) -> Option<(&Problem, Vec<String>)> {
         let SolvedPlan { task, .. } = self.planner.as_ref()?.last.as_ref()?;
@@ -17,21 +17,21 @@
         Some((&task.problem, names))
     }
 
-    /// The names of zones, machine types and classes.
+    /// Returns the names of zones, machine types and classes.
     #[must_use]
     pub fn names(&self) -> &NameIndex {
         &self.names
     }
 
-    /// The last plan: what is shed and why, then each endpoint with its capacity and its load.
+    /// Returns the last plan: the value of its objective, the admission rate of each class, the shed requests with
+    /// the reason, and the capacity, load and weight of each endpoint.
     #[must_use]
     pub fn show_plan(&self) -> String {
         let Some(planner) = &self.planner else { return "No solver is set.\n".into() };
         let Some(plan) = &planner.last else { return "No plan yet.\n".into() };
-        let Objective { value: earned, crossing_cost: crossing, latency_cost: lateness } =
-            plan.answer.objective;
+        let Objective { value, crossing_cost, latency_cost } = plan.answer.objective;
         let mut text = format!(
-            "# earned {earned:.2} crossing {crossing:.2} lateness {lateness:.2} a second; lines changed {}\n",
+            "# earned {value:.2} crossing {crossing_cost:.2} lateness {latency_cost:.2} a second; lines changed {}\n",
             plan.changed_entries
         );
         self.write_classes(plan, &mut text);
@@ -50,7 +50,7 @@
     }
 
     fn write_shed(&self, shed: &ShedReason, text: &mut String) {
-        let before: Vec<&str> =
+        let preferred: Vec<&str> =
             shed.preferred_classes.iter().map(|class| self.names.classes[*class].as_str()).collect();
         let _ = writeln!(
             text,
@@ -59,19 +59,19 @@
             shed.requests,
             shed.missing_capacity,
             shed.capacity,
-            before.join(",")
+            preferred.join(",")
         );
     }
 
     fn write_endpoints(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
         for (position, endpoint) in task.endpoints.iter().enumerate() {
-            let planned = &task.problem.endpoints[position];
+            let problem_endpoint = &task.problem.endpoints[position];
             let _ = writeln!(
                 text,
                 "server {} cores {:.2} warmth {:.2} load {:.2} weight {}",
                 self.endpoints.name(*endpoint),
-                planned.capacity,
-                planned.slow_start_factor,
+                problem_endpoint.capacity,
+                problem_endpoint.slow_start_factor,
                 answer.loads[position],
                 answer.weights[position]
             );
--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -84,7 +84,7 @@
     simulation.set_status(0, EndpointStatus::Draining);
     simulation.run_to(7200);
     let shown = simulation.fleet.show_proxies();
-    assert!(shown.contains("a command was left unanswered"), "{shown}");
+    assert!(shown.contains("timed out waiting for the response to a command"), "{shown}");
     simulation.proxies[0].is_unreachable = true;
     simulation.run_to(12_000);
     let shown = simulation.fleet.show_proxies();
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -77,7 +77,10 @@
     assert_eq!(simulation.current_snapshot.as_ref().map(|(version, _)| *version), Some(version));
     assert!(simulation.fleet.queued_entries() >= 2, "{}", simulation.fleet.queued_entries());
     let info = simulation.fleet.show_info();
-    assert!(info.contains("FilesTrouble: no generation was written, the last one stands: no room"), "{info}");
+    assert!(
+        info.contains("FilesTrouble: failed to write a snapshot, the previous one stays in use: no room"),
+        "{info}"
+    );
     let failures: usize =
         info.lines().find_map(|l| l.strip_prefix("FilesFailures: ")?.parse().ok()).expect("shown");
     assert!((3..=8).contains(&failures), "the waits grow: {failures}");
