--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -4,7 +4,7 @@
 
 use lockcroft::{EndpointId, HealthCheckOutcome, ProxyId};
 use lockcroft_config::EndpointListConfig;
-use lockcroft_fleet::{AppliedReport, FleetController, PublishError, StateStoreStatus};
+use lockcroft_fleet::{FleetController, PublishError, SnapshotReport, StateStoreStatus};
 use lockcroft_solver::Answer;
 use lockcroft_table_store::WrittenSnapshot;
 use tokio::sync::mpsc;
@@ -41,7 +41,7 @@
         result: Result<WrittenSnapshot, PublishError>,
     },
     SnapshotsApplied {
-        reports: Vec<AppliedReport>,
+        reports: Vec<SnapshotReport>,
     },
     StateSaved(StateStoreStatus),
 }
@@ -59,10 +59,10 @@
             }
             Event::PlanSolved { answer } => fleet.plan_solved(now, answer),
             Event::SnapshotWritten { result } => fleet.snapshot_written(now, result),
-            Event::StateSaved(status) => fleet.state_saved(status),
+            Event::StateSaved(status) => fleet.set_state_store_status(status),
             Event::SnapshotsApplied { reports } => {
                 for report in reports {
-                    fleet.snapshot_applied(now, report);
+                    fleet.snapshot_reported(now, report);
                 }
             }
             Event::Connected { proxy, connection } => fleet.connected(now, proxy, connection),
--- a/crates/daemon/src/snapshot_publisher.rs
+++ b/crates/daemon/src/snapshot_publisher.rs
@@ -75,7 +75,7 @@
     }
 
     fn write(&mut self, publication: &Publication) -> Result<WrittenSnapshot, PublishError> {
-        let written = self.writer()?.write(&publication.content, publication.keep);
+        let written = self.writer()?.write(&publication.content, publication.retention);
         written.map_err(|error| match error {
             WriteError::Fenced(epoch) => PublishError::Fenced(epoch),
             WriteError::Io(source) => self.folder_error(source),
--- a/crates/daemon/src/snapshot_status.rs
+++ b/crates/daemon/src/snapshot_status.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use lockcroft_fleet::{AppliedReport, AppliedVersion, RejectedVersion};
+use lockcroft_fleet::{AppliedVersion, RejectedVersion, SnapshotReport};
 use lockcroft_table_format::proto::Status;
 use lockcroft_table_store::StatusReader;
 
@@ -32,7 +32,7 @@
     }
 }
 
-fn report(status: Status, start: SystemTime) -> AppliedReport {
+fn report(status: Status, start: SystemTime) -> SnapshotReport {
     let start = start.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let applied = status.laid.last().map(|applied| AppliedVersion {
         epoch: applied.epoch,
@@ -44,5 +44,5 @@
         version: rejected.version,
         reason: rejected.why,
     });
-    AppliedReport { proxy: status.proxy, applied, rejected }
+    SnapshotReport { proxy: status.proxy, applied, rejected }
 }
--- a/crates/fleet/src/file_distribution.rs
+++ b/crates/fleet/src/file_distribution.rs
@@ -12,7 +12,7 @@
 use lockcroft_table_store::{Epoch, RetentionPolicy, Version, WrittenSnapshot};
 
 use crate::error::PublishError;
-use crate::publication::{AppliedReport, AppliedVersion, Publication, RejectedVersion};
+use crate::publication::{AppliedVersion, Publication, RejectedVersion, SnapshotReport};
 use crate::snapshot_content::{Assignments, snapshot_content};
 use crate::update_context::UpdateContext;
 
@@ -38,7 +38,7 @@
 struct FileReader {
     name: String,
     assigned: Assignments,
-    report: AppliedReport,
+    report: SnapshotReport,
 }
 
 /// A snapshot that is being written.
@@ -192,8 +192,8 @@
         }
         // A reader without a table of this epoch continues to use those of an earlier epoch.
         let keep_earlier_epochs = self.readers.values().any(|reader| reader.assigned.is_empty());
-        let keep = RetentionPolicy { max_snapshots: self.retained_snapshots, keep_earlier_epochs };
-        let publication = Arc::new(Publication { content, keep });
+        let retention = RetentionPolicy { max_snapshots: self.retained_snapshots, keep_earlier_epochs };
+        let publication = Arc::new(Publication { content, retention });
         self.in_flight = Some(PublicationInFlight {
             publication: publication.clone(),
             entries,
@@ -255,11 +255,11 @@
     }
 
     /// Records the report of a proxy, and returns the text of an event if the proxy newly rejects a snapshot.
-    pub fn record_report(&mut self, report: AppliedReport) -> Option<String> {
+    pub fn record_report(&mut self, report: SnapshotReport) -> Option<String> {
         let epoch = self.last_snapshot.map(|snapshot| snapshot.epoch);
         let reader = self.readers.get_mut(self.reader_ids.get(&report.proxy)?)?;
         let applied_in_epoch =
-            |report: &AppliedReport| report.applied.filter(|applied| Some(applied.epoch) == epoch);
+            |report: &SnapshotReport| report.applied.filter(|applied| Some(applied.epoch) == epoch);
         if let Some(AppliedVersion { version, applied_at, .. }) = applied_in_epoch(&report) {
             let earlier = applied_in_epoch(&reader.report).map_or(0, |applied| applied.version);
             // After a restart of the proxy, `version` may be less than `earlier`; then nothing is recorded.
@@ -278,7 +278,7 @@
 
     /// Returns the last report of a proxy, which is empty before the first one, or `None` if the proxy reads no
     /// files.
-    pub fn report(&self, proxy: ProxyId) -> Option<&AppliedReport> {
+    pub fn report(&self, proxy: ProxyId) -> Option<&SnapshotReport> {
         self.readers.get(&proxy).map(|reader| &reader.report)
     }
 
--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -13,7 +13,7 @@
 use crate::error::PublishError;
 use crate::fleet_controller::FleetController;
 use crate::planner::Plan;
-use crate::publication::AppliedReport;
+use crate::publication::SnapshotReport;
 
 impl FleetController {
     /// Replaces the endpoint list. The first list also applies the state that was recovered from before the start.
@@ -108,7 +108,7 @@
     }
 
     /// Records the report of a proxy that reads files.
-    pub fn snapshot_applied(&mut self, now: Duration, report: AppliedReport) {
+    pub fn snapshot_reported(&mut self, now: Duration, report: SnapshotReport) {
         self.now = now;
         if let Some(text) = self.files.record_report(report) {
             warn!(target: "lockcroft::input", wave = self.batch, text, "a proxy rejected a snapshot");
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -50,6 +50,6 @@
 pub use planner::SolverTask;
 pub use proxy_counters::{CounterDelta, Counters};
 pub use proxy_session::SessionPhase;
-pub use publication::{AppliedReport, AppliedVersion, Publication, RejectedVersion};
+pub use publication::{AppliedVersion, Publication, RejectedVersion, SnapshotReport};
 pub use state_store_status::StateStoreStatus;
 pub use weight_scale::WeightScale;
--- a/crates/fleet/src/publication.rs
+++ b/crates/fleet/src/publication.rs
@@ -11,7 +11,7 @@
     /// The tables, and the proxies to which they are assigned.
     pub content: SnapshotContent,
     /// The earlier snapshots that are kept.
-    pub keep: RetentionPolicy,
+    pub retention: RetentionPolicy,
 }
 
 /// A snapshot that a proxy has applied.
@@ -38,7 +38,7 @@
 
 /// The report of a proxy from its status file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AppliedReport {
+pub struct SnapshotReport {
     /// The proxy's name.
     pub proxy: String,
     /// The last snapshot that the proxy applied.
--- a/crates/fleet/src/state_recovery.rs
+++ b/crates/fleet/src/state_recovery.rs
@@ -20,7 +20,7 @@
     }
 
     /// Sets the status of the store of learned state, for `show memory`.
-    pub fn state_saved(&mut self, status: StateStoreStatus) {
+    pub fn set_state_store_status(&mut self, status: StateStoreStatus) {
         self.state_store_status = status;
     }
 
--- a/crates/fleet/src/views/fleet.rs
+++ b/crates/fleet/src/views/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet_controller::FleetController;
 use crate::proxy_session::{ProxySession, SessionPhase};
-use crate::publication::{AppliedReport, AppliedVersion, RejectedVersion};
+use crate::publication::{AppliedVersion, RejectedVersion, SnapshotReport};
 
 impl FleetController {
     /// Returns one line for each table: the number of its proxies, the sums of its published and desired weights, and
@@ -87,14 +87,14 @@
     }
 }
 
-fn applied_text(report: &AppliedReport) -> String {
+fn applied_text(report: &SnapshotReport) -> String {
     match report.applied {
         Some(AppliedVersion { epoch, version, .. }) => format!("files:e{epoch}g{version}"),
         None => "files:-".into(),
     }
 }
 
-fn rejected_text(report: &AppliedReport) -> String {
+fn rejected_text(report: &SnapshotReport) -> String {
     match &report.rejected {
         Some(RejectedVersion { epoch, version, reason }) => format!(" refuses e{epoch} g{version}: {reason}"),
         None => String::new(),
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -8,7 +8,7 @@
 
 use lockcroft::{EndpointId, EndpointStatus, HealthCheckOutcome};
 use lockcroft_config::{DaemonConfig, Document, EndpointEntry, EndpointListConfig, SCHEMA};
-use lockcroft_fleet::{AppliedReport, AppliedVersion, Effect, FleetController, Publication, PublishError};
+use lockcroft_fleet::{AppliedVersion, Effect, FleetController, Publication, PublishError, SnapshotReport};
 use lockcroft_proxy::{
     AttemptOutcome, Choice, ControlSession, DEFAULT_TABLE, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
@@ -432,7 +432,7 @@
             proxy.applied_version = version;
             any_applied = true;
             let applied = Some(AppliedVersion { epoch: 1, version, applied_at: self.now });
-            self.fleet.snapshot_applied(self.now, AppliedReport { proxy: name, applied, rejected: None });
+            self.fleet.snapshot_reported(self.now, SnapshotReport { proxy: name, applied, rejected: None });
         }
         any_applied
     }
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -2,7 +2,7 @@
 
 use expect_test::expect;
 use lockcroft::EndpointStatus;
-use lockcroft_fleet::{AppliedReport, AppliedVersion, RejectedVersion};
+use lockcroft_fleet::{AppliedVersion, RejectedVersion, SnapshotReport};
 
 use crate::simulation::{Disk, Simulation, ms};
 
@@ -49,7 +49,7 @@
         &simulation.trace.lines().filter(|line| line.contains("lays")).collect::<Vec<_>>().join("\n"),
     );
     let (_, publication) = simulation.current_snapshot.clone().expect("written");
-    assert!(publication.content.groups.is_empty() && publication.keep.keep_earlier_epochs);
+    assert!(publication.content.groups.is_empty() && publication.retention.keep_earlier_epochs);
 }
 
 /// Its connection is broken, and files reach it all the same.
@@ -129,10 +129,10 @@
     let reason = "table-0: not as the manifest has it".to_string();
     let rejected = Some(RejectedVersion { epoch: 1, version: 9, reason });
     let applied = Some(AppliedVersion { epoch: 1, version: 1, applied_at: ms(5100) });
-    simulation.fleet.snapshot_applied(ms(6000), AppliedReport { proxy: "r0".into(), applied, rejected });
+    simulation.fleet.snapshot_reported(ms(6000), SnapshotReport { proxy: "r0".into(), applied, rejected });
     let shown = simulation.fleet.show_proxies();
     assert!(shown.contains("refuses e1 g9: table-0: not as the manifest has it"), "{shown}");
     simulation
         .fleet
-        .snapshot_applied(ms(6000), AppliedReport { proxy: "nobody".into(), ..AppliedReport::default() });
+        .snapshot_reported(ms(6000), SnapshotReport { proxy: "nobody".into(), ..SnapshotReport::default() });
 }
