--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -90,7 +90,7 @@
         if let Some(path) = &self.summary {
             write_json(path, &report.summary())?;
         }
-        Ok(if report.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if report.all_checks_passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
     fn play(&self, scenario: &Scenario) -> Result<Report, CliError> {
--- a/crates/cli/src/variants.rs
+++ b/crates/cli/src/variants.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, ExitCode, Stdio};
 use std::time::Duration;
 
-use lockcroft_scenario::{Scenario, Summary, Variant, search};
+use lockcroft_scenario::{Scenario, Summary, Variant, search_variants};
 use serde_json::json;
 
 use crate::error::{CliError, report};
@@ -17,7 +17,7 @@
 
 /// The variants that a scenario's file names, and those of its search space.
 pub fn all(scenario: &Scenario) -> Vec<Variant> {
-    scenario.variants.iter().cloned().chain(search(&scenario.search_spaces)).collect()
+    scenario.variants.iter().cloned().chain(search_variants(&scenario.search_spaces)).collect()
 }
 
 /// What is compared, and how it is shown.
@@ -41,7 +41,8 @@
 impl Comparison<'_> {
     /// Plays the variants and prints a row each, the best of a search first.
     pub fn run(&self, scenario: &Scenario) -> ExitCode {
-        let variants = if self.search { search(&scenario.search_spaces) } else { scenario.variants.clone() };
+        let variants =
+            if self.search { search_variants(&scenario.search_spaces) } else { scenario.variants.clone() };
         // A search space without an element still has one choice: nothing changed.
         if variants.is_empty() || self.search && scenario.search_spaces.is_empty() {
             let element = if self.search { "search" } else { "way" };
--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -41,7 +41,7 @@
     let report = played.expect("the scenario was played");
     let log = std::fs::read_to_string(folder.path().join("pilot.log")).unwrap_or_default();
     assert!(
-        report.rules_kept() && report.exit_code == Some(0),
+        report.all_checks_passed() && report.exit_code == Some(0),
         "{report}\nexit {:?}\n{log}",
         report.exit_code
     );
--- a/crates/scenario/src/check_result.rs
+++ b/crates/scenario/src/check_result.rs
@@ -11,7 +11,8 @@
     #[serde(rename = "of")]
     pub unit: &'static str,
     /// The worst that was seen.
-    pub figure: f64,
+    #[serde(rename = "figure")]
+    pub worst_value: f64,
     /// The most that the rule allows.
     pub limit: f64,
     /// Who and when, at the figure.
@@ -21,25 +22,25 @@
 
 impl CheckResult {
     pub(crate) fn new(rule: &'static str, unit: &'static str, limit: f64) -> Self {
-        CheckResult { rule, unit, figure: 0.0, limit, location: String::new() }
+        CheckResult { rule, unit, worst_value: 0.0, limit, location: String::new() }
     }
 
     /// Takes a figure that was seen; the worst one stays.
-    pub(crate) fn observe(&mut self, figure: f64, location: impl FnOnce() -> String) {
-        if figure > self.figure {
-            self.figure = figure;
+    pub(crate) fn observe(&mut self, value: f64, location: impl FnOnce() -> String) {
+        if value > self.worst_value {
+            self.worst_value = value;
             self.location = location();
         }
     }
 
     /// Counts one violation more.
     pub(crate) fn count(&mut self, location: impl FnOnce() -> String) {
-        self.observe(self.figure + 1.0, location);
+        self.observe(self.worst_value + 1.0, location);
     }
 
     /// Whether the rule was kept.
     #[must_use]
     pub fn passed(&self) -> bool {
-        self.figure <= self.limit
+        self.worst_value <= self.limit
     }
 }
--- a/crates/scenario/src/fault_injector.rs
+++ b/crates/scenario/src/fault_injector.rs
@@ -8,8 +8,8 @@
 use crate::error::ScenarioError;
 use crate::fault_steps::{Phase, Step};
 use crate::faults::{FaultInjection, FaultKind};
+use crate::recording_link::StallPoint;
 use crate::stage::{ProxyInstance, Stage};
-use crate::throttled_link::StallPoint;
 
 /// How long a control stream is stalled if the fault does not say so.
 const DEFAULT_STALL: Duration = Duration::from_secs(3);
--- a/crates/scenario/src/fault_steps.rs
+++ b/crates/scenario/src/fault_steps.rs
@@ -37,7 +37,7 @@
     for fault in faults {
         steps.push(Step { at: fault.at, fault, phase: Phase::Begins });
         if fault.kind == FaultKind::LoseEndpoint {
-            steps.push(Step { at: fault.at + fault.notice, fault, phase: Phase::Noticed });
+            steps.push(Step { at: fault.at + fault.notice_delay, fault, phase: Phase::Noticed });
         }
         let end = fault.duration.map(|duration| fault.at + duration);
         steps.extend(end.map(|at| Step { at, fault, phase: Phase::Ends }));
--- a/crates/scenario/src/faults.rs
+++ b/crates/scenario/src/faults.rs
@@ -14,7 +14,7 @@
     Slow,
     /// Endpoints reject requests.
     Reject,
-    /// Endpoints' processes end, and later start again and warm up; the list reports both after `notice`.
+    /// Endpoints' processes end, and later start again and warm up; the list reports both after `notice_delay`.
     LoseEndpoint,
     /// The list says that endpoints drain.
     Drain,
@@ -75,7 +75,7 @@
     /// A message with more commands than this stalls or breaks.
     pub after_commands: usize,
     /// How long after an endpoint is lost the list says so.
-    pub notice: Duration,
+    pub notice_delay: Duration,
     /// The operator's command.
     pub command: String,
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -2,7 +2,7 @@
 //! fault injections by time. Judges the five rules from what passed on the sockets, never from the controller's own
 //! account.
 //!
-//! [`Scenario`] is what a file says, [`run`] plays it, [`judge`] checks the rules, [`score`] weighs the requests.
+//! [`Scenario`] is what a file says, [`run`] plays it, [`check_rules`] checks the rules, [`score`] weighs the requests.
 
 #![warn(missing_docs)]
 
@@ -18,6 +18,7 @@
 mod owned_task;
 mod proxy_fleet;
 mod proxy_runtimes;
+mod recording_link;
 mod report;
 mod resource_meter;
 mod rules;
@@ -26,7 +27,6 @@
 mod score;
 mod stage;
 mod table_folder;
-mod throttled_link;
 mod variants;
 mod xml;
 
@@ -37,9 +37,9 @@
 pub use proxy_fleet::{ProxyFleet, TableSource};
 pub use report::{Report, Summary};
 pub use resource_meter::{ResourceSample, ResourceUsage};
-pub use rules::{Limits, judge};
+pub use rules::{Limits, check_rules};
 pub use run::run;
 pub use scenario::{EndpointGroup, LoadProfile, Scenario};
-pub use score::{RestartScore, Score, Zones, score};
-pub use variants::{MachineTypeWeight, SearchSpace, SettingOverride, Variant, search};
+pub use score::{RestartScore, Score, ZonesByName, score};
+pub use variants::{MachineTypeWeight, SearchSpace, SettingOverride, Variant, search_variants};
 pub use xml::SCHEMA;
--- a/crates/scenario/src/throttled_link/connection.rs
+++ b/crates/scenario/src/recording_link/connection.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::throttled_link::link_state::{LinkState, StallPoint};
+use crate::recording_link::link_state::{LinkState, StallPoint};
 
 /// A proxy answers the commands it has within this, once nobody stalls it.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/scenario/src/throttled_link/mod.rs
+++ b/crates/scenario/src/recording_link/mod.rs
@@ -20,14 +20,14 @@
 pub use self::link_state::StallPoint;
 
 /// The link; it ends, with its streams, when this is dropped.
-pub struct ThrottledLink {
+pub struct RecordingLink {
     /// Where controllers dial it.
     pub address: SocketAddr,
     state: Arc<LinkState>,
     _accept_task: OwnedTask,
 }
 
-impl ThrottledLink {
+impl RecordingLink {
     /// Opens a link to the proxy's control socket.
     ///
     /// # Errors
@@ -37,7 +37,7 @@
         let address = listener.local_addr()?;
         let state = Arc::new(LinkState::new(proxy, proxy_address, recorder));
         let accept_task = OwnedTask::spawn(accept_loop(state.clone(), listener));
-        Ok(ThrottledLink { address, state, _accept_task: accept_task })
+        Ok(RecordingLink { address, state, _accept_task: accept_task })
     }
 
     /// Stalls the next message that is long enough.
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -68,7 +68,7 @@
 
     /// Whether all rules were kept.
     #[must_use]
-    pub fn rules_kept(&self) -> bool {
+    pub fn all_checks_passed(&self) -> bool {
         self.checks.iter().all(CheckResult::passed)
     }
 
@@ -78,10 +78,10 @@
 
     fn write_checks(&self, out: &mut fmt::Formatter) -> fmt::Result {
         for check in &self.checks {
-            let CheckResult { rule, unit, figure, limit, location } = check;
+            let CheckResult { rule, unit, worst_value, limit, location } = check;
             let verdict = if check.passed() { "kept" } else { "BROKEN" };
             let location = if location.is_empty() { String::new() } else { format!(" ({location})") };
-            writeln!(out, "{verdict:6} {rule:20} {figure:.2} of {limit:.2} {unit}{location}")?;
+            writeln!(out, "{verdict:6} {rule:20} {worst_value:.2} of {limit:.2} {unit}{location}")?;
         }
         Ok(())
     }
@@ -127,7 +127,7 @@
         self.write_score(out)?;
         writeln!(out, "{}", self.resource_usage)?;
         self.write_controller_info(out)?;
-        if self.rules_kept() {
+        if self.all_checks_passed() {
             return write!(out, "rules kept");
         }
         let broken: Vec<&str> = self.broken_rules().collect();
--- a/crates/scenario/src/rules/availability.rs
+++ b/crates/scenario/src/rules/availability.rs
@@ -15,7 +15,7 @@
 
 impl Availability {
     pub fn new(limits: &Limits) -> Self {
-        let limit = limits.max_unserved.as_secs_f64();
+        let limit = limits.max_time_without_endpoints.as_secs_f64();
         Availability {
             result: CheckResult::new("endpoint for all", "s without a line", limit),
             lacking_since: BTreeMap::new(),
--- a/crates/scenario/src/rules/fleet_history.rs
+++ b/crates/scenario/src/rules/fleet_history.rs
@@ -77,7 +77,7 @@
             started: listed.started,
         });
         for ListedEndpoint { name, state, started } in endpoints.iter().cloned().chain(gone) {
-            let out = state == "draining" || state == "gone" && !self.limits.only_draining_binds;
+            let out = state == "draining" || state == "gone" && !self.limits.ignore_removals;
             let out_before = before.get(&name).and_then(|listed| listed.out_since);
             let out_since = out.then(|| out_before.unwrap_or(at));
             self.list.insert(name, ListedState { ready: state == "ready", out_since, started });
--- a/crates/scenario/src/rules/limits.rs
+++ b/crates/scenario/src/rules/limits.rs
@@ -13,11 +13,11 @@
     /// Classes of which no request may be executed twice: all but those that are safe.
     pub execute_once: Vec<String>,
     /// How long a proxy may lack an endpoint for a class.
-    pub max_unserved: Duration,
+    pub max_time_without_endpoints: Duration,
     /// How long after the list reported a drain requests may still reach the endpoint.
     pub drain_grace: Duration,
     /// Endpoints that are gone from the list may get requests.
-    pub only_draining_binds: bool,
+    pub ignore_removals: bool,
     /// How much a warming endpoint bears.
     pub slow_start: SlowStart,
     /// Commands that wait at all proxies together, at most.
@@ -40,9 +40,9 @@
         Limits {
             execute_once: unsafe_classes.filter_map(|class| class.name.clone()).collect(),
             classes: classes.filter_map(|class| class.name.clone()).collect(),
-            max_unserved: settings.rules.max_time_without_endpoints,
+            max_time_without_endpoints: settings.rules.max_time_without_endpoints,
             drain_grace: settings.rules.drain_grace.unwrap_or_default(),
-            only_draining_binds: settings.rules.ignore_removals,
+            ignore_removals: settings.rules.ignore_removals,
             slow_start: SlowStart {
                 initial_fraction: settings.rules.initial_weight_fraction,
                 window: settings.rules.slow_start_window,
--- a/crates/scenario/src/rules/mod.rs
+++ b/crates/scenario/src/rules/mod.rs
@@ -27,7 +27,7 @@
 
 /// Checks all rules on a record, which is in the order of time.
 #[must_use]
-pub fn judge(records: &[TrafficRecord], limits: &Limits) -> Vec<CheckResult> {
+pub fn check_rules(records: &[TrafficRecord], limits: &Limits) -> Vec<CheckResult> {
     let mut fleet = FleetHistory::new(limits);
     let mut availability = Availability::new(limits);
     let mut draining = Draining::new(limits);
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -14,7 +14,7 @@
 use crate::owned_task::OwnedTask;
 use crate::report::Report;
 use crate::resource_meter::{ResourceMeter, ResourceUsage};
-use crate::rules::judge;
+use crate::rules::check_rules;
 use crate::scenario::Scenario;
 use crate::score::score;
 use crate::stage::Stage;
@@ -74,7 +74,7 @@
 fn report(scenario: &Scenario, stage: &Stage, observed: Observed) -> Report {
     let records = stage.recorder.records();
     Report {
-        checks: judge(&records, &stage.limits),
+        checks: check_rules(&records, &stage.limits),
         score: score(&records, &stage.config.settings, &stage.zones(), &restarts(scenario)),
         controller_info: observed.info.lines().filter(|line| !line.is_empty()).map(String::from).collect(),
         resource_usage: observed.resource_usage,
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -15,7 +15,7 @@
 const QUIET_TIME: Duration = Duration::from_secs(1);
 
 /// The zone of each endpoint and proxy, by name.
-pub type Zones = BTreeMap<String, String>;
+pub type ZonesByName = BTreeMap<String, String>;
 
 /// What came of the 20 s after a restart of the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -65,7 +65,12 @@
 /// Scores a record. An answer within the latency objective earns its class's value in full, a later one the part that
 /// the settings state. The restarts of the controller are given by time.
 #[must_use]
-pub fn score(records: &[TrafficRecord], settings: &Settings, zones: &Zones, restarts: &[Duration]) -> Score {
+pub fn score(
+    records: &[TrafficRecord],
+    settings: &Settings,
+    zones: &ZonesByName,
+    restarts: &[Duration],
+) -> Score {
     let mut totals = Totals::new(restarts);
     let values = ClassValue::by_name(settings);
     for record in records {
@@ -222,7 +227,7 @@
     answered.command.contains(" weight ") || answered.command.starts_with("set var proc.level_")
 }
 
-fn cross_zone_fraction(records: &[TrafficRecord], zones: &Zones) -> f64 {
+fn cross_zone_fraction(records: &[TrafficRecord], zones: &ZonesByName) -> f64 {
     let mut arrivals: u32 = 0;
     let mut cross_zone: u32 = 0;
     for record in records {
--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/stage/mod.rs
@@ -17,7 +17,7 @@
 use crate::proxy_runtimes::ProxyRuntimes;
 use crate::rules::Limits;
 use crate::scenario::Scenario;
-use crate::score::Zones;
+use crate::score::ZonesByName;
 use crate::table_folder::TableFolder;
 
 use self::endpoints::start_endpoints;
@@ -132,7 +132,7 @@
 
     /// Zones of all endpoints and proxies by their names.
     #[must_use]
-    pub fn zones(&self) -> Zones {
+    pub fn zones(&self) -> ZonesByName {
         let endpoints = self.list.entries.iter().map(|(name, entry)| (name.clone(), entry.zone.clone()));
         let proxies = self.proxies.iter().map(|proxy| (proxy.name.clone(), proxy.zone.clone()));
         endpoints.chain(proxies).collect()
--- a/crates/scenario/src/stage/proxies.rs
+++ b/crates/scenario/src/stage/proxies.rs
@@ -14,9 +14,9 @@
 use crate::endpoint_list_file::ListEntry;
 use crate::error::ScenarioError;
 use crate::proxy_runtimes::ProxyRuntimes;
+use crate::recording_link::RecordingLink;
 use crate::scenario::Scenario;
 use crate::table_folder::TableFolder;
-use crate::throttled_link::ThrottledLink;
 
 /// A large scenario has more pairs of proxies and endpoints than there are file descriptors for connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
     /// Where it takes requests.
     pub address: SocketAddr,
     /// The link to its control socket.
-    pub link: ThrottledLink,
+    pub link: RecordingLink,
     /// By which its runtime knows it.
     pub(super) number: usize,
     pub(super) config: ProxyConfig,
@@ -102,7 +102,7 @@
         config.default_table = default_table;
         config.request_address = self.runtimes.start(number, config.clone()).await?;
         record_start(&config, self.recorder);
-        let link = ThrottledLink::open(&name, control, self.recorder.clone()).await?;
+        let link = RecordingLink::open(&name, control, self.recorder.clone()).await?;
         Ok(ProxyInstance { name, zone: zone.into(), address: config.request_address, link, number, config })
     }
 
--- a/crates/scenario/src/variants.rs
+++ b/crates/scenario/src/variants.rs
@@ -52,7 +52,7 @@
 /// Every choice of one weight a machine type, as variants that differ in these alone. They go without the solver, which
 /// would replace the weights.
 #[must_use]
-pub fn search(spaces: &[SearchSpace]) -> Vec<Variant> {
+pub fn search_variants(spaces: &[SearchSpace]) -> Vec<Variant> {
     let mut variants = vec![Variant { without: vec!["solver".into()], ..Variant::default() }];
     for space in spaces {
         variants = variants.iter().flat_map(|variant| with_each_weight(variant, space)).collect();
--- a/crates/scenario/src/xml.rs
+++ b/crates/scenario/src/xml.rs
@@ -115,7 +115,7 @@
         proxy: node.attribute("relay").map(String::from),
         factor: number(node, "times", 1.0),
         after_commands: number(node, "after-commands", 1.0) as usize,
-        notice: time(node, "notice").unwrap_or(DEFAULT_NOTICE),
+        notice_delay: time(node, "notice").unwrap_or(DEFAULT_NOTICE),
         command: text(node, "command"),
     }
 }
--- a/crates/scenario/tests/report_json.rs
+++ b/crates/scenario/tests/report_json.rs
@@ -69,7 +69,7 @@
         checks: vec![CheckResult {
             rule: "drains kept",
             unit: "s after told",
-            figure: 3.0,
+            worst_value: 3.0,
             limit: 2.0,
             location: text("r to e at 4.0 s"),
         }],
--- a/crates/scenario/tests/rules.rs
+++ b/crates/scenario/tests/rules.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lockcroft_scenario::{CheckResult, Limits, judge};
+use lockcroft_scenario::{CheckResult, Limits, check_rules};
 use lockcroft_testbed::{AnsweredCommand, ListedEndpoint, SlowStart, TrafficEvent, TrafficRecord};
 
 fn limits() -> Limits {
     Limits {
         classes: vec!["look".into()],
         execute_once: vec!["look".into()],
-        max_unserved: Duration::from_secs(2),
+        max_time_without_endpoints: Duration::from_secs(2),
         drain_grace: Duration::from_secs(2),
-        only_draining_binds: false,
+        ignore_removals: false,
         slow_start: SlowStart {
             initial_fraction: 0.5,
             window: Duration::from_secs(10),
@@ -82,7 +82,7 @@
 /// What is broken, after the opening and these records.
 fn broken(more: &[TrafficRecord]) -> Vec<&'static str> {
     let records: Vec<TrafficRecord> = opening().into_iter().chain(more.iter().cloned()).collect();
-    let checks = judge(&records, &limits());
+    let checks = check_rules(&records, &limits());
     let broken: BTreeMap<&str, CheckResult> =
         checks.into_iter().filter(|check| !check.passed()).map(|v| (v.rule, v)).collect();
     assert!(broken.values().all(|check| !check.location.is_empty()), "it says where");
--- a/crates/scenario/tests/variants.rs
+++ b/crates/scenario/tests/variants.rs
@@ -1,6 +1,6 @@
 //! A scenario in several variants.
 
-use lockcroft_scenario::{Scenario, search};
+use lockcroft_scenario::{Scenario, search_variants};
 
 const SCENARIO: &str = r#"<day length="5s">
   <terms><kinds><kind name="old"/><kind name="new" cores="4"/></kinds><rules cold-share="0.25"/><solver every="2s"/></terms>
@@ -26,7 +26,7 @@
 fn a_search_goes_through_every_choice() {
     let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     let names: Vec<String> =
-        search(&scenario.search_spaces).into_iter().map(|variant| variant.name).collect();
+        search_variants(&scenario.search_spaces).into_iter().map(|variant| variant.name).collect();
     let all = [
         "old=0.25 new=1",
         "old=0.25 new=2",
--- a/crates/scenario/tests/xml.rs
+++ b/crates/scenario/tests/xml.rs
@@ -61,12 +61,12 @@
     let scenario = Scenario::parse(FULL).expect("a sound file");
     let [first, second] = &scenario.faults[..] else { panic!("two faults") };
     assert_eq!((first.at, first.duration, first.kind), (Duration::from_secs(1), None, FaultKind::Hang));
-    assert_eq!((first.factor, first.after_commands, first.notice), (1.0, 1, Duration::from_secs(1)));
+    assert_eq!((first.factor, first.after_commands, first.notice_delay), (1.0, 1, Duration::from_secs(1)));
     assert_eq!(
         (second.at, second.duration, second.kind),
         (Duration::from_secs(8), Some(Duration::from_secs(3)), FaultKind::Slow)
     );
-    assert_eq!((second.factor, second.after_commands, second.notice), (4.0, 3, Duration::from_secs(2)));
+    assert_eq!((second.factor, second.after_commands, second.notice_delay), (4.0, 3, Duration::from_secs(2)));
     assert_eq!(
         (&second.endpoints[..], second.zone.as_deref()),
         (&["e".to_string(), "f".to_string()][..], Some("z"))
