--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -167,7 +167,7 @@
         held.status.code() == Some(1) && String::from_utf8_lossy(&held.stderr).contains("a pilot holds it")
     );
     let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
-    assert_eq!(log.matches("\"message\":\"recalled\"").count(), 2, "{log}");
+    assert_eq!(log.matches("\"message\":\"recovered state\"").count(), 2, "{log}");
     controller.kill();
     // State of another fleet is not used, and the controller starts without.
     std::fs::write(
--- a/crates/daemon/src/state_writer.rs
+++ b/crates/daemon/src/state_writer.rs
@@ -83,7 +83,7 @@
     let recovered = recover_state(&state, now.as_millis() as u64, &ageing_rules(settings));
     // These field names stand in the page on the state store.
     info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recovered.endpoints.len(),
-        levels = recovered.admission_rates.len(), ahead = recovered.future_entries, us = started.elapsed().as_micros() as u64, "recalled");
+        levels = recovered.admission_rates.len(), ahead = recovered.future_entries, us = started.elapsed().as_micros() as u64, "recovered state");
     recovered
 }
 
--- a/crates/fleet/src/state_recovery.rs
+++ b/crates/fleet/src/state_recovery.rs
@@ -41,7 +41,7 @@
             planner.recover_capacities(capacities.map(|(name, cores)| (self.endpoints.intern(&name), cores)));
         }
         if endpoints + admissions > 0 {
-            info!(target: "lockcroft::input", wave = self.batch, endpoints, admissions, "recalled");
+            info!(target: "lockcroft::input", wave = self.batch, endpoints, admissions, "recovered state");
             self.add_event(&format!("recovered state: {endpoints} endpoints, {admissions} admission rates"));
         }
     }
