--- a/crates/fleet/src/fleet_controller.rs
+++ b/crates/fleet/src/fleet_controller.rs
@@ -74,8 +74,8 @@
     /// The time from a decision to the last response to its message, in microseconds.
     pub(crate) acknowledgement_latency: Histogram<u64>,
     pub(crate) max_queued_entries: f64,
-    /// The number of the current update batch: the actions of one call of `run_actions`, and the inputs since the last
-    /// call that had any.
+    /// The number of the current update batch: the actions of one call of `run_actions`, and the inputs since the
+    /// last call that had any.
     pub(crate) batch: u64,
     pub(crate) planner: Option<Planner>,
     pub(crate) files: FileDistribution,
--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -1,4 +1,4 @@
-//! Short traces of commands.
+//! Commands that proxies are sent, and their resulting state.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,7 +10,7 @@
 use crate::simulation::{Simulation, ms};
 
 #[test]
-fn a_start_applies_the_table_before_it_is_mapped() {
+fn new_proxy_is_sent_table_entries_before_the_class_map() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(5500);
     expect![[r#"
@@ -25,9 +25,9 @@
     .assert_eq(&simulation.commands());
 }
 
-/// Drains count at standing tables too, and while the start-up hold lasts.
+/// An endpoint that drains during the start-up hold is ejected from the tables that the proxy has already.
 #[test]
-fn a_drain_in_the_startup_hold_ejects_from_standing_tables() {
+fn endpoint_draining_in_the_startup_hold_is_ejected_from_existing_tables() {
     let mut simulation = Simulation::new(3, 1);
     simulation.run_to(1000).set_status(1, EndpointStatus::Draining);
     simulation.run_to(1500);
@@ -37,19 +37,19 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A proxy that does not respond is sent each entry once, as it is by then: what waits for it does
-/// not grow with the time that it stands still.
+/// A proxy that did not respond for a while is sent each entry once, with its latest value. Its number of pending
+/// changes does not grow with the duration of the stall.
 #[test]
-fn a_stalled_proxy_gets_the_last_value_only() {
+fn stalled_proxy_is_sent_only_the_latest_values() {
     let mut simulation = Simulation::new(3, 2);
     simulation.run_to(6000).clear_trace().proxies[0].is_silent = true;
     simulation.set_status(1, EndpointStatus::Draining);
     simulation.run_to(6300).set_status(1, EndpointStatus::Ready);
     simulation.run_to(6600).set_status(2, EndpointStatus::Draining);
     simulation.run_to(6900).proxies[0].is_silent = false;
-    let waiting = simulation.fleet.queued_entries();
+    let queued = simulation.fleet.queued_entries();
     simulation.run_to(8000);
-    assert!(waiting <= 3, "{waiting} entries for a table of 3");
+    assert!(queued <= 3, "{queued} entries for a table of 3");
     let sent: Vec<String> =
         simulation.commands().lines().filter(|l| l.contains("r0:")).map(String::from).collect();
     assert_eq!(sent[0], "6.0 r0: set server t0/e1 weight 0");
@@ -57,19 +57,19 @@
     assert_eq!(simulation.weights(0), simulation.weights(1));
 }
 
-/// The command was carried out, its response was lost: after the reconnect the proxy is asked what it
-/// holds, and no command is repeated.
+/// Commands were executed, but their responses were lost: the state of the proxy is read after the reconnect, and
+/// they are not repeated.
 #[test]
-fn what_was_carried_out_before_a_disconnect_is_not_sent_again() {
+fn commands_executed_before_a_disconnect_are_not_repeated() {
     let mut simulation = Simulation::new(3, 1);
     simulation.run_to(4900).proxies[0].is_silent = true;
     simulation.run_to(5100);
     let sent = simulation.commands();
-    assert!(sent.contains("set map"), "the whole batch was carried out: {sent}");
+    assert!(sent.contains("set map"), "the whole batch was executed: {sent}");
     simulation.clear_trace().disconnect(0);
     simulation.proxies[0].is_silent = false;
     simulation.run_to(6500);
-    // Levels can't be asked for as a whole, so they are set again, to what they are.
+    // Admission is not part of the state that is read, so it is set again to the same values.
     expect![[r#"
         5.3 r0: set var proc.level_look_up int(1000)
         5.3 r0: set var proc.again_look_up int(1)
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_response_timeout_disconnects_and_backoff_grows() {
+fn response_timeout_disconnects_and_reconnect_backoff_grows() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000).proxies[0].is_silent = true;
     simulation.set_status(0, EndpointStatus::Draining);
@@ -88,22 +88,22 @@
     simulation.proxies[0].is_unreachable = true;
     simulation.run_to(12_000);
     let shown = simulation.fleet.show_proxies();
-    let breaks: usize =
-        shown.lines().nth(1).and_then(|l| l.split(' ').nth(7)?.parse().ok()).expect("a count");
-    assert!((3..9).contains(&breaks), "200 ms to 2 s apart, spread by half: {shown}");
+    let disconnects: usize =
+        shown.lines().nth(1).and_then(|l| l.split(' ').nth(7)?.parse().ok()).expect("a count in the line");
+    assert!((3..9).contains(&disconnects), "200 ms to 2 s apart, with up to half as jitter: {shown}");
     (simulation.proxies[0].is_unreachable, simulation.proxies[0].is_silent) = (false, false);
     simulation.run_to(15_000);
     assert_eq!(simulation.weights(0), [("e1".to_string(), 256)]);
 }
 
-/// A controller that comes after another finds its tables: what is right costs no command, and what is off the
-/// list is deleted.
+/// A controller reads the tables that an earlier one left at a proxy: matching entries cost no command, and entries
+/// of endpoints that are off the list are deleted.
 #[test]
-fn tables_of_an_earlier_controller_are_brought_in_line() {
-    let mut old = Simulation::new(4, 1);
-    old.run_to(6000);
+fn tables_of_an_earlier_controller_are_reconciled() {
+    let mut earlier = Simulation::new(4, 1);
+    earlier.run_to(6000);
     let mut simulation = Simulation::new(3, 1);
-    simulation.proxies[0].routing = old.proxies[0].routing.clone();
+    simulation.proxies[0].routing = earlier.proxies[0].routing.clone();
     simulation.run_to(5500);
     expect![[r#"
         5.0 r0: set var proc.level_look_up int(1000)
@@ -114,19 +114,19 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A connection breaks while nothing is in flight: one number shows that both hold the same, and not even
-/// the levels are set again. What was changed by another hand meanwhile is found and mended.
+/// A connection breaks while no update is in flight. If the digest matches after the reconnect, no command is sent,
+/// not even for admission. A change that another client made meanwhile is detected and reverted.
 #[test]
-fn after_a_reconnect_a_matching_digest_saves_all_updates() {
+fn matching_digest_after_a_reconnect_avoids_all_updates() {
     let mut simulation = Simulation::new(3, 1);
     simulation.run_to(6000).clear_trace().disconnect(0);
     simulation.run_to(7000);
     assert_eq!(simulation.commands(), "");
     simulation.disconnect(0);
     let mut out = String::new();
-    let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
+    let command = lockcroft_runtime_api::split("set weight t0/e1 7");
     ControlSession::new(AccessLevel::Admin).execute_line(
-        &by_hand,
+        &command,
         &mut simulation.proxies[0].routing,
         &mut out,
     );
@@ -139,17 +139,17 @@
     .assert_eq(&simulation.commands());
 }
 
-/// A table of many entries takes several lines of commands: they take effect together, and a connection that
-/// breaks before the commit leaves the table that stood.
+/// An update of many entries takes several lines, which take effect together. If the connection breaks before the
+/// commit, the proxy keeps its previous table.
 #[test]
-fn a_message_of_several_lines_takes_effect_as_a_whole() {
+fn message_of_several_lines_takes_effect_as_a_whole() {
     let mut simulation = Simulation::new(300, 1);
     simulation.run_to(4900).proxies[0].is_silent = true;
     simulation.run_to(5100);
     let sent = simulation.commands();
     assert!(sent.starts_with("5.0 r0: prepare map tables"), "{sent}");
-    assert!(!sent.contains("commit"), "its version is not known yet");
-    assert_eq!(simulation.proxies[0].routing.backends.len(), 1, "the standing table only");
+    assert!(!sent.contains("commit"), "the version to commit is not known yet");
+    assert_eq!(simulation.proxies[0].routing.backends.len(), 1, "only the default table");
     simulation.clear_trace().disconnect(0);
     simulation.proxies[0].is_silent = false;
     simulation.run_to(6500);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_restarted_proxy_gets_everything_again() {
+fn restarted_proxy_is_sent_its_full_state() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000);
     let restarted = Simulation::new(2, 1).proxies.remove(0).routing;
@@ -171,13 +171,13 @@
     assert_eq!(simulation.weights(0).len(), 2);
 }
 
-/// A proxy that answers a command with anything but the guide's word of success is asked anew what
-/// it holds, after a backoff, and meanwhile counts as detached.
+/// If the response to a command is not the one that reports success, the proxy is disconnected, and its state is read
+/// again after the reconnect backoff.
 #[test]
-fn a_failed_command_disconnects_the_proxy() {
+fn failed_command_disconnects_the_proxy() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(5500);
-    // Somebody else's hand takes a line away.
+    // Another client deletes an entry.
     let table = simulation.proxies[0].routing.backends.get_mut("t0").expect("applied");
     std::rc::Rc::make_mut(table).remove("e0");
     simulation.clear_trace().set_status(0, EndpointStatus::Draining);
@@ -192,7 +192,7 @@
     assert_eq!(simulation.weights(0).len(), 2);
 }
 
-/// The decisions see the entries that really wait, and hold the others back within their limit.
+/// The decisions limit updates by the actual number of queued entries.
 #[test]
 fn queued_entries_stay_within_the_limit() {
     let (endpoints, proxies, limit) = (30, 12, 200);
@@ -201,22 +201,22 @@
     simulation.proxies.iter_mut().for_each(|proxy| proxy.is_silent = true);
     for step in 0..40 {
         simulation.run_to(5000 + step * 25);
-        assert!(simulation.fleet.queued_entries() <= limit, "{} wait", simulation.fleet.queued_entries());
+        assert!(simulation.fleet.queued_entries() <= limit, "{} queued", simulation.fleet.queued_entries());
     }
-    assert!(simulation.fleet.queued_entries() > limit / 4, "the table does go out");
+    assert!(simulation.fleet.queued_entries() > limit / 4, "the table is sent");
 }
 
 #[test]
-fn an_operator_override_goes_through_the_list() {
+fn operator_override_survives_a_list_update() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000);
     let endpoint = simulation.fleet.find_endpoint("servers/e1").expect("listed");
-    let half = simulation.fleet.parse_weight(endpoint, "50%").expect("a weight");
+    let half = simulation.fleet.parse_weight(endpoint, "50%").expect("valid weight");
     simulation.fleet.override_endpoint(endpoint, |change| change.weight = Some(half));
     simulation.run_to(7000);
     assert_eq!(simulation.weights(0), [("e0".to_string(), 256), ("e1".to_string(), 128)]);
     simulation.fleet.override_endpoint(endpoint, |change| change.draining = true);
-    // The list read anew takes nothing from the operator's override.
+    // The override stays in effect when the list is sent again.
     simulation.send_list();
     simulation.run_to(8000);
     assert_eq!(simulation.weights(0), [("e0".to_string(), 256)]);
@@ -225,9 +225,9 @@
     );
 }
 
-/// The words that `show events` has for an override are the runtime API's, and stay as they are.
+/// The format in which `show events` prints an override is part of the runtime API.
 #[test]
-fn an_operator_override_is_shown_in_the_words_of_the_runtime_api() {
+fn operator_override_is_shown_in_the_format_of_the_runtime_api() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(1000);
     let endpoint = simulation.fleet.find_endpoint("servers/e1").expect("listed");
@@ -238,9 +238,9 @@
     assert!(events.contains("operator: e1: Word { drains: true, weight: Some(0.5) }\n"), "{events}");
 }
 
-/// Two readings of one file must not look like two starts: the endpoint would lose its weight again.
+/// Reading the same list again must not look like a restart of the endpoint, which would begin slow start again.
 #[test]
-fn rereading_the_list_is_not_a_restart() {
+fn rereading_the_list_does_not_begin_slow_start_again() {
     let mut simulation = Simulation::new(2, 1);
     simulation.run_to(6000).endpoint_list.entries[0].started_at = Some(SystemTime::UNIX_EPOCH + ms(3000));
     simulation.send_list();
@@ -252,11 +252,11 @@
     }
     simulation.run_to(12_950);
     assert_eq!(simulation.weights(0), weights);
-    assert!(weights[0].1 > 200, "nearly warm: {weights:?}");
+    assert!(weights[0].1 > 200, "slow start has nearly ended: {weights:?}");
 }
 
 #[test]
-fn a_dead_endpoint_leaves_the_tables_by_its_health_checks() {
+fn endpoint_with_failing_health_checks_is_removed_from_tables() {
     let mut simulation = Simulation::new(3, 2);
     simulation.run_to(6000).health_checks.insert(2, HealthCheckOutcome::Refused);
     simulation.run_to(9000);
--- a/crates/fleet/tests/updates/convergence.rs
+++ b/crates/fleet/tests/updates/convergence.rs
@@ -1,34 +1,35 @@
-//! Whatever a proxy held, and whatever happens to its connection, it ends with what was published.
+//! Convergence of proxies to the published state after random sequences of faults.
 
 use lockcroft::EndpointStatus;
 use proptest::prelude::*;
 
 use crate::simulation::{Disk, Simulation, ms};
 
+/// A fault or its end, a change of the endpoint list, or a delay.
 #[derive(Clone, Debug)]
-enum Fault {
+enum Step {
     Drain(usize),
     Ready(usize),
-    FallSilent(usize),
-    SpeakAgain(usize),
+    StopResponding(usize),
+    ResumeResponding(usize),
     Disconnect(usize),
-    Lag(usize),
-    CatchUp(usize),
+    StopApplying(usize),
+    ResumeApplying(usize),
     Disk(Disk),
     Wait(u64),
 }
 
-fn fault() -> impl Strategy<Value = Fault> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..5_usize).prop_map(Fault::Drain),
-        (0..5_usize).prop_map(Fault::Ready),
-        (0..3_usize).prop_map(Fault::FallSilent),
-        (0..3_usize).prop_map(Fault::SpeakAgain),
-        (0..3_usize).prop_map(Fault::Disconnect),
-        (0..3_usize).prop_map(Fault::Lag),
-        (0..3_usize).prop_map(Fault::CatchUp),
-        prop_oneof![Just(Disk::Healthy), Just(Disk::Full), Just(Disk::Hanging)].prop_map(Fault::Disk),
-        (1..900_u64).prop_map(Fault::Wait),
+        (0..5_usize).prop_map(Step::Drain),
+        (0..5_usize).prop_map(Step::Ready),
+        (0..3_usize).prop_map(Step::StopResponding),
+        (0..3_usize).prop_map(Step::ResumeResponding),
+        (0..3_usize).prop_map(Step::Disconnect),
+        (0..3_usize).prop_map(Step::StopApplying),
+        (0..3_usize).prop_map(Step::ResumeApplying),
+        prop_oneof![Just(Disk::Healthy), Just(Disk::Full), Just(Disk::Hanging)].prop_map(Step::Disk),
+        (1..900_u64).prop_map(Step::Wait),
     ]
 }
 
@@ -36,22 +37,22 @@
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn proxies_converge_to_what_is_published(faults in proptest::collection::vec(fault(), 0..40)) {
-        // Two of the three read files.
+    fn proxies_converge_to_the_published_state(steps in proptest::collection::vec(step(), 0..40)) {
+        // Two of the three proxies read files.
         let mut simulation = Simulation::with_file_readers(5, 3);
         let mut at = 4800;
         simulation.run_to(at);
-        for fault in faults {
-            match fault {
-                Fault::Drain(endpoint) => simulation.set_status(endpoint, EndpointStatus::Draining),
-                Fault::Ready(endpoint) => simulation.set_status(endpoint, EndpointStatus::Ready),
-                Fault::FallSilent(proxy) => simulation.proxies[proxy].is_silent = true,
-                Fault::SpeakAgain(proxy) => simulation.proxies[proxy].is_silent = false,
-                Fault::Disconnect(proxy) => simulation.disconnect(proxy),
-                Fault::Lag(proxy) => simulation.proxies[proxy].is_lagging = true,
-                Fault::CatchUp(proxy) => simulation.proxies[proxy].is_lagging = false,
-                Fault::Disk(disk) => simulation.disk = disk,
-                Fault::Wait(millis) => {
+        for step in steps {
+            match step {
+                Step::Drain(endpoint) => simulation.set_status(endpoint, EndpointStatus::Draining),
+                Step::Ready(endpoint) => simulation.set_status(endpoint, EndpointStatus::Ready),
+                Step::StopResponding(proxy) => simulation.proxies[proxy].is_silent = true,
+                Step::ResumeResponding(proxy) => simulation.proxies[proxy].is_silent = false,
+                Step::Disconnect(proxy) => simulation.disconnect(proxy),
+                Step::StopApplying(proxy) => simulation.proxies[proxy].is_lagging = true,
+                Step::ResumeApplying(proxy) => simulation.proxies[proxy].is_lagging = false,
+                Step::Disk(disk) => simulation.disk = disk,
+                Step::Wait(millis) => {
                     at += millis;
                     simulation.run_to(at);
                 }
--- a/crates/fleet/tests/updates/main.rs
+++ b/crates/fleet/tests/updates/main.rs
@@ -1,4 +1,5 @@
-//! What is sent to proxies and what they hold in the end, whatever fails at connections, disks and endpoints.
+//! Updates of proxies in simulated time: the commands and snapshots that they receive, and their resulting state,
+//! with failures of connections, disks and endpoints.
 
 mod commands;
 mod convergence;
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet controller among proxies that speak the real runtime API, in simulated time.
+//! A fleet controller in simulated time, with proxies that execute the commands of the runtime API.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -33,16 +33,16 @@
   {EXTRA}<proxies>{PROXIES}</proxies><roster/>
 </lockcroft>"#;
 
-/// What a simulation is made of, beside its endpoints and proxies.
+/// The settings of a simulation, apart from the numbers of endpoints and proxies.
 struct Setup<'a> {
     max_queued_entries: usize,
-    /// Further elements of the settings.
+    /// Additional elements of the settings.
     extra_settings: &'a str,
-    /// Further attributes of the one class.
+    /// Additional attributes of the only class.
     class_attributes: &'a str,
-    /// Endpoints and proxies stand in so many zones by turns.
+    /// The number of zones, to which endpoints and proxies are assigned in turn.
     zones: usize,
-    /// Every second proxy, beginning with the first, reads files.
+    /// True if every second proxy, beginning with the first, reads files.
     has_file_readers: bool,
 }
 
@@ -64,10 +64,10 @@
     }
 
     fn proxy_element(&self, proxy: usize) -> String {
-        let front = if self.reads_files(proxy) { "files" } else { "commands" };
+        let control = if self.reads_files(proxy) { "files" } else { "commands" };
         let zone = ["north", "south"][proxy % self.zones];
         let port = 1000 + proxy;
-        format!("<proxy name=\"r{proxy}\" zone=\"{zone}\" address=\"127.0.0.1:{port}\" front=\"{front}\"/>")
+        format!("<proxy name=\"r{proxy}\" zone=\"{zone}\" address=\"127.0.0.1:{port}\" front=\"{control}\"/>")
     }
 
     fn config(&self, proxies: usize) -> DaemonConfig {
@@ -77,32 +77,32 @@
             .replace("{QUEUE}", &self.max_queued_entries.to_string())
             .replace("{EXTRA}", self.extra_settings)
             .replace("{CLASS}", self.class_attributes);
-        let document = Document::new(Path::new("test.xml"), text, SCHEMA).expect("sound");
-        DaemonConfig::read(&document).expect("sound")
+        let document = Document::new(Path::new("test.xml"), text, SCHEMA).expect("valid document");
+        DaemonConfig::read(&document).expect("valid settings")
     }
 }
 
-/// A proxy behind a connection that may hold responses back, or break.
+/// A proxy whose connection may delay responses or break.
 pub struct FakeProxy {
     pub routing: RoutingState,
     reader: CommandReader,
-    queue: ControlSession,
+    session: ControlSession,
     pub connection: Option<u64>,
-    /// Commands are read and carried out, but no response goes back.
+    /// True if commands are executed, but no responses are returned.
     pub is_silent: bool,
-    /// Connections can't be made.
+    /// True if attempts to connect fail.
     pub is_unreachable: bool,
     responses: VecDeque<String>,
     file_commands: SnapshotCommands,
     reads_files: bool,
-    /// It reads files, and applies none of them for now.
+    /// True if a proxy that reads files does not apply new snapshots.
     pub is_lagging: bool,
     /// The version of the last snapshot that it applied.
     applied_version: u64,
 }
 
 impl FakeProxy {
-    fn new(proxy: usize, standing: &[(String, std::net::SocketAddr)], reads_files: bool) -> Self {
+    fn new(proxy: usize, default_entries: &[(String, std::net::SocketAddr)], reads_files: bool) -> Self {
         let limits = LoadBalancingLimits {
             policy: LoadBalancingPolicy::SmoothWeightedRoundRobin,
             max_in_flight: 0,
@@ -111,9 +111,9 @@
         };
         let classes = ["look-up".to_string()];
         FakeProxy {
-            routing: RoutingState::new(&format!("r{proxy}"), &classes, standing, limits, proxy as u64),
+            routing: RoutingState::new(&format!("r{proxy}"), &classes, default_entries, limits, proxy as u64),
             reader: CommandReader::default(),
-            queue: ControlSession::new(AccessLevel::Admin),
+            session: ControlSession::new(AccessLevel::Admin),
             connection: None,
             is_silent: false,
             is_unreachable: false,
@@ -126,47 +126,50 @@
     }
 }
 
-/// How the folder of snapshots fares.
+/// The state of the disk to which snapshots are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Disk {
     #[default]
     Healthy,
     Full,
-    /// Writes take until it is healthy again.
+    /// Writes do not finish until the disk is healthy again.
     Hanging,
-    /// Another controller has taken the folder over.
+    /// Another controller has taken over the folder.
     Fenced,
 }
 
 /// The load on the proxies.
 #[derive(Default)]
 struct Load {
-    /// Requests a second at each proxy.
+    /// The requests per second at each proxy.
     requests_per_second: Vec<u64>,
-    /// What attempts take, by endpoint.
+    /// The latency of attempts at each endpoint.
     latencies: Vec<Duration>,
-    /// How many requests come to one that succeeds.
-    one_in: u64,
-    /// When requests were counted last.
-    since: Duration,
+    /// One in this many requests succeeds.
+    success_interval: u64,
+    /// When requests were generated last.
+    generated_at: Duration,
 }
 
+/// A fleet controller with its proxies, endpoints and disk.
 pub struct Simulation {
     pub fleet: FleetController,
     pub now: Duration,
     pub proxies: Vec<FakeProxy>,
     pub endpoint_list: EndpointListConfig,
-    /// How health checks end, where they do not pass.
+    /// The outcomes of health checks, by endpoint; those of other endpoints pass.
     pub health_checks: BTreeMap<EndpointId, HealthCheckOutcome>,
+    /// One line for each command that a proxy executed: time, proxy and command.
     pub trace: String,
-    /// What was given out to be persisted.
+    /// The entries that the controller saved.
     pub saved_state: Vec<Entry>,
     pub disk: Disk,
-    /// What is being written, and what was written last with its version.
+    /// The snapshot that is being written.
     writing: Option<Arc<Publication>>,
+    /// The snapshot that was written last, with its version.
     pub current_snapshot: Option<(u64, Arc<Publication>)>,
     load: Load,
-    /// Connections that wait for their time.
+    /// Effects that are due at a later time.
     delayed: VecDeque<(Duration, Effect)>,
 }
 
@@ -183,15 +186,15 @@
         Simulation::with_setup(endpoints, proxies, &Setup { extra_settings: solver, ..Setup::default() })
     }
 
-    /// The one class may use endpoints of the second machine type only, and there are none.
+    /// The only class may use only endpoints of the second machine type, of which there are none.
     pub fn with_unusable_class(endpoints: usize, proxies: usize, solver: &str) -> Self {
         let class_attributes = " only-kinds=\"odd\"";
         let setup = Setup { extra_settings: solver, class_attributes, ..Setup::default() };
         Simulation::with_setup(endpoints, proxies, &setup)
     }
 
-    /// Endpoints and proxies stand in two zones by turns.
-    pub fn two_zones(endpoints: usize, proxies: usize, solver: &str) -> Self {
+    /// Endpoints and proxies are assigned to two zones in turn.
+    pub fn with_two_zones(endpoints: usize, proxies: usize, solver: &str) -> Self {
         let setup = Setup { extra_settings: solver, zones: 2, ..Setup::default() };
         Simulation::with_setup(endpoints, proxies, &setup)
     }
@@ -203,7 +206,7 @@
         Simulation::with_setup(endpoints, proxies, &setup)
     }
 
-    /// Its controller has not seen the endpoint list yet.
+    /// The controller has not received the endpoint list yet.
     pub fn without_list(endpoints: usize, proxies: usize) -> Self {
         Simulation::with_setup_before_list(endpoints, proxies, &Setup::default())
     }
@@ -217,8 +220,9 @@
     fn with_setup_before_list(endpoints: usize, proxies: usize, setup: &Setup) -> Self {
         let listed = |number: usize| EndpointEntry { zone: number % setup.zones, ..entry(number) };
         let entries: Vec<EndpointEntry> = (0..endpoints).map(listed).collect();
-        let standing: Vec<_> = entries.iter().map(|entry| (entry.name.clone(), entry.address)).collect();
-        let proxy = |number: usize| FakeProxy::new(number, &standing, setup.reads_files(number));
+        let default_entries: Vec<_> =
+            entries.iter().map(|entry| (entry.name.clone(), entry.address)).collect();
+        let proxy = |number: usize| FakeProxy::new(number, &default_entries, setup.reads_files(number));
         Simulation {
             fleet: FleetController::new(&setup.config(proxies), 0),
             now: ms(0),
@@ -235,29 +239,35 @@
         }
     }
 
-    /// From now on so many requests a second come to each proxy.
-    pub fn set_load(&mut self, requests_per_second: u64, latencies: &[Duration], one_in: u64) {
-        self.set_load_by_proxy(&vec![requests_per_second; self.proxies.len()], latencies, one_in);
+    /// Sets the requests per second at each proxy, the latency of attempts by endpoint, and one in how many requests
+    /// succeeds.
+    pub fn set_load(&mut self, requests_per_second: u64, latencies: &[Duration], success_interval: u64) {
+        self.set_load_by_proxy(&vec![requests_per_second; self.proxies.len()], latencies, success_interval);
     }
 
-    /// The same, by proxy.
-    pub fn set_load_by_proxy(&mut self, requests_per_second: &[u64], latencies: &[Duration], one_in: u64) {
+    /// Does the same as [`Simulation::set_load`] with the requests per second by proxy.
+    pub fn set_load_by_proxy(
+        &mut self,
+        requests_per_second: &[u64],
+        latencies: &[Duration],
+        success_interval: u64,
+    ) {
         self.load = Load {
             requests_per_second: requests_per_second.to_vec(),
             latencies: latencies.to_vec(),
-            one_in,
-            since: self.now,
+            success_interval,
+            generated_at: self.now,
         };
     }
 
-    /// Lets the requests of the time since the last call come and end.
+    /// Runs the requests of the time since the last call.
     fn run_requests(&mut self) {
-        let Load { requests_per_second, latencies, one_in, since } = &mut self.load;
-        let span = (self.now - *since).as_millis() as u64;
+        let Load { requests_per_second, latencies, success_interval, generated_at } = &mut self.load;
+        let span = (self.now - *generated_at).as_millis() as u64;
         if requests_per_second.iter().all(|rate| rate * span < 1000) {
             return;
         }
-        *since = self.now;
+        *generated_at = self.now;
         for (proxy, rate) in self.proxies.iter_mut().zip(requests_per_second) {
             for request in 0..*rate * span / 1000 {
                 if !proxy.routing.admit("look-up", 0.5) {
@@ -266,15 +276,15 @@
                 let Choice::Endpoint(chosen) = proxy.routing.choose(self.now, "look-up", None) else {
                     continue;
                 };
-                let endpoint = chosen.endpoint[1..].parse::<usize>().expect("a number");
-                let succeeds = request % *one_in == 0;
+                let endpoint = chosen.endpoint[1..].parse::<usize>().expect("endpoint number");
+                let succeeds = request % *success_interval == 0;
                 let outcome = if succeeds { AttemptOutcome::Answered(200) } else { AttemptOutcome::TimedOut };
                 proxy.routing.record_outcome(self.now, &chosen, outcome, latencies[endpoint]);
             }
         }
     }
 
-    /// Sends the list as it is now.
+    /// Sends the current endpoint list to the controller.
     pub fn send_list(&mut self) {
         let wall_clock = SystemTime::UNIX_EPOCH + self.now;
         self.fleet.update_endpoint_list(self.now, wall_clock, self.endpoint_list.clone());
@@ -286,7 +296,7 @@
         self.send_list();
     }
 
-    /// The connection to a proxy breaks; the proxy keeps what it holds.
+    /// Breaks the connection to a proxy, which keeps its state.
     pub fn disconnect(&mut self, proxy: usize) {
         self.proxies[proxy].responses.clear();
         if let Some(connection) = self.proxies[proxy].connection.take() {
@@ -294,6 +304,7 @@
         }
     }
 
+    /// Advances the simulation to this time.
     pub fn run_to(&mut self, millis: u64) -> &mut Self {
         let end = ms(millis);
         loop {
@@ -327,12 +338,12 @@
                     let connect = Effect::Connect { proxy, connection, after: ms(0) };
                     self.delayed.push_back((self.now + after, connect));
                 }
-                effect => self.carry_out(effect),
+                effect => self.execute(effect),
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::CheckHealth { endpoint, .. } => {
                 let failure = self.health_checks.get(&endpoint).copied();
@@ -345,7 +356,7 @@
             }
             Effect::Connect { proxy, connection, .. } => self.connect(proxy, connection),
             Effect::Write { proxy, connection, text } => {
-                // What was meant for a connection that is gone by now goes nowhere.
+                // Commands for an earlier connection are dropped.
                 if self.proxies[proxy].connection == Some(connection) {
                     self.write(proxy, &text);
                 }
@@ -366,28 +377,28 @@
         }
         fake.connection = Some(connection);
         fake.reader = CommandReader::default();
-        fake.queue = ControlSession::new(AccessLevel::Admin);
+        fake.session = ControlSession::new(AccessLevel::Admin);
         self.fleet.connected(self.now, proxy, connection);
     }
 
-    /// The proxy carries the commands out; those that change something go into the trace.
+    /// Executes commands at a proxy, and adds those that change something to the trace.
     fn write(&mut self, proxy: usize, text: &str) {
         let fake = &mut self.proxies[proxy];
         fake.reader.push(text.as_bytes());
         while let Ok(Some(commands)) = fake.reader.next_line() {
             let mut response = String::new();
-            fake.queue.execute_line(&commands, &mut fake.routing, &mut response);
+            fake.session.execute_line(&commands, &mut fake.routing, &mut response);
             fake.responses.push_back(response);
             for command in commands.iter().filter(|command| !matches!(command.word(0), Some("show" | "get")))
             {
                 let at = self.now.as_secs_f64();
                 writeln!(self.trace, "{at:.1} r{proxy}: {}", command.joined_words())
-                    .expect("a string takes all");
+                    .expect("writing to a string");
             }
         }
     }
 
-    /// Ends the write that is under way, unless the disk hangs. Returns whether there was one.
+    /// Finishes the write in flight, unless the disk hangs. Returns true if there was one.
     fn finish_write(&mut self) -> bool {
         if self.disk == Disk::Hanging {
             return false;
@@ -406,7 +417,7 @@
         true
     }
 
-    /// Proxies that read files apply the current snapshot. Returns whether any did.
+    /// Applies the current snapshot at the proxies that read files. Returns true if any proxy applied it.
     fn apply_snapshot(&mut self) -> bool {
         let Some((version, publication)) = self.current_snapshot.clone() else { return false };
         let content = &publication.content;
@@ -417,17 +428,21 @@
             }
             let name = format!("r{number}");
             let group = content.group_number_of(&name).map(|number| content.groups[&number].clone());
-            let bound = group.unwrap_or_default().assignments;
+            let assignments = group.unwrap_or_default().assignments;
             let table =
                 |assignment: &ProxyAssignment| (assignment.table, content.tables[&assignment.table].clone());
-            let tables = bound.values().map(table).collect();
-            let withdrawn = content.ejected.clone();
-            let snapshot =
-                ProxySnapshot { epoch: 1, version, assignments: bound, tables, ejected: withdrawn };
+            let tables = assignments.values().map(table).collect();
+            let ejected = content.ejected.clone();
+            let snapshot = ProxySnapshot { epoch: 1, version, assignments, tables, ejected };
             for command in proxy.file_commands.commands(&proxy.routing, &snapshot) {
-                proxy.routing.execute(&command).expect("a command that can be carried out");
-                writeln!(self.trace, "{:.1} {name} lays: {}", self.now.as_secs_f64(), command.joined_words())
-                    .expect("a string takes all");
+                proxy.routing.execute(&command).expect("valid command");
+                writeln!(
+                    self.trace,
+                    "{:.1} {name} applies: {}",
+                    self.now.as_secs_f64(),
+                    command.joined_words()
+                )
+                .expect("writing to a string");
             }
             proxy.applied_version = version;
             any_applied = true;
@@ -437,7 +452,7 @@
         any_applied
     }
 
-    /// Returns whether any proxy responded.
+    /// Delivers the pending responses of proxies. Returns true if there were any.
     fn deliver_responses(&mut self) -> bool {
         let mut any_delivered = false;
         for number in 0..self.proxies.len() {
@@ -460,13 +475,13 @@
         self
     }
 
-    /// The commands in the trace, those that every connection begins with left out.
+    /// Returns the commands in the trace, without those that begin each connection.
     pub fn commands(&mut self) -> String {
         let lines = self.trace.lines().filter(|line| !line.contains("prompt") && !line.contains("epoch"));
         lines.fold(String::new(), |all, line| all + line + "\n")
     }
 
-    /// Weight by endpoint that a proxy may really pick, for its one class.
+    /// Returns the endpoints that a proxy may select for the only class, with their weights.
     pub fn weights(&self, proxy: usize) -> Vec<(String, u32)> {
         let routing = &self.proxies[proxy].routing;
         let backend = routing.class_map.get("look-up").map_or(DEFAULT_TABLE, String::as_str);
@@ -483,7 +498,7 @@
         name: format!("e{number}"),
         zone: 0,
         machine_type: 0,
-        address: format!("127.0.0.1:{}", 9000 + number).parse().expect("an address"),
+        address: format!("127.0.0.1:{}", 9000 + number).parse().expect("valid address"),
         status: EndpointStatus::Ready,
         weight: 1.0,
         started_at: None,
--- a/crates/fleet/tests/updates/solver_plans.rs
+++ b/crates/fleet/tests/updates/solver_plans.rs
@@ -1,4 +1,4 @@
-//! Plans on the ordinary path: what is learnt becomes listed weights and ceilings.
+//! Solver plans: planned weights, and planned limits of admission.
 
 use lockcroft::HealthCheckOutcome;
 use lockcroft_fleet::FleetController;
@@ -7,10 +7,10 @@
 
 const SOLVER: &str = r#"<solver every="1s" cores="4"/>"#;
 
-/// An endpoint that reports a low load at the same work is the larger one: it is given more, and no proxy is sent
-/// the same twice once the plan stands.
+/// An endpoint that reports a lower load for the same work has more capacity, and gets more weight. Once the plan is
+/// applied, no update is sent again.
 #[test]
-fn load_reports_become_weights() {
+fn endpoint_with_lower_load_gets_more_weight() {
     let mut simulation = Simulation::with_solver(2, 1, SOLVER);
     simulation.set_load(60, &[ms(160), ms(160)], 1);
     simulation.health_checks.insert(0, HealthCheckOutcome::Passed(Some(0.8)));
@@ -25,24 +25,24 @@
     assert_eq!(simulation.commands(), "", "what is applied is not sent again");
 }
 
-/// More requests than all endpoints can do: what is admitted is what there is capacity for, and no more.
+/// If demand exceeds the capacity of all endpoints, the plan admits only the requests that there is capacity for.
 #[test]
-fn a_plan_short_of_capacity_limits_admission() {
+fn demand_above_capacity_limits_admission() {
     let mut simulation = Simulation::with_solver(2, 1, r#"<solver every="1s" cores="1"/>"#);
     simulation.set_load(100, &[ms(120), ms(120)], 5);
     simulation.run_to(20_000);
     let plan = simulation.fleet.show_plan();
-    let word = |from: &str| plan.split_once(from).and_then(|(_, rest)| rest.split_whitespace().next());
-    let planned: f64 = word("let_in ").and_then(|share| share.parse().ok()).expect("planned");
-    assert!(planned < 0.25, "a request is a tenth of a second's work, and one in five succeeds: {plan}");
+    let value = |key: &str| plan.split_once(key).and_then(|(_, rest)| rest.split_whitespace().next());
+    let planned: f64 = value("let_in ").and_then(|rate| rate.parse().ok()).expect("planned");
+    assert!(planned < 0.25, "a request takes a tenth of a core-second, and one in five succeeds: {plan}");
     assert!(plan.contains("dropped look-up"), "{plan}");
-    let levels = simulation.commands();
-    let levels: Vec<f64> = levels
+    let commands = simulation.commands();
+    let thousandths: Vec<f64> = commands
         .lines()
         .filter_map(|line| line.split_once("level_look_up int(")?.1.trim_end_matches(')').parse().ok())
         .collect();
-    let last = *levels.last().expect("sent");
-    assert!(last <= 250.0 && last <= planned * 1000.0 + 50.0, "{levels:?} of {planned}");
+    let last = *thousandths.last().expect("sent");
+    assert!(last <= 250.0 && last <= planned * 1000.0 + 50.0, "{thousandths:?} of {planned}");
 }
 
 #[test]
@@ -54,33 +54,33 @@
     assert!(FleetController::last_problem(&simulation.fleet).is_none());
 }
 
-/// Tables by zone: each zone's proxies keep to their own endpoints while these can do what comes, and only the zone
-/// with too much sends some of it across.
+/// With tables by zone, the proxies of a zone use the endpoints of their zone while these have enough capacity; only
+/// a zone with excess demand sends requests to the other.
 #[test]
-fn each_zone_has_a_table_as_planned() {
+fn only_a_zone_with_excess_demand_uses_the_other_zone() {
     let mut simulation =
-        Simulation::two_zones(4, 4, r#"<solver every="1s" cores="4" crossing="0.2" by-zone="true"/>"#);
+        Simulation::with_two_zones(4, 4, r#"<solver every="1s" cores="4" crossing="0.2" by-zone="true"/>"#);
     simulation.set_load(20, &[ms(110); 4], 1);
     simulation.run_to(30_000);
     let names = |proxy| simulation.weights(proxy).into_iter().map(|(name, _)| name).collect::<Vec<_>>();
     assert_eq!((names(0), names(2)), (vec!["e0".into(), "e2".into()], vec!["e0".into(), "e2".into()]));
     assert_eq!(names(1), ["e1", "e3"]);
-    // Two proxies of the one zone get three times what its endpoints have cores for.
+    // The demand at the two proxies of one zone is three times the capacity of its endpoints.
     simulation.set_load_by_proxy(&[120, 20, 120, 20], &[ms(110); 4], 1);
     simulation.run_to(50_000);
     let weights = simulation.weights(0);
-    assert_eq!(weights.len(), 4, "the other zone takes some: {weights:?}");
-    assert!(weights[0].1 > weights[1].1, "and its own endpoints more each: {weights:?}");
+    assert_eq!(weights.len(), 4, "the other zone takes some requests: {weights:?}");
+    assert!(weights[0].1 > weights[1].1, "each endpoint of the zone takes more: {weights:?}");
 }
 
-/// No endpoint is up that the class may use: to reject its requests would mend nothing, and the health checks may
-/// be wrong.
+/// No endpoint that the class may use is up: rejecting its requests would relieve no endpoint, and the health checks
+/// may be wrong.
 #[test]
-fn a_class_without_endpoints_is_not_limited_by_the_plan() {
+fn class_without_endpoints_is_not_limited_by_the_plan() {
     let mut simulation = Simulation::with_unusable_class(2, 1, SOLVER);
     simulation.set_load(20, &[ms(110); 2], 1);
     simulation.run_to(15_000);
     let (problem, _) = FleetController::last_problem(&simulation.fleet).expect("a plan was made");
-    assert_eq!(problem.classes[0].endpoints, Some(vec![]), "none of its machine type is there");
+    assert_eq!(problem.classes[0].endpoints, Some(vec![]), "no endpoint has its machine type");
     assert!(simulation.fleet.show_plan().contains("let_in 1"), "{}", simulation.fleet.show_plan());
 }
