--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -1,5 +1,5 @@
-//! Time of one update batch in the fleet controller alone, without sockets: the entries of a start, and of a zone
-//! that is lost, at 640 endpoints and 848 proxies. Run: cargo bench -p lockcroft-fleet
+//! Time of one update batch in the fleet controller alone, without sockets, for 640 endpoints and 848 proxies: the
+//! tables of a start, and the loss of a zone. Run with `cargo bench -p lockcroft-fleet`.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -36,7 +36,7 @@
         name: format!("server-{i}"),
         zone: i % 4,
         machine_type: 0,
-        address: format!("127.0.0.1:{}", 20_000 + i).parse().expect("an address"),
+        address: format!("127.0.0.1:{}", 20_000 + i).parse().expect("valid address"),
         status: if Some(i % 4) == lost { EndpointStatus::Removed } else { EndpointStatus::Ready },
         weight: 1.0,
         started_at: None,
@@ -44,8 +44,8 @@
     EndpointListConfig { version, entries: (0..ENDPOINTS).map(entry).collect() }
 }
 
-/// Carries effects out in no time at all: health checks pass, commands are answered as done.
-fn settle(fleet: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
+/// Executes effects at once: health checks pass and commands succeed. Returns the number of commands and their bytes.
+fn execute(fleet: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
     let (mut commands, mut bytes) = (0, 0);
     for effect in effects {
         match effect {
@@ -74,39 +74,39 @@
     (commands, bytes)
 }
 
-/// What it costs the thread that decides to give out what is to be persisted: each call of a quiet fleet with a zone
-/// that is lost, and all of them for a second of it.
+/// Measures the cost of recording state on the controller's thread: the time of each call of `run_actions`, and of all
+/// calls in a second, over 20 s of a fleet that loses a zone halfway.
 fn time_recording(has_recorder: bool) {
-    let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-    let config = DaemonConfig::read(&document).expect("sound");
+    let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("valid document");
+    let config = DaemonConfig::read(&document).expect("valid settings");
     let mut fleet = FleetController::new(&config, 0);
     if has_recorder {
         fleet.restore_state(RecoveredState::default());
     }
     fleet.update_endpoint_list(Duration::ZERO, SystemTime::now(), endpoint_list(0, None));
     let (mut now, mut lost, mut times) = (Duration::ZERO, false, Vec::new());
-    let (from, until) = (Duration::from_secs(8), Duration::from_secs(28));
-    while now < until {
+    let (start, end) = (Duration::from_secs(8), Duration::from_secs(28));
+    while now < end {
         if now > Duration::from_secs(18) && !std::mem::replace(&mut lost, true) {
             fleet.update_endpoint_list(now, SystemTime::now(), endpoint_list(1, Some(1)));
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let effects = fleet.run_actions(now);
-        if now > from {
-            times.push(begun.elapsed());
+        if now > start {
+            times.push(started.elapsed());
         }
-        settle(&mut fleet, now, effects);
+        execute(&mut fleet, now, effects);
         now = fleet.next_due().max(now + Duration::from_millis(1));
     }
     let sum: Duration = times.iter().sum();
     times.sort();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+    let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
     println!(
-        "memory {has_recorder}: {} calls, p50 {:.1?}, p90 {:.1?}, p99 {:.1?}, {:.2?} for a second",
+        "recording {has_recorder}: {} calls, p50 {:.1?}, p90 {:.1?}, p99 {:.1?}, {:.2?} per second",
         times.len(),
-        at(0.5),
-        at(0.9),
-        at(0.99),
+        quantile(0.5),
+        quantile(0.9),
+        quantile(0.99),
         sum / 20
     );
 }
@@ -117,18 +117,18 @@
         time_recording(true);
     }
     for round in 1..=5 {
-        let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("sound");
-        let config = DaemonConfig::read(&document).expect("sound");
+        let document = Document::new(Path::new("bench.xml"), settings(), SCHEMA).expect("valid document");
+        let config = DaemonConfig::read(&document).expect("valid settings");
         let mut fleet = FleetController::new(&config, 0);
         fleet.update_endpoint_list(Duration::ZERO, SystemTime::now(), endpoint_list(0, None));
         let mut now = Duration::ZERO;
         let mut time_batch = |name: &str, fleet: &mut FleetController, until: Duration| {
             let (mut longest, mut largest) = (Duration::ZERO, (0, 0));
             while now < until {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let effects = fleet.run_actions(now);
-                let elapsed = begun.elapsed();
-                let (commands, bytes) = settle(fleet, now, effects);
+                let elapsed = started.elapsed();
+                let (commands, bytes) = execute(fleet, now, effects);
                 if commands > largest.0 {
                     (longest, largest) = (elapsed, (commands, bytes));
                 }
@@ -139,7 +139,7 @@
                 "round {round}: {name}: {commands} commands, {bytes} bytes decided and written in {longest:.1?}"
             );
         };
-        time_batch("join", &mut fleet, Duration::from_millis(100));
+        time_batch("attach", &mut fleet, Duration::from_millis(100));
         time_batch("start", &mut fleet, Duration::from_secs(7));
         fleet.update_endpoint_list(Duration::from_secs(7), SystemTime::now(), endpoint_list(1, Some(1)));
         time_batch("zone lost", &mut fleet, Duration::from_secs(8));
