--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -35,7 +35,7 @@
     let output = run(&["check", &fixture.path("pilot.xml").display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        text(&output.stderr).contains("roster.xml:3: /roster/server: server e1 is listed in line 2 already")
+        text(&output.stderr).contains("roster.xml:3: /roster/server: server e1 is already listed in line 2")
     );
 }
 
--- a/crates/config/src/daemon_config.rs
+++ b/crates/config/src/daemon_config.rs
@@ -10,34 +10,34 @@
 
 use crate::endpoint_list::EndpointListConfig;
 
-/// The settings of a controller's decisions, and everything else that its daemon needs.
+/// The configuration of a controller: the settings of its decisions, its sockets, proxies and files.
 #[derive(Clone, Debug)]
 pub struct DaemonConfig {
-    /// The file that it was read from.
+    /// The file that the configuration was read from.
     pub file: PathBuf,
-    /// Name of the controller.
+    /// The name of the controller.
     pub name: String,
-    /// Seed of the random numbers in the decisions.
+    /// The seed of the random numbers in the decisions.
     pub seed: u64,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// Names of zones, machine types and classes.
+    /// The names of zones, machine types and classes by their index in the settings.
     pub names: NameIndex,
-    /// The sockets of its runtime API.
+    /// The sockets of the controller's runtime API.
     pub listeners: Vec<ListenerConfig>,
-    /// The proxies that it controls.
+    /// The proxies that the controller manages.
     pub proxies: Vec<ProxyConfig>,
     /// The source of the endpoint list.
     pub endpoints: EndpointListSource,
-    /// Form and levels of the log.
+    /// Format and levels of the log.
     pub log: LogConfig,
-    /// The directory for proxies that read table files.
+    /// The table store for proxies that read their tables from files; `None` if no files are published.
     pub table_files: Option<TableFilesConfig>,
-    /// The directory of the state store.
+    /// The directory of the state store; `None` if no state is persisted.
     pub state_directory: Option<PathBuf>,
-    /// A proxy that does not answer a command for this long is disconnected.
+    /// The time after which a proxy that has not answered a command is disconnected.
     pub response_timeout: Duration,
-    /// How long to wait before a lost connection is opened again.
+    /// The range of waits before a lost connection to a proxy is opened again.
     pub reconnect_backoff: BackoffRange,
 }
 
@@ -46,58 +46,58 @@
 pub struct ListenerConfig {
     /// The address to bind.
     pub address: Address,
-    /// The commands that its clients may use.
+    /// The access level of its clients, which limits the commands they may send.
     pub access_level: AccessLevel,
 }
 
-/// A proxy that the controller controls.
+/// A proxy that the controller manages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyConfig {
-    /// Its name.
+    /// The name of the proxy.
     pub name: String,
-    /// Its zone.
+    /// The zone that the proxy runs in.
     pub zone: ZoneId,
-    /// Its control socket.
+    /// The address of the proxy's control socket.
     pub address: Address,
-    /// Its usual load, in requests a second.
+    /// The expected load of the proxy, in requests per second.
     pub request_rate: f64,
-    /// It takes its tables from files and not from its control socket.
+    /// True if the proxy reads its tables from files instead of receiving them on its control socket.
     pub reads_files: bool,
 }
 
-/// Where tables are published as files.
+/// The settings of the table store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableFilesConfig {
     /// The directory of the table store.
     pub directory: PathBuf,
-    /// The file with the keys that seal snapshots.
+    /// The file with the keys that snapshots are sealed with.
     pub key_file: PathBuf,
-    /// How many snapshots stay.
+    /// The number of snapshots of the current epoch that are retained; values below 2 count as 2.
     pub retained_snapshots: usize,
-    /// The interval at which the proxies' status files are read.
+    /// The interval between two reads of the proxies' status files.
     pub poll_interval: Duration,
 }
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListSource {
-    /// A file of its own, and the interval at which it is read.
+    /// A separate file, and the interval between two reads of it.
     File(PathBuf, Duration),
-    /// The configuration itself.
+    /// The list that the configuration contains.
     Inline(EndpointListConfig),
 }
 
-/// Form and levels of the log.
+/// The format and the levels of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogConfig {
-    /// Whether events are JSON objects rather than text.
+    /// True if events are written as JSON objects, false if as text.
     pub json: bool,
-    /// Levels by target, as `info,lockcroft::daemon=debug`.
+    /// The levels by target, such as `info,lockcroft::daemon=debug`; `None` for the default.
     pub filter: Option<String>,
 }
 
 impl LogConfig {
-    /// Reads the element `log`, if there is one.
+    /// Reads the element `log`. Without the element, the defaults are returned.
     #[must_use]
     pub fn from_element(node: Option<Node>) -> Self {
         let attribute = |name: &str| node.and_then(|node| node.attribute(name));
@@ -105,17 +105,17 @@
     }
 }
 
-/// The shortest and the longest wait before a retry.
+/// The range of an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffRange {
-    /// The first wait.
+    /// The wait before the first retry.
     pub min: Duration,
     /// The longest wait.
     pub max: Duration,
 }
 
 impl DaemonConfig {
-    /// The greatest weight that an endpoint may have.
+    /// Returns the greatest weight that an endpoint may have.
     #[must_use]
     pub fn max_weight(&self) -> f64 {
         self.settings.fleet.max_weight
--- a/crates/config/src/daemon_reader.rs
+++ b/crates/config/src/daemon_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a daemon's configuration from the element `lockcroft`, a method for each element in it.
+//! Reads a daemon's configuration from the element `lockcroft`, with one method for each child element.
 
 use std::path::Path;
 use std::time::Duration;
@@ -23,41 +23,42 @@
     BackoffRange { min: Duration::from_millis(250), max: Duration::from_secs(5) };
 const DEFAULT_RETAINED_SNAPSHOTS: usize = 8;
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The load of a proxy for which none is stated, in requests a second.
+/// The load of a proxy whose configuration states none, in requests per second.
 const DEFAULT_REQUEST_RATE: f64 = 1.0;
 
 impl DaemonConfig {
-    /// Reads and checks a configuration file, and the file of the endpoint list that it names.
+    /// Reads and validates a configuration file, and the endpoint list file that it names.
     ///
     /// # Errors
-    /// All errors in either file.
+    /// Returns all errors in both files.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         DaemonConfig::read(&Document::open(file, crate::SCHEMA)?)
     }
 
-    /// Reads a configuration that was checked against the schema.
+    /// Reads a configuration from a document that was validated against the schema, and the endpoint list file that it
+    /// names.
     ///
     /// # Errors
-    /// All errors that no schema can express.
+    /// Returns all violations of constraints that a schema can't express, and all errors in the endpoint list file.
     pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         read_daemon_config(document)
     }
 }
 
-/// Reads a configuration that was checked against the schema.
+/// Reads a configuration from a document that was validated against the schema.
 fn read_daemon_config(document: &Document) -> Result<DaemonConfig, ConfigErrors> {
     let tree = document.tree();
     let root = tree.root_element();
     if !root.has_tag_name("lockcroft") {
         let expected = Some("the root element lockcroft");
-        return Err(document.error(root, "is no settings file", expected).into());
+        return Err(document.error(root, "is not a configuration", expected).into());
     }
     let mut reader = DaemonReader { document, root, errors: Vec::new() };
     let config = reader.read();
     if reader.errors.is_empty() { Ok(config) } else { Err(ConfigErrors(reader.errors)) }
 }
 
-/// Collects the errors of all elements, so that an operator sees them at once.
+/// Reads the child elements and collects the errors in all of them, so that operators see every error at once.
 struct DaemonReader<'d, 'i> {
     document: &'d Document,
     root: Node<'d, 'i>,
@@ -98,12 +99,12 @@
         self.root.children().find(|node| node.has_tag_name(name))
     }
 
-    /// The directory that relative paths start from.
+    /// Returns the directory of the configuration file; relative paths are resolved against it.
     fn base_directory(&self) -> &'d Path {
         self.document.file().parent().unwrap_or(Path::new("."))
     }
 
-    fn report(&mut self, node: Node, message: impl Into<String>, expected: Option<&str>) {
+    fn add_error(&mut self, node: Node, message: impl Into<String>, expected: Option<&str>) {
         self.errors.push(self.document.error(node, message, expected));
     }
 
@@ -114,19 +115,19 @@
     }
 
     fn read_proxies(&mut self, names: &NameIndex) -> Vec<ProxyConfig> {
-        let list = self.child("proxies");
-        self.errors.extend(duplicate_name_errors(self.document, list));
-        child_elements(list).into_iter().filter_map(|node| self.read_proxy(node, names)).collect()
+        let proxies = self.child("proxies");
+        self.errors.extend(duplicate_name_errors(self.document, proxies));
+        child_elements(proxies).into_iter().filter_map(|node| self.read_proxy(node, names)).collect()
     }
 
     fn read_proxy(&mut self, node: Node, names: &NameIndex) -> Option<ProxyConfig> {
         let zone = names.zone(attribute_text(node, "zone"));
         if let Err(error) = &zone {
-            self.report(node, error.to_string(), Some(&names.zones.join(", ")));
+            self.add_error(node, error.to_string(), Some(&names.zones.join(", ")));
         }
         let address = attribute_text(node, "address").parse::<Address>();
         if let Err(error) = &address {
-            self.report(node, error.to_string(), None);
+            self.add_error(node, error.to_string(), None);
         }
         let request_rate = node.attribute("visits-per-s").and_then(|rate| rate.parse().ok());
         Some(ProxyConfig {
@@ -149,13 +150,13 @@
                         access_level: level.unwrap_or(AccessLevel::Operator),
                     });
                 }
-                Err(error) => self.report(node, error.to_string(), None),
+                Err(error) => self.add_error(node, error.to_string(), None),
             }
         }
         listeners
     }
 
-    /// Reads where the endpoint list comes from. A list in a file of its own is read here only to report its errors.
+    /// Reads the source of the endpoint list. A list in a separate file is read here only to report its errors.
     fn read_endpoints(&mut self, names: &NameIndex, max_weight: f64) -> EndpointListSource {
         if let Some(node) = self.child("roster-file") {
             let path = self.base_directory().join(attribute_text(node, "path"));
@@ -179,8 +180,8 @@
         let Some(node) = self.child("files") else {
             if let Some(proxy) = proxies.iter().find(|proxy| proxy.reads_files) {
                 let message =
-                    format!("{}: front=\"files\", and no element files says where they are", proxy.name);
-                self.report(self.root, message, Some("an element files before proxies"));
+                    format!("proxy {} has front=\"files\", but there is no element files", proxy.name);
+                self.add_error(self.root, message, Some("an element files before proxies"));
             }
             return None;
         };
@@ -195,11 +196,11 @@
     }
 }
 
-/// Reads the waits before reconnecting from the element `pilot`.
+/// Reads the range of waits before a reconnection from the element `pilot`.
 fn read_reconnect_backoff(daemon: Option<Node>) -> BackoffRange {
-    let time = |name: &str| daemon.and_then(|node| attribute_duration(node, name));
+    let duration = |name: &str| daemon.and_then(|node| attribute_duration(node, name));
     BackoffRange {
-        min: time("redial-least").unwrap_or(DEFAULT_RECONNECT_BACKOFF.min),
-        max: time("redial-most").unwrap_or(DEFAULT_RECONNECT_BACKOFF.max),
+        min: duration("redial-least").unwrap_or(DEFAULT_RECONNECT_BACKOFF.min),
+        max: duration("redial-most").unwrap_or(DEFAULT_RECONNECT_BACKOFF.max),
     }
 }
--- a/crates/config/src/duration.rs
+++ b/crates/config/src/duration.rs
@@ -1,42 +1,43 @@
-//! Times with their unit, as attributes have them.
+//! Durations with a unit, such as `500ms`, in attribute values.
 
 use std::num::ParseFloatError;
 use std::time::{Duration, TryFromFloatSecsError};
 
-/// Microseconds in a second; times are rounded to microseconds.
+/// The number of microseconds in a second; durations are rounded to microseconds.
 const MICROS_PER_SEC: f64 = 1e6;
 
-/// Why a text is no time.
+/// An error while parsing a duration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DurationError {
     /// The unit is missing or unknown.
     #[error("{text:?} is not a time with its unit (us, ms, s, min, h)")]
     UnknownUnit {
-        /// The text.
+        /// The text that was parsed.
         text: String,
     },
-    /// What stands before the unit is no number.
-    #[error("{text:?} is not a time with its unit")]
+    /// The text before the unit is not a number.
+    #[error("{text:?} has no valid number before its unit")]
     InvalidNumber {
-        /// The text.
+        /// The text that was parsed.
         text: String,
-        /// Why it is no number.
+        /// The error of the number.
         source: ParseFloatError,
     },
-    /// The time is too long.
+    /// The duration is longer than a [`Duration`] can represent.
     #[error("{text:?}: {source}")]
     OutOfRange {
-        /// The text.
+        /// The text that was parsed.
         text: String,
-        /// What is wrong with it.
+        /// The error of the conversion.
         source: TryFromFloatSecsError,
     },
 }
 
-/// Parses a time with its unit, as `500ms` or `1.5s`.
+/// Parses a number with a unit (`us`, `ms`, `s`, `min` or `h`), such as `500ms` or `1.5s`, and rounds it to
+/// microseconds.
 ///
 /// # Errors
-/// The text is no time; the error's text quotes it.
+/// Returns an error that quotes the text if the number or the unit is invalid, or the duration is too long.
 pub fn parse_duration(text: &str) -> Result<Duration, DurationError> {
     let unit_start = text.find(|char: char| !char.is_ascii_digit() && char != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(unit_start);
--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the element `roster` gives it, in a file of its own or in a daemon's configuration.
+//! Reads the endpoint list from the element `roster`, in a separate file or in a daemon's configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,54 +13,55 @@
 use crate::error::{ConfigError, ConfigErrors};
 use crate::xml::{attribute_text, child_elements};
 
-/// The weight of an endpoint for which none is stated.
+/// The weight of an endpoint whose element states none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One endpoint of the list.
+/// An endpoint in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: String,
-    /// Its zone.
+    /// The zone that the endpoint runs in.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// The machine type of the endpoint.
     pub machine_type: MachineTypeId,
-    /// Where it accepts requests.
+    /// The address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// What the operators say of it.
+    /// The status that the list states: ready, draining or removed.
     pub status: EndpointStatus,
-    /// The configured weight, up to the fleet's maximum.
+    /// The configured weight, from 0 to the fleet's maximum.
     pub weight: f64,
-    /// When its process started; `None` if that was long ago.
+    /// The start time of the endpoint's process; `None` if the list states none, which means that the process has run for
+    /// a long time.
     pub started_at: Option<SystemTime>,
 }
 
-/// A whole list at its version.
+/// An endpoint list with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointListConfig {
-    /// At version 0 no endpoint was ever removed from the list.
+    /// The version of the list; 0 if the list states none. Version 0 is the first list: no endpoint was removed before.
     pub version: u64,
     /// The endpoints in the order of the file.
     pub entries: Vec<EndpointEntry>,
 }
 
 impl EndpointListConfig {
-    /// Reads a list in a file of its own.
+    /// Reads and validates a list in a separate file.
     ///
     /// # Errors
-    /// All errors in the file; nothing of it may be used then.
+    /// Returns all errors in the file. A list with any error is rejected as a whole.
     pub fn open(file: &Path, names: &NameIndex, max_weight: f64) -> Result<Self, ConfigErrors> {
         let document = Document::open(file, crate::SCHEMA)?;
         let tree = document.tree();
         let root = tree.root_element();
         if !root.has_tag_name("roster") {
-            let error = document.error(root, "is no roster", Some("the root element roster"));
+            let error = document.error(root, "is not an endpoint list", Some("the root element roster"));
             return Err(error.into());
         }
         EndpointListConfig::read(&document, root, names, max_weight)
     }
 
-    /// Reads the element `roster`.
+    /// Reads the element `roster` of a document that was validated against the schema.
     pub(crate) fn read(
         document: &Document,
         roster: Node,
@@ -81,7 +82,7 @@
             };
             let line = document.error(node, "", None).line;
             if let Some(first) = first_lines.insert(entry.name.clone(), line) {
-                let message = format!("server {} is listed in line {first} already", entry.name);
+                let message = format!("server {} is already listed in line {first}", entry.name);
                 errors.push(document.error(node, message, Some("each name once")));
             }
             entries.push(entry);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Reads the elements `server` of a list.
+/// Reads the elements `server` in a list.
 struct EntryReader<'a> {
     document: &'a Document,
     names: &'a NameIndex,
@@ -110,7 +111,7 @@
             address: self.read_address(node)?,
             weight: self.read_weight(node)?,
             status: read_status(node),
-            started_at: self.read_start(node)?,
+            started_at: self.read_started_at(node)?,
         })
     }
 
@@ -129,22 +130,26 @@
     fn read_address(&self, node: Node) -> Result<SocketAddr, ConfigError> {
         let text = attribute_text(node, "address");
         let Ok(address) = text.parse() else {
-            return Err(self.document.error(node, format!("{text:?} is no address"), Some("IP:PORT")));
+            return Err(self.document.error(
+                node,
+                format!("{text:?} is not a socket address"),
+                Some("IP:PORT"),
+            ));
         };
         Ok(address)
     }
 
     fn read_weight(&self, node: Node) -> Result<f64, ConfigError> {
-        let stated = node.attribute("weight").and_then(|weight| weight.parse().ok());
-        let weight = stated.unwrap_or(DEFAULT_WEIGHT);
+        let configured = node.attribute("weight").and_then(|weight| weight.parse().ok());
+        let weight = configured.unwrap_or(DEFAULT_WEIGHT);
         if weight > self.max_weight {
             let expected = format!("up to {}, the fleet's weight-most", self.max_weight);
-            return Err(self.document.error(node, format!("a weight of {weight}"), Some(&expected)));
+            return Err(self.document.error(node, format!("weight {weight} is too large"), Some(&expected)));
         }
         Ok(weight)
     }
 
-    fn read_start(&self, node: Node) -> Result<Option<SystemTime>, ConfigError> {
+    fn read_started_at(&self, node: Node) -> Result<Option<SystemTime>, ConfigError> {
         node.attribute("started").map(humantime::parse_rfc3339).transpose().map_err(|error| {
             let expected = "a time in UTC such as 2026-12-01T08:30:00Z";
             self.document.error(node, format!("started: {error}"), Some(expected))
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors in a file, each with its place.
+//! Errors in a file, each with its line and element.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// One error in a file: where it is, what is wrong, and what is allowed there.
+/// An error in a file: its location, what was found, and what is allowed there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file.
+    /// The path of the file.
     pub file: PathBuf,
-    /// From 1; 0 where the file as a whole is meant.
+    /// The line number, from 1; 0 if the error concerns the file as a whole.
     pub line: u32,
-    /// Path of the element, as `/lockcroft/fleet`; empty where the file as a whole is meant.
+    /// The path of the element, such as `/lockcroft/fleet`; empty if the error concerns no single element.
     pub element: String,
-    /// What is wrong.
+    /// What was found.
     pub message: String,
-    /// What is allowed.
+    /// What is allowed there, if that can be stated.
     pub expected: Option<String>,
 }
 
 impl ConfigError {
-    /// An error that belongs to no element.
+    /// Returns an error that concerns no single element.
     pub(crate) fn without_element(file: &Path, line: u32, message: String) -> Self {
         ConfigError { file: file.into(), line, element: String::new(), message, expected: None }
     }
@@ -41,7 +41,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// All errors in a file, one a line.
+/// All errors in a file; displayed with one error per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads the operator's XML files: the configuration of a daemon and endpoint lists.
+//! Reads the XML files that operators write: the configuration of a daemon, and endpoint lists.
 //!
-//! A file is checked against its schema first and then for what no schema can express. A file with errors is refused as a
-//! whole, and each error states its line, the element, what is wrong and what is allowed there. Names of elements and
-//! attributes are part of the interface with operators; only this crate maps them to the names of the settings.
+//! A file is validated against its schema first, and then against constraints that a schema can't express. A file with
+//! errors is rejected as a whole; each error states the line, the element, what was found and what is allowed there.
+//! The names of elements and attributes are an interface with operators; only this crate maps them to the names of the
+//! settings.
 
 #![warn(missing_docs)]
 
@@ -25,5 +26,5 @@
 pub use error::{ConfigError, ConfigErrors};
 pub use xml::{attribute_text, child_elements};
 
-/// The schema of configurations and endpoint lists, as published with the program.
+/// The XML schema of configurations and endpoint lists. It is published with the program.
 pub const SCHEMA: &str = include_str!("../lockcroft.xsd");
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,6 +1,5 @@
-//! What a schema declares for an element or attribute: the types of settings, and what errors state as allowed.
-//!
-//! The validation itself is the library's; this only looks up declarations in the text of the schema.
+//! Looks up the declarations of elements and attributes in the text of a schema: the types of attributes, and the
+//! descriptions of allowed values for errors. The validation itself is done by the library `xsd_schema`.
 
 use roxmltree::{Document, Node};
 
@@ -13,18 +12,21 @@
 }
 
 impl<'a> Schema<'a> {
+    /// Parses the text of a schema.
+    ///
     /// # Panics
-    /// The text is no XML; schemas are part of the program and covered by its tests.
+    /// Panics if the text is not well-formed. Schemas are part of the program and covered by its tests.
     pub fn new(text: &'a str) -> Self {
         Schema { document: Document::parse(text).expect("the schema is well-formed") }
     }
 
-    /// The type name of an attribute, such as `time`. The path names the elements from the root.
+    /// Returns the name of an attribute's type, such as `time`; `None` if the attribute is not declared or its type has no
+    /// name. The path lists the names of the elements from the root.
     pub fn attribute_type(&self, path: &[&str], attribute: &str) -> Option<&str> {
         self.attribute(path, attribute)?.attribute("type")
     }
 
-    /// What an attribute may hold, in words.
+    /// Describes the values that an attribute allows.
     pub fn allowed_value(&self, path: &[&str], attribute: &str) -> Option<String> {
         let declaration = self.attribute(path, attribute)?;
         let value_type = match declaration.attribute("type") {
@@ -44,7 +46,7 @@
         documentation.text().map(|text| text.trim().to_string())
     }
 
-    /// The attributes and elements that an element may have, in words.
+    /// Describes the attributes and child elements that an element allows.
     pub fn allowed_in(&self, path: &[&str]) -> String {
         let Some(element) = self.element(path) else { return "nothing".into() };
         let mut phrases = Vec::new();
@@ -58,7 +60,7 @@
         if phrases.is_empty() { "nothing".into() } else { phrases.join("; ") }
     }
 
-    /// Names of the root elements.
+    /// Returns the names of the root elements.
     pub fn roots(&self) -> Vec<&str> {
         self.root_declarations().filter_map(|node| node.attribute("name")).collect()
     }
@@ -82,7 +84,8 @@
         Some(element)
     }
 
-    /// The declarations of this kind in an element's type, which is named or stands inside the element.
+    /// Returns the declarations of this kind, `attribute` or `element`, in an element's type. The type is either named or
+    /// declared inside the element.
     fn declarations<'s>(&'s self, element: Node<'s, 'a>, kind: &str) -> Vec<Node<'s, 'a>> {
         let named_type = element.attribute("type").and_then(|name| self.named_type("complexType", name));
         let inline_types = element.children().filter(|node| is_schema_node(node, "complexType"));
@@ -107,7 +110,7 @@
     node.descendants().filter(move |node| is_schema_node(node, name))
 }
 
-/// Collects the declarations of this kind, but not those inside other declarations.
+/// Collects the declarations of this kind, but not those nested in other declarations.
 fn collect_declarations<'d, 'i>(node: Node<'d, 'i>, kind: &str, found: &mut Vec<Node<'d, 'i>>) {
     for child in node.children().filter(Node::is_element) {
         if is_schema_node(&child, kind) {
--- a/crates/config/src/settings_reader.rs
+++ b/crates/config/src/settings_reader.rs
@@ -1,8 +1,8 @@
-//! Reads the settings of the decisions: lists of names, classes, and the attributes of `fleet`, `rules`, `allowed` and
-//! `solver`.
+//! Reads the settings of the decisions: the lists of zones, machine types and classes, and the attributes of `fleet`,
+//! `rules`, `allowed` and `solver`.
 //!
-//! An attribute becomes the setting of its own name with underscores. Its type in the schema states how it is read: times
-//! become microseconds, with `_us` at the end of the name.
+//! An attribute is stored as the setting of the same name, with underscores for hyphens. The type in the schema
+//! determines the form of the value: durations become microseconds, and their names end in `_us`.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +15,13 @@
 use crate::error::ConfigError;
 use crate::xml::{attribute_duration, attribute_text, child_elements};
 
-/// The settings, and the errors in the elements that they were read from.
+/// The settings, and the errors found while reading them.
 pub(crate) struct SettingsOutcome {
     pub settings: Settings,
     pub errors: Vec<ConfigError>,
 }
 
-/// Reads the settings in a configuration's root element.
+/// Reads the settings from the root element of a configuration.
 pub(crate) fn read_settings(document: &Document, root: Node) -> SettingsOutcome {
     let child = |name: &str| root.children().find(|node| node.has_tag_name(name));
     let mut reader = SettingsReader { document, values: SettingValues::default(), errors: Vec::new() };
@@ -45,7 +45,7 @@
 }
 
 impl SettingsReader<'_> {
-    /// Reads a list of zones or machine types, which may state the cores of a machine type.
+    /// Reads the names in the list `zones` or `kinds`, and the core counts that machine types may have.
     fn read_names(&mut self, list: &str, element: Option<Node>) {
         for (index, node) in child_elements(element).into_iter().enumerate() {
             self.set(&format!("{list}.{index}"), SettingValue::Text(attribute_text(node, "name").into()));
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Adds what the configuration leaves out. The fleet has as many proxies as are listed here for each of its
-    /// controllers, unless it is stated.
+    /// Sets the settings that the configuration does not state. By default, the fleet has the number of proxies listed
+    /// here times the number of controllers.
     fn set_defaults(&mut self, listed_proxies: usize) {
         self.set_if_missing("allowed.probes", SettingValue::Flag(true));
         let controllers = self.values.number("fleet.pilots").unwrap_or(1.0);
@@ -93,8 +93,8 @@
         let value_type = self.document.attribute_type(node, attribute).unwrap_or_default();
         match value_type.as_str() {
             "time" => match parse_duration(value) {
-                Ok(time) => {
-                    let micros = time.as_micros() as f64;
+                Ok(duration) => {
+                    let micros = duration.as_micros() as f64;
                     self.set(&format!("{setting}_us"), SettingValue::Number(micros));
                 }
                 Err(error) => self.errors.push(self.document.error(node, error.to_string(), None)),
@@ -106,15 +106,15 @@
             "names" => {
                 for (index, name) in value.split_whitespace().enumerate() {
                     self.set(&format!("{setting}.{index}"), SettingValue::Text(name.into()));
-                    self.check_listed(node, attribute, name);
+                    self.check_is_listed(node, attribute, name);
                 }
             }
             _ => self.set(setting, SettingValue::Text(value.into())),
         }
     }
 
-    /// Checks that `only-zones` and `only-kinds` refer to names in the lists `zones` and `kinds`.
-    fn check_listed(&mut self, node: Node, attribute: &str, name: &str) {
+    /// Adds an error if `only-zones` or `only-kinds` refers to a name that is not in the list `zones` or `kinds`.
+    fn check_is_listed(&mut self, node: Node, attribute: &str, name: &str) {
         let list = attribute.trim_start_matches("only-");
         let listed = self.values.texts(list);
         if !listed.contains(&name) {
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Checks that the time in one attribute is not longer than that in the other.
+    /// Adds an error if the duration in the attribute `shorter` is longer than that in `longer`.
     fn check_order(&mut self, node: Node, shorter: &str, longer: &str) {
-        let time = |attribute: &str| attribute_duration(node, attribute).unwrap_or_default();
-        if time(shorter) > time(longer) {
+        let duration = |attribute: &str| attribute_duration(node, attribute).unwrap_or_default();
+        if duration(shorter) > duration(longer) {
             let shorter_text = attribute_text(node, shorter);
             let longer_text = attribute_text(node, longer);
             let message = format!("{shorter} {shorter_text} is longer than {longer} {longer_text}");
@@ -137,7 +137,7 @@
     }
 }
 
-/// An error for each name that stands in a list again.
+/// Returns an error for each element of a list whose name was used by an earlier element.
 pub(crate) fn duplicate_name_errors(document: &Document, list: Option<Node>) -> Vec<ConfigError> {
     let mut names = BTreeSet::new();
     let is_repeated = |node: &Node| !names.insert(attribute_text(*node, "name").to_string());
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,11 +1,11 @@
-//! Configuration files: how attributes become settings, and what is reported for wrong ones.
+//! Configuration files: the mapping of attributes to settings, and the errors for invalid files.
 
 use std::path::Path;
 
 use expect_test::{Expect, expect};
 use lockcroft_config::{DaemonConfig, Document, SCHEMA};
 
-const SOUND: &str = r#"<lockcroft>
+const VALID: &str = r#"<lockcroft>
   <pilot name="p1" seed="9"/>
   <runtime><listen address="unix:/tmp/p1.sock" level="admin"/></runtime>
   <zones><zone name="north"/><zone name="south"/></zones>
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn attributes_become_the_settings_of_the_decisions() {
-    let config = read(SOUND).expect("sound");
+fn attributes_are_read_into_the_settings() {
+    let config = read(VALID).expect("a valid configuration");
     assert_eq!((config.name.as_str(), config.seed, config.proxies[0].request_rate), ("p1", 9, 6.5));
     let settings = &config.settings;
     for (name, setting, expected) in [
@@ -47,14 +47,14 @@
     assert!(settings.health_checks_allowed);
 }
 
-/// Replaces a part of the sound file and compares the errors.
+/// Replaces a part of the valid configuration and compares the errors.
 fn assert_errors(from: &str, to: &str, expected: Expect) {
-    assert!(SOUND.contains(from), "{from}");
-    expected.assert_eq(&read(&SOUND.replace(from, to)).expect_err("refused"));
+    assert!(VALID.contains(from), "{from}");
+    expected.assert_eq(&read(&VALID.replace(from, to)).expect_err("an invalid configuration"));
 }
 
 #[test]
-fn errors_state_the_place_the_message_and_what_is_allowed() {
+fn errors_state_the_location_the_message_and_the_allowed_values() {
     assert_errors(
         r#""600ms""#,
         r#""600""#,
@@ -87,7 +87,7 @@
         "cold-share=\"0.25\"",
         "cold-share=\"1.5\"",
         expect![
-            "pilot.xml:10: /lockcroft/rules: attribute cold-share: \"1.5\" does not fit; allowed: a share above 0 and up to 1"
+            "pilot.xml:10: /lockcroft/rules: attribute cold-share: \"1.5\" does not fit; allowed: a fraction above 0 and up to 1"
         ],
     );
     assert_errors(
@@ -125,7 +125,7 @@
         "5001\"/>",
         "5001\" weight=\"2\"/>",
         expect![
-            "pilot.xml:13: /lockcroft/roster/server: a weight of 2; allowed: up to 1, the fleet's weight-most"
+            "pilot.xml:13: /lockcroft/roster/server: weight 2 is too large; allowed: up to 1, the fleet's weight-most"
         ],
     );
     assert_errors(
@@ -146,8 +146,8 @@
 
 #[test]
 fn all_errors_of_a_file_are_reported_at_once() {
-    let twice = SOUND.replace("<zone name=\"south\"/>", "<zone name=\"north\"/>");
-    let errors = read(&twice).expect_err("refused");
+    let duplicate_zone = VALID.replace("<zone name=\"south\"/>", "<zone name=\"north\"/>");
+    let errors = read(&duplicate_zone).expect_err("an invalid configuration");
     assert_eq!(errors.lines().count(), 2, "{errors}");
     assert!(
         errors.contains("north is listed twice") && errors.contains("\"south\" is not listed"),
