--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,4 +1,4 @@
-//! `lockcroft ask`: one runtime command to a controller or a proxy.
+//! `lockcroft ask`: sends one runtime API command to a controller or a proxy.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,10 +15,10 @@
     address: Address,
     #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
     command: Vec<String>,
-    /// Seconds to wait for the whole answer.
+    /// Seconds to wait for the complete answer.
     #[arg(long = "within", value_name = "WITHIN", default_value_t = 5.0)]
     timeout: f64,
-    /// Print address, command and answer lines as JSON.
+    /// Print the address, the command and the lines of the answer as JSON.
     #[arg(long)]
     json: bool,
 }
@@ -33,13 +33,13 @@
     }
 
     fn send(&self, line: &str) -> Result<String, CliError> {
-        let failed = |source: BoxedError| CliError::Ask { address: self.address.clone(), source };
+        let ask_error = |source: BoxedError| CliError::Ask { address: self.address.clone(), source };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|error| failed(error.into()))?;
+        let runtime = runtime.map_err(|error| ask_error(error.into()))?;
         let timeout = Duration::try_from_secs_f64(self.timeout);
-        let timeout = timeout.map_err(|error| failed(CliError::InvalidTimeout(error).into()))?;
+        let timeout = timeout.map_err(|error| ask_error(CliError::InvalidTimeout(error).into()))?;
         let answer = runtime.block_on(request(&self.address, line, timeout));
-        answer.map_err(|error| failed(error.into()))
+        answer.map_err(|error| ask_error(error.into()))
     }
 
     fn print(&self, line: &str, answer: &str) {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a command; the text of each error is what the user reads after `lockcroft: `.
+//! Errors of commands. The text of each error is printed to standard error after `lockcroft: `.
 
 use std::error::Error;
 use std::io;
@@ -11,10 +11,10 @@
 
 use crate::snapshot_name::SnapshotName;
 
-/// An error of another crate, whose text is shown as it stands.
+/// An error of another crate, whose text is printed unchanged.
 pub type BoxedError = Box<dyn Error + Send + Sync>;
 
-/// Why a command was not done.
+/// An error that makes a command fail.
 #[derive(Debug, Error)]
 pub enum CliError {
     #[error(transparent)]
@@ -31,37 +31,37 @@
     AtPath { path: PathBuf, source: BoxedError },
     #[error("{}: {name}: {source}", .folder.display())]
     Snapshot { folder: PathBuf, name: SnapshotName, source: BoxedError },
-    #[error("{}: no sound generation is current", .0.display())]
-    NoSoundSnapshot(PathBuf),
-    #[error("{}: no memory", .0.display())]
+    #[error("{}: no current snapshot is valid", .0.display())]
+    NoValidSnapshot(PathBuf),
+    #[error("{}: contains no persisted state", .0.display())]
     NoState(PathBuf),
-    #[error("{}: a pilot holds it", .0.display())]
+    #[error("{}: in use by a controller", .0.display())]
     StateInUse(PathBuf),
-    #[error("{address} {source}")]
+    #[error("{address}: {source}")]
     Ask { address: Address, source: BoxedError },
     #[error("--within: {0}")]
     InvalidTimeout(#[source] std::time::TryFromFloatSecsError),
-    #[error("LB_CONFIG: not set, nor --config; allowed: the path of the configuration")]
+    #[error("neither --config nor LB_CONFIG is set; allowed: the path of the configuration")]
     NoPlatformConfig,
-    #[error("no way {name:?}; there are {known}")]
+    #[error("unknown way {name:?}; allowed: {known}")]
     UnknownVariant { name: String, known: String },
-    #[error("{0}: it did not end")]
+    #[error("way {0}: its process ended without a summary")]
     VariantFailed(String),
 }
 
 impl CliError {
-    /// An error that concerns this file or folder.
+    /// Returns an error that concerns this file or folder.
     pub fn at(path: impl Into<PathBuf>, source: impl Into<BoxedError>) -> Self {
         CliError::AtPath { path: path.into(), source: source.into() }
     }
 
-    /// An error whose text needs nothing added.
+    /// Returns an error whose text is printed without a prefix.
     pub fn other(source: impl Into<BoxedError>) -> Self {
         CliError::Other(source.into())
     }
 }
 
-/// Tells the user of a failed command; the exit code is 1 then.
+/// Returns the exit code of a command. Prints the error of a failed command, whose exit code is 1.
 pub fn report(result: Result<ExitCode, CliError>) -> ExitCode {
     result.unwrap_or_else(|error| {
         eprintln!("lockcroft: {error}");
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,5 +1,5 @@
-//! `lockcroft files`: what a folder of table snapshots holds, whether each is sound, what differs between two, and
-//! publishing an earlier one again.
+//! `lockcroft files`: shows, verifies and compares the snapshots in a folder of table files, and republishes an earlier
+//! snapshot.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,28 +15,28 @@
 use crate::snapshot_name::SnapshotName;
 use crate::snapshot_rows::rows;
 
-/// What `files back` leaves of the earlier snapshots.
+/// The snapshots that `files back` retains: those of all earlier epochs, from which proxies may still read.
 const RETENTION: RetentionPolicy = RetentionPolicy { max_snapshots: 2, keep_earlier_epochs: true };
 
 #[derive(Subcommand)]
 pub enum FilesCommand {
-    /// Show what a generation holds: tables, groups, withdrawals, and who has laid it.
+    /// Show a snapshot: its tables, the groups of proxies, ejected servers, and the proxies that applied it.
     #[command(after_help = "Examples:\n  lockcroft files show /srv/tables --keys /etc/lockcroft/keys\n  \
         lockcroft files show /srv/tables --keys /etc/lockcroft/keys --generation e7g41 --json")]
     Show {
         #[command(flatten)]
         store: StoreArgs,
-        /// As e7g41; without it the newest that is sound.
-        #[arg(long)]
-        generation: Option<SnapshotName>,
+        /// The name of the snapshot, such as e7g41; by default the newest current one that is valid.
+        #[arg(long = "generation", value_name = "GENERATION")]
+        name: Option<SnapshotName>,
     },
-    /// Check every generation in the folder, bit by bit; exit 1 if one that is current is not sound.
+    /// Verify every snapshot in the folder; exit 1 if a current one is invalid.
     #[command(after_help = "Example: lockcroft files verify /srv/tables --keys /etc/lockcroft/keys")]
     Verify {
         #[command(flatten)]
         store: StoreArgs,
     },
-    /// Tell what differs between two generations.
+    /// Show the differences between two snapshots.
     #[command(
         after_help = "Example: lockcroft files diff /srv/tables --keys /etc/lockcroft/keys e7g40 e7g41"
     )]
@@ -46,8 +46,8 @@
         from: SnapshotName,
         to: SnapshotName,
     },
-    /// Take the folder over and publish an earlier generation as the newest. The pilot that writes there is fenced off, and
-    /// proxies follow its tables again once it is started anew.
+    /// Publish an earlier snapshot again, as the newest one in a new epoch. This fences off the controller that writes to
+    /// the folder; proxies apply its tables again once it is restarted.
     #[command(after_help = "Example: lockcroft files back /srv/tables --keys /etc/lockcroft/keys e7g40")]
     Back {
         #[command(flatten)]
@@ -59,27 +59,27 @@
 #[derive(clap::Args)]
 pub struct StoreArgs {
     folder: PathBuf,
-    /// The file with the keys that seal generations.
+    /// The file with the keys that snapshots are sealed with.
     #[arg(long)]
     keys: PathBuf,
     #[arg(long)]
     json: bool,
 }
 
-/// A snapshot that the folder holds.
+/// A snapshot in the folder.
 struct ListedSnapshot {
     name: SnapshotName,
-    /// Its epoch's pointer names it.
-    current: bool,
+    /// True if the link `current` of its epoch points to it.
+    is_current: bool,
 }
 
 impl FilesCommand {
     pub fn run(self) -> ExitCode {
         report(match self {
-            FilesCommand::Show { store, generation } => store.show(generation),
+            FilesCommand::Show { store, name } => store.show(name),
             FilesCommand::Verify { store } => store.verify(),
             FilesCommand::Diff { store, from, to } => store.diff(from, to),
-            FilesCommand::Back { store, to } => store.publish_again(to),
+            FilesCommand::Back { store, to } => store.republish(to),
         })
     }
 }
@@ -90,12 +90,12 @@
     }
 
     fn load(&self, name: SnapshotName) -> Result<LoadedSnapshot, CliError> {
-        let found =
+        let loaded =
             load_snapshot(&StoreLayout::new(&self.folder), name.epoch, name.version, &self.read_keys()?);
-        found.map_err(|error| CliError::Snapshot { folder: self.folder.clone(), name, source: error.into() })
+        loaded.map_err(|error| CliError::Snapshot { folder: self.folder.clone(), name, source: error.into() })
     }
 
-    /// Every snapshot in the folder, in the order of the layout: epoch by epoch.
+    /// Returns every snapshot in the folder, valid or not; the highest epoch and version come first.
     fn list(&self) -> Result<Vec<ListedSnapshot>, CliError> {
         let layout = StoreLayout::new(&self.folder);
         let at_folder = |error: std::io::Error| CliError::at(&self.folder, error);
@@ -104,21 +104,21 @@
             let current_version = layout.current_version(epoch);
             for version in layout.versions(epoch).map_err(at_folder)? {
                 let name = SnapshotName { epoch, version };
-                snapshots.push(ListedSnapshot { name, current: Some(version) == current_version });
+                snapshots.push(ListedSnapshot { name, is_current: Some(version) == current_version });
             }
         }
         Ok(snapshots)
     }
 
-    /// The first current snapshot of the folder that is sound.
+    /// Loads the current snapshot of the highest epoch for which it is valid.
     fn load_current(&self) -> Result<(SnapshotName, LoadedSnapshot), CliError> {
-        let current = self.list()?.into_iter().filter(|snapshot| snapshot.current);
-        let mut sound = current.filter_map(|snapshot| Some((snapshot.name, self.load(snapshot.name).ok()?)));
-        sound.next().ok_or_else(|| CliError::NoSoundSnapshot(self.folder.clone()))
+        let current = self.list()?.into_iter().filter(|snapshot| snapshot.is_current);
+        let mut valid = current.filter_map(|snapshot| Some((snapshot.name, self.load(snapshot.name).ok()?)));
+        valid.next().ok_or_else(|| CliError::NoValidSnapshot(self.folder.clone()))
     }
 
-    fn show(&self, generation: Option<SnapshotName>) -> Result<ExitCode, CliError> {
-        let (name, snapshot) = match generation {
+    fn show(&self, name: Option<SnapshotName>) -> Result<ExitCode, CliError> {
+        let (name, snapshot) = match name {
             Some(name) => (name, self.load(name)?),
             None => self.load_current()?,
         };
@@ -128,13 +128,14 @@
             return Ok(ExitCode::SUCCESS);
         }
         let LoadedSnapshot { controller, key, bytes, .. } = &snapshot;
-        println!("generation {name} by {controller}, sealed with {key}, {bytes} bytes");
+        println!("snapshot {name} by controller {controller}, sealed with key {key}, {bytes} bytes");
         rows(&snapshot.content).iter().for_each(|row| println!("{row}"));
-        println!("laid by {} proxies", proxies.len());
+        println!("applied by {} proxies", proxies.len());
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Proxies whose last report says that they applied this snapshot.
+    /// Returns the proxies whose status file states this snapshot as the last one they applied. A status directory that
+    /// can't be read counts as empty.
     fn proxies_that_applied(&self, name: SnapshotName) -> Vec<String> {
         let applied = |status: &proto::Status| {
             let last = status.laid.last();
@@ -148,24 +149,25 @@
         let keys = self.read_keys()?;
         let layout = StoreLayout::new(&self.folder);
         let mut json_rows = Vec::new();
-        let mut sound = true;
-        for ListedSnapshot { name, current } in self.list()? {
-            let found = load_snapshot(&layout, name.epoch, name.version, &keys);
-            sound &= found.is_ok() || !current;
-            let finding = match found {
-                Ok(snapshot) => format!("sound, sealed with {}", snapshot.key),
+        let mut valid = true;
+        for ListedSnapshot { name, is_current } in self.list()? {
+            let loaded = load_snapshot(&layout, name.epoch, name.version, &keys);
+            valid &= loaded.is_ok() || !is_current;
+            let result = match loaded {
+                Ok(snapshot) => format!("valid, sealed with key {}", snapshot.key),
                 Err(error) => error.to_string(),
             };
             if self.json {
-                json_rows.push(json!({"generation": name.to_string(), "current": current, "said": finding}));
+                json_rows
+                    .push(json!({"generation": name.to_string(), "current": is_current, "said": result}));
             } else {
-                println!("{name}{} {finding}", if current { " (current)" } else { "" });
+                println!("{name}{} {result}", if is_current { " (current)" } else { "" });
             }
         }
         if self.json {
-            println!("{}", json!({"generations": json_rows, "sound": sound}));
+            println!("{}", json!({"generations": json_rows, "sound": valid}));
         }
-        Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if valid { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
     fn diff(&self, from: SnapshotName, to: SnapshotName) -> Result<ExitCode, CliError> {
@@ -180,13 +182,13 @@
             println!("{}", json!({"from": from.to_string(), "to": to.to_string(), "lines": differences}));
         } else {
             differences.iter().for_each(|row| println!("{row}"));
-            println!("{} lines differ", after.changed_entry_count(&before));
+            println!("{} entries differ", after.changed_entry_count(&before));
         }
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Takes the folder over, which fences off its writer, and publishes an earlier snapshot as the newest.
-    fn publish_again(&self, earlier: SnapshotName) -> Result<ExitCode, CliError> {
+    /// Acquires a new epoch, which fences off the current writer, and publishes an earlier snapshot as the newest one.
+    fn republish(&self, earlier: SnapshotName) -> Result<ExitCode, CliError> {
         let snapshot = self.load(earlier)?;
         let mut writer = SnapshotWriter::acquire_epoch(&self.folder, "operator", self.read_keys()?)
             .map_err(|error| CliError::at(&self.folder, error))?;
@@ -197,7 +199,7 @@
             println!("{}", json!({"published": published.to_string(), "as": earlier.to_string()}));
         } else {
             println!(
-                "{earlier} is published as {published}; the pilot that wrote there is fenced off until it is started anew"
+                "published snapshot {earlier} as {published}; the controller that wrote here is fenced off until it is restarted"
             );
         }
         Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The `lockcroft` command: the controller's daemon, a proxy, and the tools around them. Each module holds one verb, or
-//! what several verbs share.
+//! The `lockcroft` command: the controller's daemon, a proxy, and tools for operators. Each module implements one verb,
+//! or helpers that several verbs share.
 
 mod ask;
 mod error;
@@ -18,51 +18,51 @@
 
 use clap::{Parser, Subcommand};
 
-/// Publishes weights and tables of servers to a fleet of plain proxies.
+/// Distributes load across servers by publishing their tables and weights to a fleet of proxies.
 #[derive(Parser)]
-#[command(name = "lockcroft", version, about, after_help = EXITS)]
+#[command(name = "lockcroft", version, about, after_help = EXIT_CODES)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
 }
 
-const EXITS: &str =
-    "Exit codes: 0 done; 1 not done, rules broken, or the other end said no; 2 a wrong file or command line.";
+const EXIT_CODES: &str = "Exit codes: 0 success; 1 failure, invalid data, or rules broken in a scenario; \
+    2 invalid file or command line.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a pilot until SIGTERM; proxies keep their tables then.
+    /// Run a controller until SIGTERM; proxies keep their tables after that.
     #[command(after_help = "Example: lockcroft serve /etc/lockcroft/pilot.xml")]
     Serve { file: PathBuf },
-    /// Run a pilot on the users' platform until SIGTERM; SIGHUP reads the file again.
+    /// Run a controller on the platform until SIGTERM; SIGHUP reloads its configuration.
     #[command(after_help = "Example: LB_CONFIG=/run/balancer/config.json lockcroft platform")]
     Platform(platform::PlatformCommand),
-    /// Run a proxy that follows the tables of a pilot, until SIGTERM.
+    /// Run a proxy that applies the tables of a controller, until SIGTERM.
     #[command(after_help = "Example: lockcroft proxy /etc/lockcroft/proxy.xml")]
     Proxy { file: PathBuf },
-    /// Check a settings file, and the roster that it names, without starting anything.
+    /// Validate a configuration and the endpoint list that it names, without starting anything.
     #[command(after_help = "Example: lockcroft check --json /etc/lockcroft/pilot.xml")]
     Check {
         file: PathBuf,
-        /// Print faults as JSON.
+        /// Print errors as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Ask a pilot or a proxy one runtime command and print the answer.
+    /// Send one runtime API command to a controller or a proxy and print the answer.
     #[command(after_help = "Examples:\n  lockcroft ask /run/lockcroft.sock show proxies\n  \
         lockcroft ask 127.0.0.1:9901 set server servers/e3 state drain")]
     Ask(ask::AskCommand),
-    /// Look into a folder of table files: what a generation holds, whether it is sound, what changed.
+    /// Show, verify, compare and republish the snapshots in a folder of table files.
     #[command(subcommand)]
     Files(files::FilesCommand),
-    /// Look into the folder in which a pilot keeps what it learned.
+    /// Show, verify and compact the state that a controller persisted in a folder.
     #[command(subcommand, visible_alias = "memory")]
     State(state::StateCommand),
-    /// Work out weights for a problem, and say what finds no room.
+    /// Compute weights for a problem, and report the demand that exceeds the capacity.
     #[command(after_help = "Examples:\n  lockcroft solve examples/problem.xml --picture load.svg\n  \
         lockcroft ask /run/lockcroft.sock show plan problem > now.xml && lockcroft solve now.xml")]
     Solve(solve::SolveCommand),
-    /// Play a scripted day against a pilot of this program and judge the five rules from the sockets.
+    /// Run a scripted scenario against a controller process, and check the five rules from the traffic on the sockets.
     #[command(
         visible_alias = "rehearse",
         after_help = "Examples:\n  lockcroft scenario examples/bad-day.xml --json day.json\n  \
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `lockcroft platform`: a controller on the users' platform.
+//! `lockcroft platform`: a controller on the platform, which configures it by a JSON file.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,29 +14,29 @@
 
 #[derive(Args)]
 pub struct PlatformCommand {
-    /// What the platform tells this pilot, as JSON.
+    /// Path of the controller's configuration, a JSON file.
     #[arg(long, env = "LB_CONFIG")]
     config: Option<PathBuf>,
-    /// Levels of the log, as info,lockcroft::update=debug
+    /// Log levels, such as info,lockcroft::update=debug
     #[arg(long = "log", value_name = "LOG", env = "LOCKCROFT_LOG", default_value = "info")]
     log_levels: String,
-    /// Read the file, say whether it can be used, and start nothing.
+    /// Validate the configuration without starting anything.
     #[arg(long)]
     check: bool,
-    /// Print what --check found as JSON.
+    /// Print the result of --check as JSON.
     #[arg(long, requires = "check")]
     json: bool,
 }
 
 impl PlatformCommand {
     pub fn run(self) -> ExitCode {
-        // Before anything else: no signal may end the process by default, however early it comes.
+        // The signal handlers come first: a signal that arrives before them would end the process by its default action.
         let (runtime, signals) = match lockcroft_signals::start_runtime() {
             Ok(started) => started,
             Err(error) => return report(Err(CliError::other(error))),
         };
         let path = self.config.unwrap_or_default();
-        let config = open(&path);
+        let config = open_config(&path);
         if self.json {
             println!("{}", json!({"fault": config.as_ref().err().map(ToString::to_string)}));
         }
@@ -58,7 +58,7 @@
     }
 }
 
-fn open(path: &Path) -> Result<Config, CliError> {
+fn open_config(path: &Path) -> Result<Config, CliError> {
     if path.as_os_str().is_empty() {
         return Err(CliError::NoPlatformConfig);
     }
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `lockcroft scenario`: a scripted scenario, played once, in each of its variants, or over its search space.
+//! `lockcroft scenario`: runs a scripted scenario once, in each of its variants, or in each variant of its search space.
 
 use std::fs::{self, File};
 use std::io::BufWriter;
@@ -17,25 +17,25 @@
 pub struct ScenarioCommand {
     #[arg(value_name = "DAY")]
     file: PathBuf,
-    /// Write verdicts, earnings and all that passed to this file.
+    /// Write the rule results, the score and the recorded traffic to this file as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write earnings and broken rules alone to this file.
+    /// Write only the score and the broken rules to this file as JSON.
     #[arg(long)]
     summary: Option<PathBuf>,
-    /// Keep the pilot's settings, list and log in this folder.
+    /// Keep the controller's configuration, endpoint list and log in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Play it in one of the ways that its file names.
+    /// Run only the variant (element way, or one of its search) with this name.
     #[arg(long = "way", value_name = "WAY", conflicts_with_all = ["all_variants", "search"])]
     variant: Option<String>,
-    /// Play it in each of its ways and lay them side by side.
+    /// Run every variant in the file (elements way) and compare their scores.
     #[arg(long = "ways", conflicts_with_all = ["search", "json", "summary", "keep"])]
     all_variants: bool,
-    /// Play it with all listed weights of its search, without plans, the best first.
+    /// Run every combination of the weights in its elements search, without the solver, and print the best first.
     #[arg(long, conflicts_with_all = ["json", "summary", "keep"])]
     search: bool,
-    /// So many ways at the same time.
+    /// The maximum number of variants that run at the same time.
     #[arg(long = "at-once", value_name = "AT_ONCE", default_value_t = 2)]
     max_concurrent: usize,
     /// Print the rows of --ways or --search as JSON.
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The scenario in the variant that the command line names.
+    /// Returns the scenario in the variant that the command line names.
     fn with_variant(&self, scenario: Scenario) -> Result<Scenario, CliError> {
         let Some(name) = &self.variant else { return Ok(scenario) };
         let all = variants::all(&scenario);
@@ -82,7 +82,7 @@
     }
 
     fn run_once(&self, scenario: &Scenario) -> Result<ExitCode, CliError> {
-        let report = self.play(scenario)?;
+        let report = self.run_scenario(scenario)?;
         println!("{report}");
         if let Some(path) = &self.json {
             write_json(path, &report)?;
@@ -93,18 +93,18 @@
         Ok(if report.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn play(&self, scenario: &Scenario) -> Result<Report, CliError> {
+    fn run_scenario(&self, scenario: &Scenario) -> Result<Report, CliError> {
         let program = std::env::current_exe()?;
         let temporary = tempfile::tempdir()?;
         let folder = self.keep.clone().unwrap_or_else(|| temporary.path().into());
         fs::create_dir_all(&folder).map_err(|error| CliError::at(&folder, error))?;
         let folder = folder.canonicalize()?;
-        // One core is left to the controller's process.
+        // One core is left for the controller's process.
         let workers = std::thread::available_parallelism().map_or(2, |cores| cores.get() - 1).max(1);
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(workers).enable_all().build()?;
-        let playing = run(scenario, &program, &folder, |text| eprintln!("{text}"));
-        Ok(runtime.block_on(playing)?)
+        let running = run(scenario, &program, &folder, |text| eprintln!("{text}"));
+        Ok(runtime.block_on(running)?)
     }
 }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `lockcroft serve`, `lockcroft proxy` and `lockcroft check`: programs that are started from a configuration file.
+//! `lockcroft serve`, `lockcroft proxy` and `lockcroft check`: the verbs that take a configuration file.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 
 use crate::error::{CliError, report};
 
-/// The exit code for a wrong file or command line.
+/// The exit code for an invalid file or command line.
 pub const EXIT_USAGE: u8 = 2;
 
 /// Runs a controller until SIGTERM.
@@ -21,7 +21,7 @@
         Ok(started) => started,
         Err(error) => return report(Err(CliError::other(error))),
     };
-    let config = match open(file, false) {
+    let config = match open_config(file, false) {
         Ok(config) => config,
         Err(code) => return code,
     };
@@ -51,18 +51,18 @@
     LocalSet::new().block_on(runtime, serving).map_err(CliError::other)
 }
 
-/// Checks a controller's configuration without starting anything.
+/// Validates a controller's configuration, and the endpoint list that it names, without starting anything.
 pub fn check(file: &Path, json: bool) -> ExitCode {
-    match open(file, json) {
+    match open_config(file, json) {
         Ok(config) if json => println!("{}", json!({"faults": [], "proxies": config.proxies.len()})),
-        Ok(config) => println!("{}: sound, {} proxies", file.display(), config.proxies.len()),
+        Ok(config) => println!("{}: valid, {} proxies", file.display(), config.proxies.len()),
         Err(code) => return code,
     }
     ExitCode::SUCCESS
 }
 
-/// Reads a controller's configuration; its errors are printed, and the exit code is given back.
-fn open(file: &Path, json: bool) -> Result<DaemonConfig, ExitCode> {
+/// Reads a controller's configuration. Prints the errors of an invalid one, and returns the exit code for it.
+fn open_config(file: &Path, json: bool) -> Result<DaemonConfig, ExitCode> {
     DaemonConfig::open(file).map_err(|errors| {
         if json {
             println!("{}", config_errors_json(&errors));
@@ -73,7 +73,7 @@
     })
 }
 
-/// The errors of a file in the form that `--json` prints.
+/// Returns the errors of a file in the form that `--json` prints.
 pub fn config_errors_json(errors: &ConfigErrors) -> Value {
     let row = |error: &ConfigError| {
         json!({"file": error.file, "line": error.line, "element": error.element, "wrong": error.message,
--- a/crates/cli/src/snapshot_name.rs
+++ b/crates/cli/src/snapshot_name.rs
@@ -1,4 +1,4 @@
-//! The name of a snapshot in a folder of table files, as users write it: `e7g41`.
+//! The name of a snapshot on the command line, such as `e7g41`: epoch 7, version 41.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,16 +6,16 @@
 use lockcroft_table_store::{Epoch, Version};
 use thiserror::Error;
 
-/// A snapshot's writer epoch and its version within it.
+/// The writer epoch of a snapshot and its version within the epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotName {
     pub epoch: Epoch,
     pub version: Version,
 }
 
-/// A text that is no snapshot's name.
+/// An error for a text that is not the name of a snapshot.
 #[derive(Debug, Error)]
-#[error("{0:?} is no generation; e7g41 is one")]
+#[error("{0:?} is not a snapshot name; allowed: an epoch and a version such as e7g41")]
 pub struct ParseSnapshotNameError(String);
 
 impl FromStr for SnapshotName {
--- a/crates/cli/src/snapshot_rows.rs
+++ b/crates/cli/src/snapshot_rows.rs
@@ -1,8 +1,8 @@
-//! A snapshot's content as rows of text, each of which stands for itself: for `files show` and `files diff`.
+//! The content of a snapshot as rows of text, for `files show` and `files diff`. Each row can be read without the others.
 
 use lockcroft_table_format::SnapshotContent;
 
-/// Table entries first, then what each group of proxies is assigned, then ejected endpoints.
+/// Returns the rows of the table entries, then of the assignments of each group of proxies, then of ejected endpoints.
 pub fn rows(content: &SnapshotContent) -> Vec<String> {
     let mut rows = table_rows(content);
     rows.extend(assignment_rows(content));
--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -1,4 +1,4 @@
-//! `lockcroft solve`: weights for a problem in a file.
+//! `lockcroft solve`: computes weights for a problem in a file.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
     /// Print the answer as JSON, with the tables of each class and zone.
     #[arg(long)]
     json: bool,
-    /// Draw load against capacity, before and after, as SVG.
+    /// Write a chart of load and capacity, before and after, to this SVG file.
     #[arg(long)]
     picture: Option<PathBuf>,
 }
@@ -47,16 +47,16 @@
             print!("{}", text(&problem, &answer));
         }
         let Some(path) = self.picture else { return ExitCode::SUCCESS };
-        report(draw(&path, &problem, &answer).map(|()| ExitCode::SUCCESS))
+        report(write_picture(&path, &problem, &answer).map(|()| ExitCode::SUCCESS))
     }
 }
 
-fn draw(path: &Path, problem: &NamedProblem, answer: &Answer) -> Result<(), CliError> {
+fn write_picture(path: &Path, problem: &NamedProblem, answer: &Answer) -> Result<(), CliError> {
     let svg = picture(problem, answer).map_err(|error| CliError::at(path, error))?;
     std::fs::write(path, svg).map_err(|error| CliError::at(path, error))
 }
 
-/// The solver's error with the name that the file gives to the endpoint or class that it is about.
+/// Returns the text of a solver error, with the name of the endpoint or class that it concerns.
 fn describe(problem: &NamedProblem, error: &ProblemError) -> String {
     let name = match error {
         ProblemError::Endpoint(index, ..) => problem.endpoints.get(*index),
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,4 +1,4 @@
-//! `lockcroft state`: what a controller's state folder holds, whether it is sound, and all of it as one snapshot.
+//! `lockcroft state`: shows, verifies and compacts the state that a controller persisted in a folder.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,21 +15,21 @@
 
 #[derive(Subcommand)]
 pub enum StateCommand {
-    /// Show what was learned, and when.
+    /// Show the persisted entries and their times.
     #[command(after_help = "Example: lockcroft state show /var/lib/lockcroft/memory --json")]
     Show {
         folder: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Check every file; exit 1 if anything had to be cut or passed over.
+    /// Verify every file; exit 1 if any part of one was ignored.
     #[command(after_help = "Example: lockcroft state verify /var/lib/lockcroft/memory")]
     Verify {
         folder: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Write all that is known as one snapshot; not while a pilot holds the folder.
+    /// Write all entries to one snapshot; fails while a controller uses the folder.
     #[command(after_help = "Example: lockcroft state compact /var/lib/lockcroft/memory")]
     Compact { folder: PathBuf },
 }
@@ -37,22 +37,22 @@
 impl StateCommand {
     pub fn run(self) -> ExitCode {
         report(match self {
-            StateCommand::Show { folder, json } => read(&folder).map(|loaded| show(&loaded, json)),
-            StateCommand::Verify { folder, json } => read(&folder).map(|loaded| verify(&loaded, json)),
+            StateCommand::Show { folder, json } => load_state(&folder).map(|loaded| show(&loaded, json)),
+            StateCommand::Verify { folder, json } => load_state(&folder).map(|loaded| verify(&loaded, json)),
             StateCommand::Compact { folder } => compact(&folder),
         })
     }
 }
 
-fn identity(folder: &Path, storage: &DirectoryStorage) -> Result<StoreIdentity, CliError> {
+fn require_identity(folder: &Path, storage: &DirectoryStorage) -> Result<StoreIdentity, CliError> {
     let identity =
         read_identity(storage).map_err(|error| CliError::at(folder, RecoveryError::from(error)))?;
     identity.ok_or_else(|| CliError::NoState(folder.into()))
 }
 
-fn read(folder: &Path) -> Result<LoadedState, CliError> {
+fn load_state(folder: &Path) -> Result<LoadedState, CliError> {
     let storage = DirectoryStorage::open_read_only(folder);
-    let identity = identity(folder, &storage)?;
+    let identity = require_identity(folder, &storage)?;
     load(&storage, &identity).map_err(|error| CliError::at(folder, error))
 }
 
@@ -68,7 +68,7 @@
     ExitCode::SUCCESS
 }
 
-/// One learned value with the time of its entry, in milliseconds since the Unix epoch.
+/// Returns an entry as JSON. Its time is in milliseconds since the Unix epoch.
 fn entry_json(key: &EntryKey, at_ms: u64, value: &EntryValue) -> Value {
     match (key, value) {
         (EntryKey::Endpoint(name), EntryValue::Endpoint(endpoint)) => json!({
@@ -87,24 +87,24 @@
 }
 
 fn verify(loaded: &LoadedState, json: bool) -> ExitCode {
-    let sound = loaded.warnings.is_empty();
+    let valid = loaded.warnings.is_empty();
     if json {
-        println!("{}", json!({"sound": sound, "remarks": loaded.warnings}));
+        println!("{}", json!({"sound": valid, "remarks": loaded.warnings}));
     } else {
-        loaded.warnings.iter().for_each(|remark| println!("{remark}"));
-        let verdict = if sound { "sound" } else { "not all sound" };
-        println!("{} entries in {} files, {verdict}", loaded.state.len(), loaded.files);
+        loaded.warnings.iter().for_each(|warning| println!("{warning}"));
+        let result = if valid { "all valid" } else { "not all valid" };
+        println!("{} entries in {} files, {result}", loaded.state.len(), loaded.files);
     }
-    if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn compact(folder: &Path) -> Result<ExitCode, CliError> {
-    let identity = identity(folder, &DirectoryStorage::open_read_only(folder))?;
+    let identity = require_identity(folder, &DirectoryStorage::open_read_only(folder))?;
     let storage = DirectoryStorage::open_exclusive(folder).map_err(|error| match error.kind() {
         io::ErrorKind::WouldBlock => CliError::StateInUse(folder.into()),
         _ => CliError::at(folder, RecoveryError::from(error)),
     })?;
-    // Opening a store begins a new file number, which writes all of the state as its snapshot.
+    // Opening a store starts a new file number and writes the complete state as the snapshot of that number.
     let (store, loaded) = Store::open(storage, identity).map_err(|error| CliError::at(folder, error))?;
     println!("{} entries, {} bytes, snapshot {}", loaded.state.len(), store.bytes(), store.snapshot_number());
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/variants.rs
+++ b/crates/cli/src/variants.rs
@@ -1,5 +1,5 @@
-//! `lockcroft scenario --ways` and `--search`: one scenario in several variants, side by side, each in a process of its
-//! own.
+//! `lockcroft scenario --ways` and `--search`: runs several variants of one scenario, each in a separate process, and
+//! compares their scores.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -12,37 +12,37 @@
 use crate::error::{CliError, report};
 use crate::serve::EXIT_USAGE;
 
-/// How often it is looked whether a process has ended.
+/// The interval between two checks for processes that have exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The variants that a scenario's file names, and those of its search space.
+/// Returns the variants that a scenario's file defines, followed by those of its search space.
 pub fn all(scenario: &Scenario) -> Vec<Variant> {
     scenario.variants.iter().cloned().chain(search(&scenario.search_spaces)).collect()
 }
 
-/// What is compared, and how it is shown.
+/// The settings of a comparison of variants.
 pub struct Comparison<'a> {
-    /// The scenario's file.
+    /// The file of the scenario.
     pub file: &'a Path,
-    /// Compares the search space instead of the variants that the file names.
+    /// True to run the variants of the search space instead of those that the file defines.
     pub search: bool,
-    /// Processes at the same time, at most.
+    /// The maximum number of processes that run at the same time.
     pub max_concurrent: usize,
-    /// Prints JSON instead of a table.
+    /// True to print JSON instead of a table.
     pub json: bool,
 }
 
-/// A variant with what came of it.
+/// A variant and the summary of its run.
 struct VariantResult<'a> {
     variant: &'a Variant,
     summary: Summary,
 }
 
 impl Comparison<'_> {
-    /// Plays the variants and prints a row each, the best of a search first.
+    /// Runs the variants and prints one row for each; the variants of a search are sorted by descending goodput.
     pub fn run(&self, scenario: &Scenario) -> ExitCode {
         let variants = if self.search { search(&scenario.search_spaces) } else { scenario.variants.clone() };
-        // A search space without an element still has one choice: nothing changed.
+        // A scenario without a search space still yields one variant, which changes no weight.
         if variants.is_empty() || self.search && scenario.search_spaces.is_empty() {
             let element = if self.search { "search" } else { "way" };
             eprintln!("lockcroft: {}: no element {element}", self.file.display());
@@ -104,26 +104,28 @@
     }
 }
 
-/// A variant that is being played. Dropping it ends its process, so that a comparison that fails leaves none behind.
+/// A process that runs a variant. Dropping it kills the process, so that a failed comparison leaves none behind.
 struct RunningVariant {
     child: Child,
+    /// The file to which the process writes its summary.
     summary: PathBuf,
+    /// The position of the variant.
     index: usize,
 }
 
 impl Drop for RunningVariant {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Plays variants of one scenario, each by a process of this program.
+/// Runs variants of one scenario, each in a process of this program.
 struct VariantRunner<'a> {
     file: &'a Path,
     variants: &'a [Variant],
-    /// Where the processes write their summaries and logs.
+    /// The folder in which the processes write their summaries and logs.
     folder: tempfile::TempDir,
     running: Vec<RunningVariant>,
     summaries: Vec<Option<Summary>>,
@@ -135,13 +137,13 @@
         Ok(VariantRunner { file, variants, folder: tempfile::tempdir()?, running: Vec::new(), summaries })
     }
 
-    /// The summaries in the order of the variants.
+    /// Runs all variants and returns their summaries in the order of the variants.
     fn run_all(mut self, max_concurrent: usize) -> Result<Vec<Summary>, CliError> {
-        let mut waiting = 0..self.variants.len();
+        let mut pending = 0..self.variants.len();
         while self.summaries.iter().any(Option::is_none) {
             while self.running.len() < max_concurrent.max(1) {
-                let Some(index) = waiting.next() else { break };
-                eprintln!("playing {}", self.variants[index].name);
+                let Some(index) = pending.next() else { break };
+                eprintln!("running {}", self.variants[index].name);
                 let started = self.start(index)?;
                 self.running.push(started);
             }
@@ -151,6 +153,7 @@
         Ok(self.summaries.into_iter().flatten().collect())
     }
 
+    /// Reads the summaries of the processes that have exited.
     fn collect_finished(&mut self) -> Result<(), CliError> {
         for variant in &mut self.running {
             if variant.child.try_wait()?.is_some() {
--- a/crates/cli/tests/daemon/aliases.rs
+++ b/crates/cli/tests/daemon/aliases.rs
@@ -1,22 +1,22 @@
-//! A verb that was renamed still works under its old name and gives the same.
+//! Verbs that were renamed still work under their old names, with the same output.
 
 use crate::controller_fixture::run;
 
-/// Exit code, standard output and standard error of the program with these arguments.
+/// Returns the exit code, standard output and standard error of the program with these arguments.
 fn outcome(arguments: &[&str]) -> (Option<i32>, String, String) {
     let output = run(arguments);
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
 }
 
-/// A variant that is not there is found before anything is played, so that both verbs read the whole file.
+/// An unknown variant makes the program exit after it has read the complete file, before it runs the scenario.
 #[test]
-fn scenario_and_its_alias_rehearse_give_the_same() {
+fn scenario_and_its_alias_rehearse_produce_the_same_output() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/mixed-fleet.xml");
     let scenario = outcome(&["scenario", file, "--way", "no such way"]);
     assert_eq!(scenario, outcome(&["rehearse", file, "--way", "no such way"]));
     assert_eq!(scenario.0, Some(2));
-    assert!(scenario.2.contains("no way \"no such way\"; there are "), "{}", scenario.2);
+    assert!(scenario.2.contains("unknown way \"no such way\"; allowed: "), "{}", scenario.2);
     for option in ["--json", "--summary", "--keep", "--way", "--ways", "--search", "--at-once", "--rows"] {
         assert!(outcome(&["rehearse", "--help"]).1.contains(&format!("{option} ")), "{option}");
     }
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn state_and_its_alias_memory_give_the_same() {
+fn state_and_its_alias_memory_produce_the_same_output() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().display().to_string();
     let empty = outcome(&["state", "show", &path]);
-    assert_eq!(empty, (Some(1), String::new(), format!("lockcroft: {path}: no memory\n")));
+    assert_eq!(empty, (Some(1), String::new(), format!("lockcroft: {path}: contains no persisted state\n")));
     assert_eq!(empty, outcome(&["memory", "show", &path]));
 
-    // Files as an earlier version wrote them.
+    // Files that an earlier version of the program wrote.
     let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/../state-store/tests/format-1");
     for command in ["show", "verify"] {
         let state = outcome(&["state", command, fixture, "--json"]);
@@ -42,7 +42,7 @@
     assert_eq!(outcome(&["state", "--help"]), outcome(&["memory", "--help"]));
 }
 
-const SHORT: &str = r#"<day length="1s">
+const SHORT_SCENARIO: &str = r#"<day length="1s">
   <terms>
     <zones><zone name="a"/></zones>
     <kinds><kind name="std"/></kinds>
@@ -55,13 +55,13 @@
   <visits class="look" rate="5" work="1ms"/>
 </day>"#;
 
-/// Times and counts differ from run to run; the rules, their limits and the verdicts don't.
+/// Compares the keys of the reports, the rules and their limits; times and counts differ between runs.
 #[test]
-fn a_scenario_is_played_by_both_verbs() {
+fn both_verbs_run_a_scenario_and_check_the_same_rules() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str| folder.path().join(name).display().to_string();
-    std::fs::write(path("short.xml"), SHORT).expect("written");
-    let play = |verb: &str| {
+    std::fs::write(path("short.xml"), SHORT_SCENARIO).expect("written");
+    let run_scenario = |verb: &str| {
         let report = path(verb);
         let (code, text, progress) = outcome(&[verb, &path("short.xml"), "--json", &report]);
         assert_eq!(code, Some(0), "{text}{progress}");
@@ -75,7 +75,7 @@
             .collect();
         (keys, rules)
     };
-    let scenario = play("scenario");
+    let scenario = run_scenario("scenario");
     assert_eq!(scenario.1.len(), 9, "{scenario:?}");
-    assert_eq!(scenario, play("rehearse"));
+    assert_eq!(scenario, run_scenario("rehearse"));
 }
--- a/crates/cli/tests/daemon/controller_fixture.rs
+++ b/crates/cli/tests/daemon/controller_fixture.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests: a folder with settings, and a controller in it.
+//! A temporary folder with the configuration of a controller, and the controller process.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -17,19 +17,21 @@
   <proxies/>
 "#;
 
-pub fn roster(names: &[&str]) -> String {
+/// Returns an endpoint list of endpoints with these names; nothing listens at their address.
+pub fn endpoint_list_xml(names: &[&str]) -> String {
     let entry = |name: &&str| {
         format!("<server name=\"{name}\" zone=\"north\" kind=\"std\" address=\"127.0.0.1:9\"/>\n")
     };
     format!("<roster>\n{}</roster>\n", names.iter().map(entry).collect::<String>())
 }
 
+/// The folder with the configuration, the endpoint list, the log and the sockets of a controller.
 pub struct ControllerFixture {
     pub folder: tempfile::TempDir,
 }
 
 impl ControllerFixture {
-    /// Settings without proxies, with a socket of level admin and one of level user.
+    /// Writes a configuration without proxies, with one socket of access level admin and one of level user.
     pub fn new() -> Self {
         let fixture = ControllerFixture { folder: tempfile::tempdir().expect("a folder") };
         let (admin, user) = (fixture.socket(), fixture.path("user.sock"));
@@ -40,7 +42,7 @@
             admin.display(),
             user.display()
         );
-        std::fs::write(fixture.path("roster.xml"), roster(&["e1", "e2"])).expect("written");
+        std::fs::write(fixture.path("roster.xml"), endpoint_list_xml(&["e1", "e2"])).expect("written");
         std::fs::write(fixture.path("pilot.xml"), text).expect("written");
         fixture
     }
@@ -53,12 +55,12 @@
         self.path("pilot.sock")
     }
 
-    /// A controller that answers commands already.
+    /// Starts a controller and waits until it answers commands.
     pub fn start_controller(&self) -> ControllerProcess {
         let log = self.path("pilot.log");
         let controller =
             ControllerProcess::start(Path::new(PROGRAM), &self.path("pilot.xml"), &log).expect("started");
-        self.until("show info", |output| output.contains("Servers: 2"));
+        self.wait_for_answer("show info", |output| output.contains("Servers: 2"));
         controller
     }
 
@@ -67,15 +69,15 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Asks until the answer is as expected, for 10 s at most.
-    pub fn until(&self, command: &str, expected: impl Fn(&str) -> bool) -> String {
-        let end = Instant::now() + Duration::from_secs(10);
+    /// Repeats a command until its answer is as expected, for 10 s at most, and returns that answer.
+    pub fn wait_for_answer(&self, command: &str, expected: impl Fn(&str) -> bool) -> String {
+        let deadline = Instant::now() + Duration::from_secs(10);
         loop {
             let output = self.ask(command);
             if expected(&output) {
                 return output;
             }
-            assert!(Instant::now() < end, "{command}: {output}");
+            assert!(Instant::now() < deadline, "{command}: {output}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
@@ -85,6 +87,7 @@
     }
 }
 
-pub fn run(words: &[&str]) -> Output {
-    Command::new(PROGRAM).args(words).output().expect("the program runs")
+/// Runs the program with these arguments to its end.
+pub fn run(arguments: &[&str]) -> Output {
+    Command::new(PROGRAM).args(arguments).output().expect("the program runs")
 }
--- a/crates/cli/tests/daemon/discovery_races.rs
+++ b/crates/cli/tests/daemon/discovery_races.rs
@@ -1,5 +1,5 @@
-//! Races between lists of the discovery, and between a list and the end of its connection, each forced: the test gives
-//! every response itself.
+//! Races between lists of the discovery service, and between a list and the end of its connection. Each race is forced:
+//! the test sends every response itself.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use crate::platform_controller::{FULL_TABLE, PlatformController};
 use crate::platform_testbed::{CheckedEndpoint, Discovery, TEST_TIMEOUT, endpoint, entry, wall_clock_ms};
 
-/// A discovery whose every response is given by the test.
+/// A discovery service that passes each call to the test, which sends the response.
 struct ScriptedDiscovery {
     address: SocketAddr,
     calls: mpsc::Receiver<(String, TcpStream)>,
@@ -32,21 +32,22 @@
         ScriptedDiscovery { address, calls }
     }
 
-    /// The next call, which comes on a new connection.
+    /// Waits for the next call on a new connection, and returns its head and the connection.
     fn next_call(&self) -> (String, TcpStream) {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("the pilot calls")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("the controller sends a request")
     }
 }
 
-/// The next call on an open connection.
+/// Reads the next call on an open connection.
 fn next_call_on(stream: &mut TcpStream) -> String {
     let mut head = vec![0; 4096];
-    let read = stream.read(&mut head).expect("the pilot calls");
+    let read = stream.read(&mut head).expect("the controller sends a request");
     String::from_utf8_lossy(&head[..read]).into_owned()
 }
 
-fn answer(index: u64, whole: bool, entries: &[Value]) -> String {
-    let body = json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string();
+/// Returns a response with a list, or with the changes to one if `full` is false.
+fn response(index: u64, full: bool, entries: &[Value]) -> String {
+    let body = json!({"index": index, "snapshot": full, "endpoints": entries}).to_string();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -57,15 +58,15 @@
     let controller = PlatformController::start(old.address, 128);
     let (_, mut stream) = old.next_call();
     let up = [entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)];
-    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    stream.write_all(response(2, true, &up).as_bytes()).expect("written");
     let mut proxy = controller.attach_proxy(3, false);
-    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(proxy.wait_for_line(&[FULL_TABLE]).is_some());
     assert!(next_call_on(&mut stream).contains("since=2"));
     let silent = ScriptedDiscovery::start();
     controller.switch_discovery(silent.address);
-    let (_, _held) = silent.next_call();
-    stream.write_all(answer(3, false, &[entry("s-b", b, "draining", 0)]).as_bytes()).expect("written");
-    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+    let (_, _open_connection) = silent.next_call();
+    stream.write_all(response(3, false, &[entry("s-b", b, "draining", 0)]).as_bytes()).expect("written");
+    assert!(proxy.wait_for_line(&["[\"s-b\",0.0]"]).is_some());
 }
 
 #[test]
@@ -75,24 +76,26 @@
     let old = ScriptedDiscovery::start();
     let controller = PlatformController::start(old.address, 128);
     let (_, mut stream) = old.next_call();
-    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    stream.write_all(response(2, true, &up).as_bytes()).expect("written");
     let mut proxy = controller.attach_proxy(3, false);
-    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(proxy.wait_for_line(&[FULL_TABLE]).is_some());
     assert!(next_call_on(&mut stream).contains("since=2"));
     let new = ScriptedDiscovery::start();
     controller.switch_discovery(new.address);
     let (_, mut new_stream) = new.next_call();
-    // Both have arrived when the controller resumes, in the wrong order.
+    // Both responses have arrived when the controller resumes; the list of the old discovery is the later one.
     controller.pause();
     new_stream
-        .write_all(answer(5, true, &[up[0].clone(), entry("s-b", b, "draining", 0)]).as_bytes())
+        .write_all(response(5, true, &[up[0].clone(), entry("s-b", b, "draining", 0)]).as_bytes())
         .expect("written");
-    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    stream.write_all(response(2, true, &up).as_bytes()).expect("written");
     controller.resume();
-    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+    assert!(proxy.wait_for_line(&["[\"s-b\",0.0]"]).is_some());
     assert!(next_call_on(&mut new_stream).contains("since=5"));
-    new_stream.write_all(answer(6, false, &[entry("s-c", endpoint(), "up", 0)]).as_bytes()).expect("written");
-    let change = proxy.until(&["s-c"]).expect("a change");
+    new_stream
+        .write_all(response(6, false, &[entry("s-c", endpoint(), "up", 0)]).as_bytes())
+        .expect("written");
+    let change = proxy.wait_for_line(&["s-c"]).expect("a change");
     assert!(!change.contains("s-b"), "{change}");
 }
 
@@ -103,17 +106,17 @@
     let controller = PlatformController::start(discovery.address, 128);
     let (_, mut stream) = discovery.next_call();
     let up = [entry("s-a", a, "up", 0), entry("s-b", b, "up", 0)];
-    stream.write_all(answer(2, true, &up).as_bytes()).expect("written");
+    stream.write_all(response(2, true, &up).as_bytes()).expect("written");
     let mut proxy = controller.attach_proxy(3, false);
-    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(proxy.wait_for_line(&[FULL_TABLE]).is_some());
     assert!(next_call_on(&mut stream).contains("since=2"));
-    let change = answer(3, false, &[entry("s-b", b, "draining", 0)]);
+    let change = response(3, false, &[entry("s-b", b, "draining", 0)]);
     stream.write_all(&change.as_bytes()[..change.len() - 20]).expect("written");
-    // It stays open and silent: a new connection asks for the same.
+    // The connection stays open and silent: the controller repeats the call on a new one.
     let (call, mut second) = discovery.next_call();
     assert!(call.contains("since=2"), "{call}");
     second.write_all(change.as_bytes()).expect("written");
-    assert!(proxy.until(&["[\"s-b\",0.0]"]).is_some());
+    assert!(proxy.wait_for_line(&["[\"s-b\",0.0]"]).is_some());
 }
 
 #[test]
@@ -123,8 +126,8 @@
         Discovery::start(1, vec![entry("s-a", a, "up", 0), entry("s-b", before.address, "up", 0)]);
     let controller = PlatformController::start(discovery.address, 128);
     let mut proxy = controller.attach_proxy(3, false);
-    assert!(proxy.until(&[FULL_TABLE]).is_some());
+    assert!(proxy.wait_for_line(&[FULL_TABLE]).is_some());
     discovery.publish(vec![entry("s-a", a, "up", 0), entry("s-b", after.address, "up", wall_clock_ms())]);
     after.wait_for_checks(2);
-    assert!(proxy.until(&["[\"s-b\",0."]).is_some());
+    assert!(proxy.wait_for_line(&["[\"s-b\",0."]).is_some());
 }
--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -1,5 +1,5 @@
-//! Short scenarios on real sockets, each with the faults that it checks. Judged by the rules'
-//! limits, not by times.
+//! Short scenarios on real sockets, each with injected faults. Apart from explicit assertions, they check the limits of
+//! the rules.
 
 use std::path::Path;
 
@@ -8,11 +8,13 @@
 
 use crate::controller_fixture::PROGRAM;
 
-fn run_scenario(seconds: u32, troubles: &str) -> (Report, String) {
-    run_scenario_with("commands", seconds, troubles)
+/// Runs a scenario whose proxies all receive their tables as commands.
+fn run_scenario(seconds: u32, faults: &str) -> (Report, String) {
+    run_scenario_with("commands", seconds, faults)
 }
 
-fn run_scenario_with(table_source: &str, seconds: u32, troubles: &str) -> (Report, String) {
+/// Runs a scenario with these faults, asserts that all rules were kept, and returns the report and the controller's log.
+fn run_scenario_with(table_source: &str, seconds: u32, faults: &str) -> (Report, String) {
     let text = format!(
         r#"<day length="{seconds}s" seed="5">
         <terms>
@@ -30,15 +32,15 @@
         <relays front="{table_source}" per-zone="2" standing="3" shuns-for="3s" try-most="1500ms"/>
         <visits class="look" rate="30" work="30ms"/>
         <visits class="book" rate="15" work="40ms"/>
-        {troubles}
+        {faults}
         </day>"#
     );
     let scenario = Scenario::parse(&text).expect("a valid scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let played =
+    let outcome =
         runtime.expect("a runtime").block_on(run(&scenario, Path::new(PROGRAM), folder.path(), |_| {}));
-    let report = played.expect("the scenario was played");
+    let report = outcome.expect("the scenario ran");
     let log = std::fs::read_to_string(folder.path().join("pilot.log")).unwrap_or_default();
     assert!(
         report.rules_kept() && report.exit_code == Some(0),
@@ -52,19 +54,20 @@
     report.records.iter().any(|record| expected(&record.event))
 }
 
-/// All updates of a run: proxy, command, answer.
+/// Returns the proxy, the command and the answer of each update in a run.
 fn updates(report: &Report) -> impl DoubleEndedIterator<Item = (&String, &String, &String)> {
     report.records.iter().flat_map(|record| match &record.event {
         TrafficEvent::UpdateAnswered { proxy, commands } => {
-            commands.iter().map(|of| (proxy, &of.command, &of.answer)).collect()
+            commands.iter().map(|answered| (proxy, &answered.command, &answered.answer)).collect()
         }
         _ => Vec::new(),
     })
 }
 
-/// A proxy stops half way through a batch while an endpoint drains in the midst of it; the others go on.
+/// A proxy stalls within an update batch while two endpoints are drained. It applies the drain once it resumes, as the
+/// other proxies do.
 #[test]
-fn a_stalled_proxy_and_a_drain_within_an_update_batch() {
+fn a_drain_reaches_a_proxy_that_stalls_within_an_update_batch() {
     let (report, log) = run_scenario(
         14,
         r#"<trouble at="7s" for="4s" kind="stall-relay" relay="r-a-1" after-commands="1"/>
@@ -74,19 +77,19 @@
         any_event(&report, |event| matches!(event, TrafficEvent::ControlStreamStalled { stalled: true, .. })),
         "the stall took place"
     );
-    // The proxy comes to the right tables once it goes on.
-    let last = |proxy: &str| {
-        let of = |(at, command, answer): &(&String, &String, &String)| {
-            *at == proxy && answer.is_empty() && command.contains("b-2 weight")
+    // The stalled proxy has the same final weight as another one.
+    let last_update = |proxy: &str| {
+        let sets_weight = |(receiver, command, answer): &(&String, &String, &String)| {
+            *receiver == proxy && answer.is_empty() && command.contains("b-2 weight")
         };
-        updates(&report).rfind(of).map(|(_, command, _)| command.clone())
+        updates(&report).rfind(sets_weight).map(|(_, command, _)| command.clone())
     };
-    assert_eq!(last("r-a-1"), Some("set server t0/b-2 weight 0".into()));
-    assert_eq!(last("r-b-1"), Some("set server t0/b-2 weight 0".into()));
-    // From the list to the proxy's answer by the number of the batch.
+    assert_eq!(last_update("r-a-1"), Some("set server t0/b-2 weight 0".into()));
+    assert_eq!(last_update("r-b-1"), Some("set server t0/b-2 weight 0".into()));
+    // The batch number links the log events from the endpoint list to the answer of a proxy.
     let listed =
         log.lines().filter(|line| line.contains("lockcroft::input: listed")).nth(1).expect("listed twice");
-    let batch = listed.split_whitespace().find(|word| word.starts_with("wave=")).expect("a wave");
+    let batch = listed.split_whitespace().find(|word| word.starts_with("wave=")).expect("a batch number");
     for text in [
         "lockcroft::action: t0: b-2 weighs 0",
         "lockcroft::update: sent",
@@ -97,19 +100,19 @@
     }
 }
 
-/// A stream breaks after updates were carried out and before they were answered: none of them takes
-/// effect a second time. Another proxy restarts and gets all it lost.
+/// A stream breaks after the proxy applied updates and before it answered them: none of them is applied twice. Another
+/// proxy restarts without its tables and receives all of them again.
 #[test]
-fn a_stream_that_breaks_between_update_and_answer() {
+fn updates_are_not_repeated_when_a_stream_breaks_before_their_answers() {
     let (report, _) = run_scenario(
         13,
         r#"<trouble at="1s" kind="break-relay" relay="r-b-2" after-commands="3"/>
            <trouble at="8s" kind="restart-relay" relay="r-a-2"/>"#,
     );
-    let broke = report.records.iter().position(
+    let break_position = report.records.iter().position(
         |record| matches!(&record.event, TrafficEvent::ControlStream { proxy, open: false } if proxy == "r-b-2"),
     );
-    assert!(broke.is_some(), "the stream broke");
+    assert!(break_position.is_some(), "the stream broke");
     let mut added = std::collections::BTreeMap::new();
     for (proxy, command, answer) in updates(&report) {
         assert!(!answer.starts_with("Already"), "{proxy}: {command}");
@@ -118,14 +121,14 @@
         }
     }
     assert!(added.len() == 6 && added.values().all(|times| *times == 1), "{added:?}");
-    let bound =
+    let assigned =
         updates(&report).filter(|(proxy, command, _)| *proxy == "r-a-2" && command.starts_with("set map"));
-    assert_eq!(bound.count(), 4, "two classes, before and after the restart");
+    assert_eq!(assigned.count(), 4, "two classes, before and after the restart");
 }
 
-/// The controller is killed; meanwhile a zone dies, and it recovers, warming up, after the controller did.
+/// The controller is killed. Meanwhile a zone fails; it recovers, with slow start, after the controller restarted.
 #[test]
-fn a_killed_controller_and_a_lost_zone() {
+fn rules_are_kept_when_a_zone_fails_while_the_controller_is_killed() {
     let (report, _) = run_scenario(
         24,
         r#"<trouble at="7s" for="2s" kind="kill-pilot"/>
@@ -134,35 +137,41 @@
     );
     assert!(
         any_event(&report, |event| matches!(event, TrafficEvent::EndpointStarted { .. })),
-        "they came back"
+        "endpoints restarted"
     );
     assert!(!any_event(&report, |event| matches!(event, TrafficEvent::EndpointOverloaded { .. })));
     assert!(report.score.goodput > 0.7, "{report}");
 }
 
-/// An endpoint takes requests and answers none, while its health checks go on; the rest is overloaded.
+/// An endpoint accepts requests and answers none, but passes its health checks; then the load exceeds the capacity.
 #[test]
-fn a_hung_endpoint_and_an_overload() {
+fn a_hung_endpoint_loses_its_requests_during_an_overload() {
     let (report, _) = run_scenario(
         20,
         r#"<trouble at="7s" for="8s" kind="hang" servers="a-2"/>
            <trouble at="11s" for="6s" kind="load" times="5"/>"#,
     );
-    let sent = |from: u64, to: u64| {
-        let here = report.records.iter().filter(|record| (from..to).contains(&record.at.as_secs()));
-        here.filter(
+    let arrived = |from: u64, to: u64| {
+        let records = report.records.iter().filter(|record| (from..to).contains(&record.at.as_secs()));
+        records
+            .filter(
             |record| matches!(&record.event, TrafficEvent::RequestArrived { endpoint, .. } if endpoint == "a-2"),
         )
         .count()
     };
-    assert!(sent(5, 7) > 5, "it had its share");
-    assert!(sent(11, 15) < sent(7, 11).max(10), "and lost it: {} then {}", sent(7, 11), sent(11, 15));
+    assert!(arrived(5, 7) > 5, "the endpoint received requests before the fault");
+    assert!(
+        arrived(11, 15) < arrived(7, 11).max(10),
+        "requests did not decrease: {} then {}",
+        arrived(7, 11),
+        arrived(11, 15)
+    );
 }
 
-/// Half of the proxies read files. An endpoint dies while the controller is killed, which starts again with the next
-/// epoch; a proxy that reads files is restarted, and another endpoint drains.
+/// Half of the proxies read table files. An endpoint fails while the controller is killed; the controller restarts with the
+/// next epoch. A proxy that reads files is restarted, and another endpoint is drained.
 #[test]
-fn a_mixed_fleet_through_a_killed_controller() {
+fn rules_are_kept_in_a_mixed_fleet_when_the_controller_is_killed() {
     let (report, log) = run_scenario_with(
         "mixed",
         20,
@@ -181,10 +190,10 @@
         applied_by("r-a-2"),
         applied_by("r-b-2")
     );
-    assert_eq!((applied_by("r-a-1"), applied_by("r-b-1")), (0, 0), "those are ordered");
+    assert_eq!((applied_by("r-a-1"), applied_by("r-b-1")), (0, 0), "these receive commands");
     assert!(
         !updates(&report).any(|(proxy, command, _)| proxy.ends_with("-2") && command.contains("server")),
-        "nobody who reads is ordered"
+        "proxies that read files receive no server commands"
     );
     assert!(
         log.contains("epoch of files taken epoch=1") && log.contains("epoch of files taken epoch=2"),
--- a/crates/cli/tests/daemon/main.rs
+++ b/crates/cli/tests/daemon/main.rs
@@ -1,4 +1,5 @@
-//! The program as a process: files, sockets, signals, aliases of verbs, and short scenarios with one fault each.
+//! Tests that run the program as a process: files, sockets, signals, aliases of verbs, and short scenarios with injected
+//! faults.
 
 mod aliases;
 mod controller_fixture;
--- a/crates/cli/tests/daemon/platform_controller.rs
+++ b/crates/cli/tests/daemon/platform_controller.rs
@@ -1,4 +1,4 @@
-//! A controller on the scripted platform as a process, and the proxies that attach to it.
+//! A process of the controller on the scripted platform, and the proxies that attach to it.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -15,10 +15,10 @@
 use crate::controller_fixture::PROGRAM;
 use crate::platform_testbed::TEST_TIMEOUT;
 
-/// A message that holds a whole table says so.
+/// The field of a message that contains a complete table.
 pub const FULL_TABLE: &str = "\"full\":true";
 
-/// A controller with its configuration; it is ended with the test.
+/// A process of the controller and its configuration; dropping it kills the process.
 pub struct PlatformController {
     pub folder: tempfile::TempDir,
     pub listen: SocketAddr,
@@ -27,11 +27,11 @@
 
 impl PlatformController {
     pub fn start(discovery: SocketAddr, max_sockets: usize) -> Self {
-        PlatformController::with(free_address(), discovery, max_sockets, |_| {})
+        PlatformController::start_with(free_address(), discovery, max_sockets, |_| {})
     }
 
-    /// With changes to the configuration.
-    pub fn with(
+    /// Starts a controller whose configuration is changed by `change`.
+    pub fn start_with(
         listen: SocketAddr,
         discovery: SocketAddr,
         max_sockets: usize,
@@ -39,7 +39,8 @@
     ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
-        let mut text: Value = serde_json::from_str(&config(listen, discovery, max_sockets)).expect("sound");
+        let mut text: Value =
+            serde_json::from_str(&config_json(listen, discovery, max_sockets)).expect("JSON");
         change(&mut text);
         std::fs::write(&path, text.to_string()).expect("written");
         let process = Command::new(PROGRAM)
@@ -49,56 +50,60 @@
             .stderr(Stdio::null())
             .stdout(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("started");
         PlatformController { folder, listen, process }
     }
 
+    /// Connects as soon as the controller accepts connections.
     pub fn connect(&self) -> Proxy {
-        let end = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 return Proxy::new(stream);
             }
-            assert!(Instant::now() < end, "nobody listens");
+            assert!(Instant::now() < deadline, "the controller does not listen in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    pub fn attach_proxy(&self, proxy: usize, in_pieces: bool) -> Proxy {
+    /// Connects and sends an `attach` message, in two parts if `in_parts` is true.
+    pub fn attach_proxy(&self, proxy: usize, in_parts: bool) -> Proxy {
         let mut stream = self.connect();
-        let line = attach(proxy);
-        let (one, other) = line.split_at(if in_pieces { 9 } else { 0 });
-        stream.send(one);
-        thread::sleep(Duration::from_millis(if in_pieces { 60 } else { 0 }));
-        stream.send(other);
+        let line = attach_message(proxy);
+        let (first, second) = line.split_at(if in_parts { 9 } else { 0 });
+        stream.send(first);
+        thread::sleep(Duration::from_millis(if in_parts { 60 } else { 0 }));
+        stream.send(second);
         stream
     }
 
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.process.id() as i32).expect("a process");
-        kill_process(pid, signal).expect("it runs");
+        kill_process(pid, signal).expect("the process runs");
     }
 
-    /// Waits until neither SIGTERM nor SIGHUP would end it by default: the kernel tells which it catches.
+    /// Waits until the process has handlers for SIGTERM and SIGHUP, according to the mask of caught signals in `/proc`.
     pub fn wait_for_signal_handlers(&self) {
-        let end = Instant::now() + TEST_TIMEOUT;
-        // Signal N is bit N - 1.
-        let both =
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        // Signal N is bit N - 1 of the mask.
+        let expected =
             [Signal::TERM, Signal::HUP].map(|signal| 1_u64 << (signal.as_raw() - 1)).iter().sum::<u64>();
         loop {
-            let status =
-                std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).expect("it runs");
-            let caught =
-                status.lines().find_map(|line| line.strip_prefix("SigCgt:")).expect("on this kernel");
-            if u64::from_str_radix(caught.trim(), 16).expect("a mask") & both == both {
+            let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))
+                .expect("the process runs");
+            let caught = status
+                .lines()
+                .find_map(|line| line.strip_prefix("SigCgt:"))
+                .expect("a mask of caught signals");
+            if u64::from_str_radix(caught.trim(), 16).expect("a hexadecimal number") & expected == expected {
                 return;
             }
-            assert!(Instant::now() < end, "signals are not heeded in time");
+            assert!(Instant::now() < deadline, "the signal handlers are not installed in time");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Stops the process by a signal: what arrives meanwhile races with what is due.
+    /// Stops the process by SIGSTOP, so that inputs arrive at the same time as timers expire once it resumes.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
@@ -107,22 +112,23 @@
         self.signal(Signal::CONT);
     }
 
-    /// Names another discovery in its configuration, and sends SIGHUP.
-    pub fn switch_discovery(&self, to: SocketAddr) {
+    /// Writes another discovery address to the configuration, and sends SIGHUP.
+    pub fn switch_discovery(&self, address: SocketAddr) {
         let path = self.folder.path().join("config.json");
-        let text = std::fs::read_to_string(&path).expect("there");
-        let mut config: Value = serde_json::from_str(&text).expect("sound");
-        config["discovery"] = json!(to.to_string());
+        let text = std::fs::read_to_string(&path).expect("read");
+        let mut config: Value = serde_json::from_str(&text).expect("JSON");
+        config["discovery"] = json!(address.to_string());
         std::fs::write(&path, config.to_string()).expect("written");
         self.signal(Signal::HUP);
     }
 
-    pub fn exit_code_within(&mut self, within: Duration) -> Option<i32> {
-        let end = Instant::now() + within;
+    /// Waits for the process to exit and returns its exit code; `None` if it still runs after this time.
+    pub fn exit_code_within(&mut self, timeout: Duration) -> Option<i32> {
+        let deadline = Instant::now() + timeout;
         loop {
-            match self.process.try_wait().expect("ours") {
+            match self.process.try_wait().expect("a child process") {
                 Some(status) => return status.code(),
-                None if Instant::now() > end => return None,
+                None if Instant::now() > deadline => return None,
                 None => thread::sleep(Duration::from_millis(10)),
             }
         }
@@ -136,53 +142,63 @@
     }
 }
 
+/// A connection to the controller, as a proxy opens it.
 pub struct Proxy {
     pub stream: TcpStream,
-    pub inbox: Vec<u8>,
+    /// Received bytes that are not returned as lines yet.
+    pub received: Vec<u8>,
 }
 
 impl Proxy {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(Duration::from_millis(50))).expect("set");
-        Proxy { stream, inbox: Vec::new() }
+        Proxy { stream, received: Vec::new() }
     }
 
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("taken");
+        self.stream.write_all(text.as_bytes()).expect("sent");
     }
 
-    /// Reads until a line has all of these words, or the other end closes.
-    pub fn until(&mut self, words: &[&str]) -> Option<String> {
-        let end = Instant::now() + TEST_TIMEOUT;
+    /// Reads until a line contains all of these texts, and returns it; `None` if the controller closes the connection
+    /// before that.
+    pub fn wait_for_line(&mut self, texts: &[&str]) -> Option<String> {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            while let Some(at) = self.inbox.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = self.inbox.drain(..=at).collect();
+            while let Some(newline) = self.received.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = self.received.drain(..=newline).collect();
                 let line = String::from_utf8_lossy(&line).into_owned();
-                if words.iter().all(|word| line.contains(word)) {
+                if texts.iter().all(|text| line.contains(text)) {
                     return Some(line);
                 }
             }
-            assert!(Instant::now() < end, "no line with {words:?} in time; {} bytes wait", self.inbox.len());
-            let mut room = [0; 4096];
-            match self.stream.read(&mut room) {
+            assert!(
+                Instant::now() < deadline,
+                "no line with {texts:?} in time; {} bytes left",
+                self.received.len()
+            );
+            let mut buffer = [0; 4096];
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(read) => self.inbox.extend_from_slice(&room[..read]),
-                Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
+                Ok(read) => self.received.extend_from_slice(&buffer[..read]),
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ) => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// All that it reads until the other end closes; what was reset in between is an error.
+    /// Reads until the controller closes the connection, and returns all of it. A reset connection is an error.
     pub fn read_to_end(&mut self) -> std::io::Result<String> {
         self.stream.set_read_timeout(Some(TEST_TIMEOUT))?;
-        let mut all = std::mem::take(&mut self.inbox);
-        self.stream.read_to_end(&mut all)?;
-        Ok(String::from_utf8_lossy(&all).into_owned())
+        let mut bytes = std::mem::take(&mut self.received);
+        self.stream.read_to_end(&mut bytes)?;
+        Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Closes the sending side and keeps reading.
+    /// Shuts down the sending direction; the connection can still be read.
     pub fn close_write(&self) {
         self.stream.shutdown(std::net::Shutdown::Write).expect("open");
     }
@@ -192,45 +208,48 @@
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("set");
     }
 
-    /// Whether the other end closes in time, whatever it sends before.
+    /// Returns true if the controller closes the connection in time, whatever it sends before.
     pub fn is_closed_by_peer(&mut self) -> bool {
-        self.until(&["no line has this"]).is_none()
+        self.wait_for_line(&["text that no line contains"]).is_none()
     }
 }
 
-/// Holds an address for as long as the socket lives. It does not listen: a process that another test forks meanwhile has
-/// a copy until it runs its program, and would accept connections that are meant for the program under test.
+/// Binds a free address, which stays reserved until the returned socket is closed. The socket does not listen: a process
+/// that another test forks meanwhile has a copy of it until it executes its program, and a listening copy would accept
+/// connections that are meant for the program under test.
 ///
-/// Each address is given out once. Each test process has a loopback address of its own, so that two that run at the same
-/// time never meet on one port.
-pub fn held_address() -> (Socket, SocketAddr) {
-    static GIVEN_OUT: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+/// Each address is returned only once. Each test process uses a separate loopback address, so that test processes that run
+/// at the same time never use the same port.
+pub fn reserve_address() -> (Socket, SocketAddr) {
+    static USED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let [_, high, middle, low] = std::process::id().to_be_bytes();
-    let own = SocketAddr::from((Ipv4Addr::new(127, 1 + high % 127, middle, low), 0));
+    let process_address = SocketAddr::from((Ipv4Addr::new(127, 1 + high % 127, middle, low), 0));
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&own.into()).expect("bound");
+        socket.bind(&process_address.into()).expect("bound");
         let address = socket.local_addr().ok().and_then(|address| address.as_socket()).expect("bound");
-        if GIVEN_OUT.lock().expect("not poisoned").insert(address.port()) {
+        if USED_PORTS.lock().expect("not poisoned").insert(address.port()) {
             return (socket, address);
         }
     }
 }
 
-/// An address that nobody listens on.
+/// Returns an address that no socket uses.
 pub fn free_address() -> SocketAddr {
-    held_address().1
+    reserve_address().1
 }
 
-pub fn attach(proxy: usize) -> String {
+/// Returns the message `attach` of a proxy, with its newline.
+pub fn attach_message(proxy: usize) -> String {
     json!({"t": "attach", "node": proxy, "locality": "a", "w": 5.0, "cold": true}).to_string() + "\n"
 }
 
-pub fn config(listen: SocketAddr, discovery: SocketAddr, max_sockets: usize) -> String {
+/// Returns the configuration of a controller.
+pub fn config_json(listen: SocketAddr, discovery: SocketAddr, max_sockets: usize) -> String {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": max_sockets},
-        // A known list with a version makes the start-up hold short.
+        // With a version in the last known list, the start-up hold is short.
         "known": {"index": 1, "snapshot": true, "endpoints": []},
         "settings": {
             "zones": ["a"], "kinds": ["std"], "fleet_size": 1, "policy_limits": {"probes": true},
--- a/crates/cli/tests/daemon/signals.rs
+++ b/crates/cli/tests/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to `lockcroft proxy` and `lockcroft serve`, as operators and supervisors send them.
+//! Signals that operators and supervisors send to `lockcroft proxy` and `lockcroft serve`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,18 +9,18 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::controller_fixture::{ControllerFixture, PROGRAM, roster};
+use crate::controller_fixture::{ControllerFixture, PROGRAM, endpoint_list_xml};
 use crate::platform_controller::free_address;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-const LIMIT: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A program of the command line, killed with the test.
+/// A process of the program under test; dropping it kills the process.
 struct Program(Child);
 
 impl Program {
     fn start(verb: &str, file: &PathBuf, log: &PathBuf) -> Self {
-        let log = std::fs::File::create(log).expect("made");
+        let log = std::fs::File::create(log).expect("created");
         let mut command = Command::new(PROGRAM);
         command.arg(verb).arg(file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         Program(command.spawn().expect("started"))
@@ -28,15 +28,15 @@
 
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.0.id()).ok().and_then(Pid::from_raw).expect("a process");
-        kill_process(pid, signal).expect("it runs");
+        kill_process(pid, signal).expect("the process runs");
     }
 
     fn has_ended(&mut self) -> bool {
-        self.0.try_wait().expect("asked").is_some()
+        self.0.try_wait().expect("a child process").is_some()
     }
 
     fn exit_status(&mut self) -> ExitStatus {
-        until("the process ends", || self.has_ended());
+        wait_until("the process ends", || self.has_ended());
         self.0.wait().expect("ended")
     }
 }
@@ -48,16 +48,17 @@
     }
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until a condition is true; fails with its description after [`TIMEOUT`].
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{description}");
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Answers each head after this time; ends with the test's process.
-fn endpoint(answers_after: Duration) -> SocketAddr {
+/// Starts an endpoint that answers each request after this delay. It runs until the test process exits.
+fn endpoint(delay: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -65,7 +66,7 @@
             let Ok(mut stream) = stream else { continue };
             thread::spawn(move || {
                 while let Ok(1..) = stream.read(&mut [0; 4096]) {
-                    thread::sleep(answers_after);
+                    thread::sleep(delay);
                     if stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_err() {
                         return;
                     }
@@ -76,7 +77,7 @@
     address
 }
 
-/// A proxy in a process of its own, with one endpoint.
+/// The configuration of a proxy with one endpoint, in a temporary folder.
 struct ProxyFixture {
     folder: tempfile::TempDir,
     address: SocketAddr,
@@ -100,15 +101,16 @@
         Program::start("proxy", &self.folder.path().join("proxy.xml"), &self.folder.path().join("log"))
     }
 
-    fn started(&self) -> Program {
+    /// Starts the proxy and waits until it accepts connections.
+    fn start_and_wait(&self) -> Program {
         let program = self.start();
-        until("the proxy listens", || TcpStream::connect(self.address).is_ok());
+        wait_until("the proxy listens", || TcpStream::connect(self.address).is_ok());
         program
     }
 
     fn begin_request(&self) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).expect("connected");
-        stream.set_read_timeout(Some(LIMIT)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         stream.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").expect("sent");
         stream
     }
@@ -124,11 +126,11 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Guards against requests that are cut when a proxy is told to end.
+/// Guards against requests that are cut when a proxy receives SIGTERM.
 #[test]
-fn sigterm_lets_a_proxy_answer_what_is_in_flight() {
+fn a_proxy_answers_requests_in_flight_after_sigterm() {
     let fixture = ProxyFixture::new(endpoint(Duration::from_millis(600)));
-    let mut proxy = fixture.started();
+    let mut proxy = fixture.start_and_wait();
     let mut streams = [fixture.begin_request(), fixture.begin_request(), fixture.begin_request()];
     thread::sleep(Duration::from_millis(100));
     proxy.signal(Signal::TERM);
@@ -139,11 +141,11 @@
     assert!(TcpStream::connect(fixture.address).is_err());
 }
 
-/// Guards against a drain that can't be ended, and against requests that are cut without a word.
+/// Guards against a drain that can't be interrupted, and against connections that are cut without being logged.
 #[test]
-fn a_second_sigterm_ends_a_proxy_at_once_and_says_what_was_cut() {
+fn a_second_sigterm_stops_a_proxy_at_once_and_logs_the_cut_connections() {
     let fixture = ProxyFixture::new(endpoint(Duration::from_secs(20)));
-    let mut proxy = fixture.started();
+    let mut proxy = fixture.start_and_wait();
     let _streams = [fixture.begin_request(), fixture.begin_request()];
     thread::sleep(Duration::from_millis(100));
     proxy.signal(Signal::TERM);
@@ -156,11 +158,11 @@
     assert!(fixture.log().contains("cut_connections=2"), "{}", fixture.log());
 }
 
-/// Guards against a closed terminal, or an operator's SIGHUP, ending a proxy.
+/// Guards against SIGHUP, from a closed terminal or an operator, ending a proxy.
 #[test]
-fn sighup_leaves_a_proxy_running() {
+fn a_proxy_keeps_running_after_sighup() {
     let fixture = ProxyFixture::new(endpoint(Duration::from_millis(300)));
-    let mut proxy = fixture.started();
+    let mut proxy = fixture.start_and_wait();
     let mut stream = fixture.begin_request();
     thread::sleep(Duration::from_millis(50));
     (0..3).for_each(|_| proxy.signal(Signal::HUP));
@@ -171,9 +173,10 @@
     assert!(fixture.log().contains("nothing to reload"), "{}", fixture.log());
 }
 
-/// Guards against a signal that comes before the handlers stand, once the program could have set them.
+/// Guards against a signal during startup that ends the process by its default action because the handlers are installed
+/// too late.
 #[test]
-fn signals_during_a_start_end_a_proxy_in_order_or_not_at_all() {
+fn signals_during_startup_stop_a_proxy_in_an_orderly_way() {
     let fixture = ProxyFixture::new(endpoint(Duration::ZERO));
     for delay in [30, 60, 100] {
         let mut proxy = fixture.start();
@@ -184,23 +187,23 @@
     }
 }
 
-/// Guards against what was learned just before the end being lost with the thread that writes it.
+/// Guards against losing the latest state at shutdown because the process exits before the thread that writes it is done.
 #[test]
-fn sigterm_leaves_on_disk_what_a_controller_learned_last() {
+fn a_controller_persists_its_latest_state_before_it_exits_on_sigterm() {
     let fixture = ControllerFixture::new();
-    let settings = std::fs::read_to_string(fixture.path("pilot.xml")).expect("there");
+    let settings = std::fs::read_to_string(fixture.path("pilot.xml")).expect("read");
     let settings = settings.replace("<proxies/>", "<memory folder=\"memory\"/><proxies/>");
     std::fs::write(fixture.path("pilot.xml"), settings).expect("written");
     for round in 3..8 {
         let names: Vec<String> = (1..=round).map(|number| format!("e{number}")).collect();
         let mut controller = Program::start("serve", &fixture.path("pilot.xml"), &fixture.path("pilot.log"));
-        fixture.until("show info", |output| output.contains(&format!("Servers: {}", round - 1)));
+        fixture.wait_for_answer("show info", |output| output.contains(&format!("Servers: {}", round - 1)));
         std::fs::write(
             fixture.path("roster.xml"),
-            roster(&names.iter().map(String::as_str).collect::<Vec<_>>()),
+            endpoint_list_xml(&names.iter().map(String::as_str).collect::<Vec<_>>()),
         )
         .expect("written");
-        fixture.until("show info", |output| output.contains(&format!("Servers: {round}")));
+        fixture.wait_for_answer("show info", |output| output.contains(&format!("Servers: {round}")));
         controller.signal(Signal::TERM);
         assert_eq!(controller.exit_status().code(), Some(0));
         let shown =
@@ -212,16 +215,16 @@
 
 /// Guards against SIGHUP ending the controller.
 #[test]
-fn sighup_has_a_controller_read_its_endpoint_list_again() {
+fn a_controller_reloads_its_endpoint_list_on_sighup() {
     let fixture = ControllerFixture::new();
-    let settings = std::fs::read_to_string(fixture.path("pilot.xml")).expect("there");
+    let settings = std::fs::read_to_string(fixture.path("pilot.xml")).expect("read");
     std::fs::write(fixture.path("pilot.xml"), settings.replace("look-every=\"50ms\"", "look-every=\"1h\""))
         .expect("written");
     let mut controller = Program::start("serve", &fixture.path("pilot.xml"), &fixture.path("pilot.log"));
-    fixture.until("show info", |output| output.contains("Servers: 2"));
-    std::fs::write(fixture.path("roster.xml"), roster(&["e1", "e2", "e3"])).expect("written");
+    fixture.wait_for_answer("show info", |output| output.contains("Servers: 2"));
+    std::fs::write(fixture.path("roster.xml"), endpoint_list_xml(&["e1", "e2", "e3"])).expect("written");
     controller.signal(Signal::HUP);
-    fixture.until("show info", |output| output.contains("Servers: 3"));
+    fixture.wait_for_answer("show info", |output| output.contains("Servers: 3"));
     assert!(fixture.log().contains("SIGHUP"), "{}", fixture.log());
     controller.signal(Signal::TERM);
     assert_eq!(controller.exit_status().code(), Some(0));
--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -1,14 +1,14 @@
-//! The controller's own runtime API, with readers of every kind.
+//! The runtime API of the controller, with well-behaved, slow and invalid clients.
 
 use std::io::{ErrorKind, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-use crate::controller_fixture::{ControllerFixture, roster, run};
+use crate::controller_fixture::{ControllerFixture, endpoint_list_xml, run};
 
 fn connect(fixture: &ControllerFixture) -> UnixStream {
-    let stream = UnixStream::connect(fixture.socket()).expect("the pilot listens");
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+    let stream = UnixStream::connect(fixture.socket()).expect("the controller listens");
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
     stream
 }
 
@@ -24,7 +24,8 @@
     let denied = run(&["ask", &user, "set", "server", "servers/e1", "state", "drain"]);
     assert_eq!(String::from_utf8_lossy(&denied.stdout), "Permission denied\n");
     assert_eq!(fixture.ask("set server servers/e1 state drain"), "");
-    let states = fixture.until("show servers state servers", |output| output.contains("e1: counter"));
+    let states =
+        fixture.wait_for_answer("show servers state servers", |output| output.contains("e1: counter"));
     assert!(
         states.lines().any(|line| line.starts_with("# e1:") && line.contains("listed=draining")),
         "{states}"
@@ -61,122 +62,126 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(fixture.ask("show info").contains("Servers: 2"));
-    std::fs::write(fixture.path("roster.xml"), roster(&["e1", "e2", "e3"])).expect("written");
-    fixture.until("show info", |output| output.contains("Servers: 3"));
+    std::fs::write(fixture.path("roster.xml"), endpoint_list_xml(&["e1", "e2", "e3"])).expect("written");
+    fixture.wait_for_answer("show info", |output| output.contains("Servers: 3"));
 }
 
 #[test]
-fn a_prompt_stays_and_events_are_followed() {
+fn an_interactive_session_stays_open_and_streams_events() {
     let fixture = ControllerFixture::new();
     let _controller = fixture.start_controller();
     let mut stream = connect(&fixture);
     stream.write_all(b"prompt\nshow version\n").expect("written");
-    let mut got = String::new();
-    while !got.ends_with("\n\n> ") {
+    let mut answer = String::new();
+    while !answer.ends_with("\n\n> ") {
         let mut bytes = [0; 512];
         let read = stream.read(&mut bytes).expect("an answer");
-        got += &String::from_utf8_lossy(&bytes[..read]);
+        answer += &String::from_utf8_lossy(&bytes[..read]);
     }
-    assert!(got.starts_with("\n> lockcroft "), "{got}");
+    assert!(answer.starts_with("\n> lockcroft "), "{answer}");
     stream.write_all(b"show events -w\n").expect("written");
     fixture.ask("set server servers/e2 state drain");
-    let mut seen = String::new();
-    while !seen.contains("operator: e2") {
+    let mut events = String::new();
+    while !events.contains("operator: e2") {
         let mut bytes = [0; 4096];
         let read = stream.read(&mut bytes).expect("events");
-        assert!(read > 0, "{seen}");
-        seen += &String::from_utf8_lossy(&bytes[..read]);
+        assert!(read > 0, "{events}");
+        events += &String::from_utf8_lossy(&bytes[..read]);
     }
 }
 
 #[test]
-fn endless_lines_garbage_and_partial_commands_harm_nobody() {
+fn endless_lines_garbage_and_partial_commands_change_nothing() {
     let fixture = ControllerFixture::new();
     let _controller = fixture.start_controller();
     let mut endless = connect(&fixture);
     let piece = [b'x'; 1024];
-    // The controller gives up long before the megabyte is sent: writing fails, or the error is answered.
-    let cut = (0..1024).any(|_| endless.write_all(&piece).is_err());
+    // The controller closes the connection long before the megabyte is sent: writing fails, or the error is answered.
+    let closed = (0..1024).any(|_| endless.write_all(&piece).is_err());
     let mut output = String::new();
     let read = endless.read_to_string(&mut output);
-    assert!(cut || output.contains("Line too long") || read.is_err(), "{output}");
+    assert!(closed || output.contains("Line too long") || read.is_err(), "{output}");
     let mut garbage = connect(&fixture);
     garbage.write_all(&[0xff, 0, 0x80, b';', b'\\', b'\n']).expect("written");
     let mut output = String::new();
     garbage.read_to_string(&mut output).expect("answered");
     assert!(output.starts_with("Unknown command"), "{output}");
-    let mut half = connect(&fixture);
-    half.write_all(b"set server servers/e1 state dr").expect("written");
-    drop(half);
+    let mut partial = connect(&fixture);
+    partial.write_all(b"set server servers/e1 state dr").expect("written");
+    drop(partial);
     let states = fixture.ask("show servers state servers");
-    assert!(!states.contains("listed=draining"), "half a command is none: {states}");
+    assert!(!states.contains("listed=draining"), "a partial command was applied: {states}");
 }
 
 #[test]
-fn two_hundred_clients_that_never_read_delay_nobody() {
+fn two_hundred_clients_that_never_read_do_not_delay_others() {
     let fixture = ControllerFixture::new();
     let _controller = fixture.start_controller();
-    let mut deaf = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..200 {
         let mut stream = connect(&fixture);
         stream.set_nonblocking(true).expect("set");
-        let asks = b"prompt i\n"
+        let commands = b"prompt i\n"
             .iter()
             .chain(b"show servers state\n".repeat(400).iter())
             .copied()
             .collect::<Vec<_>>();
-        match stream.write(&asks) {
+        match stream.write(&commands) {
             Ok(_) => {}
             Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock),
         }
-        deaf.push(stream);
+        clients.push(stream);
     }
     for _ in 0..10 {
         let started = Instant::now();
         assert!(fixture.ask("show info").contains("Servers: 2"));
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     }
-    // Health checks went on all the while.
+    // Health checks continue meanwhile.
     let health_checks =
         |output: &str| output.lines().find_map(|line| line.strip_prefix("Probes: ")?.parse::<u64>().ok());
     let before = health_checks(&fixture.ask("show info"));
-    fixture.until("show info", |output| health_checks(output) > before);
-    drop(deaf);
+    fixture.wait_for_answer("show info", |output| health_checks(output) > before);
+    drop(clients);
 }
 
-/// A controller that is killed and started again recovers what it learned; its folder can be read at any time.
+/// A controller that is killed and restarted recovers its persisted state. The folder of the state can be read while the
+/// controller runs or not.
 #[test]
-fn a_controller_recovers_what_it_learned() {
+fn a_killed_controller_recovers_its_persisted_state() {
     let fixture = ControllerFixture::new();
-    let text = std::fs::read_to_string(fixture.path("pilot.xml")).expect("there");
+    let text = std::fs::read_to_string(fixture.path("pilot.xml")).expect("read");
     let text = text.replace("<proxies/>", "<memory folder=\"memory\"/><proxies/>");
     std::fs::write(fixture.path("pilot.xml"), text).expect("written");
     let mut controller = fixture.start_controller();
-    fixture.until("show memory", |output| output.contains("Entries: 3") && output.contains("Trouble: -"));
+    fixture.wait_for_answer("show memory", |output| {
+        output.contains("Entries: 3") && output.contains("Trouble: -")
+    });
     controller.kill();
-    std::fs::write(fixture.path("roster.xml"), roster(&["e2"])).expect("written");
+    std::fs::write(fixture.path("roster.xml"), endpoint_list_xml(&["e2"])).expect("written");
     let folder = fixture.path("memory").display().to_string();
     let shown = String::from_utf8_lossy(&run(&["memory", "show", &folder]).stdout).into_owned();
     assert!(shown.contains("\"server\":\"e1\"") && shown.contains("3 entries"), "{shown}");
     assert_eq!(run(&["memory", "verify", &folder]).status.code(), Some(0));
     assert_eq!(run(&["memory", "compact", &folder]).status.code(), Some(0));
     controller.restart().expect("started");
-    fixture.until("show info", |output| output.contains("Servers: 1"));
-    let held = run(&["memory", "compact", &folder]);
+    fixture.wait_for_answer("show info", |output| output.contains("Servers: 1"));
+    let compacted = run(&["memory", "compact", &folder]);
     assert!(
-        held.status.code() == Some(1) && String::from_utf8_lossy(&held.stderr).contains("a pilot holds it")
+        compacted.status.code() == Some(1)
+            && String::from_utf8_lossy(&compacted.stderr).contains("in use by a controller")
     );
-    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
+    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("read");
     assert_eq!(log.matches("\"message\":\"recalled\"").count(), 2, "{log}");
     controller.kill();
-    // State of another fleet is not used, and the controller starts without.
+    // The state of another fleet is not used: the controller starts without persisted state.
     std::fs::write(
         fixture.path("pilot.xml"),
-        std::fs::read_to_string(fixture.path("pilot.xml")).expect("there").replace("look-up", "look-down"),
+        std::fs::read_to_string(fixture.path("pilot.xml")).expect("read").replace("look-up", "look-down"),
     )
     .expect("written");
     controller.restart().expect("started");
-    fixture.until("show memory", |output| output.contains("No memory is set."));
-    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
+    fixture.wait_for_answer("show memory", |output| output.contains("No memory is set."));
+    let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("read");
     assert!(log.contains("started without memory") && log.contains("of a fleet with other zones"), "{log}");
 }
