--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -46,8 +46,8 @@
         from: SnapshotName,
         to: SnapshotName,
     },
-    /// Publish an earlier snapshot again, as the newest one in a new epoch. This fences off the controller that writes to
-    /// the folder; proxies apply its tables again once it is restarted.
+    /// Publish an earlier snapshot again, as the newest one in a new epoch. This fences off the controller that writes
+    /// to the folder; proxies apply its tables again once it is restarted.
     #[command(after_help = "Example: lockcroft files back /srv/tables --keys /etc/lockcroft/keys e7g40")]
     Back {
         #[command(flatten)]
--- a/crates/cli/src/snapshot_rows.rs
+++ b/crates/cli/src/snapshot_rows.rs
@@ -1,4 +1,5 @@
-//! The content of a snapshot as rows of text, for `files show` and `files diff`. Each row can be read without the others.
+//! The content of a snapshot as rows of text, for `files show` and `files diff`. Each row is understandable without
+//! the others.
 
 use lockcroft_table_format::SnapshotContent;
 
--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -168,8 +168,8 @@
     );
 }
 
-/// Half of the proxies read table files. An endpoint fails while the controller is killed; the controller restarts with the
-/// next epoch. A proxy that reads files is restarted, and another endpoint is drained.
+/// Half of the proxies read table files. An endpoint fails while the controller is killed; the controller restarts with
+/// the next epoch. A proxy that reads files is restarted, and another endpoint is drained.
 #[test]
 fn rules_are_kept_in_a_mixed_fleet_when_the_controller_is_killed() {
     let (report, log) = run_scenario_with(
--- a/crates/cli/tests/daemon/platform_controller.rs
+++ b/crates/cli/tests/daemon/platform_controller.rs
@@ -218,8 +218,8 @@
 /// that another test forks meanwhile has a copy of it until it executes its program, and a listening copy would accept
 /// connections that are meant for the program under test.
 ///
-/// Each address is returned only once. Each test process uses a separate loopback address, so that test processes that run
-/// at the same time never use the same port.
+/// Each address is returned only once. Each test process uses a separate loopback address, so that test processes that
+/// run at the same time never use the same port.
 pub fn reserve_address() -> (Socket, SocketAddr) {
     static USED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let [_, high, middle, low] = std::process::id().to_be_bytes();
--- a/crates/cli/tests/daemon/signals.rs
+++ b/crates/cli/tests/daemon/signals.rs
@@ -187,7 +187,8 @@
     }
 }
 
-/// Guards against losing the latest state at shutdown because the process exits before the thread that writes it is done.
+/// Guards against losing the latest state at shutdown because the process exits before the thread that writes it is
+/// done.
 #[test]
 fn a_controller_persists_its_latest_state_before_it_exits_on_sigterm() {
     let fixture = ControllerFixture::new();
--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -31,8 +31,8 @@
     pub status: EndpointStatus,
     /// The configured weight, from 0 to the fleet's maximum.
     pub weight: f64,
-    /// The start time of the endpoint's process; `None` if the list states none, which means that the process has run for
-    /// a long time.
+    /// The start time of the endpoint's process; `None` if the list states none, which means that the process has run
+    /// for a long time.
     pub started_at: Option<SystemTime>,
 }
 
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -20,8 +20,8 @@
         Schema { document: Document::parse(text).expect("the schema is well-formed") }
     }
 
-    /// Returns the name of an attribute's type, such as `time`; `None` if the attribute is not declared or its type has no
-    /// name. The path lists the names of the elements from the root.
+    /// Returns the name of an attribute's type, such as `time`; `None` if the attribute is not declared or its type has
+    /// no name. The path lists the names of the elements from the root.
     pub fn attribute_type(&self, path: &[&str], attribute: &str) -> Option<&str> {
         self.attribute(path, attribute)?.attribute("type")
     }
@@ -84,8 +84,8 @@
         Some(element)
     }
 
-    /// Returns the declarations of this kind, `attribute` or `element`, in an element's type. The type is either named or
-    /// declared inside the element.
+    /// Returns the declarations of this kind, `attribute` or `element`, in an element's type. The type is either named
+    /// or declared inside the element.
     fn declarations<'s>(&'s self, element: Node<'s, 'a>, kind: &str) -> Vec<Node<'s, 'a>> {
         let named_type = element.attribute("type").and_then(|name| self.named_type("complexType", name));
         let inline_types = element.children().filter(|node| is_schema_node(node, "complexType"));
