--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -176,7 +176,11 @@
     std::fs::write(&table, bytes).expect("written");
     let (code, output) = files("verify", &store, &[]);
     assert_eq!(code, Some(1));
-    assert_eq!(output.lines().next(), Some("e1g3 (current) table-3: not as the manifest has it"), "{output}");
+    assert_eq!(
+        output.lines().next(),
+        Some("e1g3 (current) table-3: does not match its recorded digest"),
+        "{output}"
+    );
     assert!(output.contains("e1g2 valid, sealed with key k1"), "{output}");
     assert_eq!(files("show", &store, &[]).0, Some(1), "no current snapshot is valid");
     let (code, output) = files("back", &store, &["e1g2"]);
