--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -18,7 +18,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Distributes load across servers by publishing their tables and weights to a fleet of proxies.
+/// The parsed command line. Its help text begins with the description of the package.
 #[derive(Parser)]
 #[command(name = "lockcroft", version, about, after_help = EXIT_CODES)]
 struct Cli {
--- a/crates/cli/tests/daemon/platform_races.rs
+++ b/crates/cli/tests/daemon/platform_races.rs
@@ -94,7 +94,7 @@
     let (_discovery, controller) = one_endpoint_testbed();
     for _ in 0..20 {
         let mut client = controller.connect();
-        // The controller reads both parts at once and answers the first line, with bytes left to read.
+        // Both parts have arrived when the controller reads; it answers the first line.
         controller.pause();
         client.send("GET / HTTP/1.1\r\n");
         client.send(&"x".repeat(1 << 16));
