--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -67,5 +67,5 @@
 
 fn start_logs(levels: String) -> Result<(), CliError> {
     let log = LogConfig { filter: Some(levels), json: false };
-    lockcroft_daemon::start_logs(&log).map(drop).map_err(CliError::other)
+    lockcroft_daemon::start_logging(&log).map(drop).map_err(CliError::other)
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -46,7 +46,7 @@
 }
 
 fn run_proxy(config: ProxyConfig, runtime: &Runtime, signals: Signals) -> Result<(), CliError> {
-    lockcroft_daemon::start_logs(&config.log).map_err(CliError::other)?;
+    lockcroft_daemon::start_logging(&config.log).map_err(CliError::other)?;
     let serving = lockcroft_proxy::serve(config, signals);
     LocalSet::new().block_on(runtime, serving).map_err(CliError::other)
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -26,14 +26,14 @@
 
 pub use crate::error::DaemonError;
 pub use crate::health_checks::{HealthCheckResult, check_health};
-pub use crate::logging::{Logging, LoggingError, start as start_logs};
+pub use crate::logging::{Logging, LoggingError, start_logging};
 
 /// Runs a controller until it is told to end by a signal. Proxies keep their tables then.
 ///
 /// # Errors
 /// A socket, a thread or the keys of table files can't be had, or the logs can't be set up.
 pub fn serve(config: &DaemonConfig, runtime: &Runtime, signals: Signals) -> Result<(), DaemonError> {
-    let logging = logging::start(&config.log)?;
+    let logging = start_logging(&config.log)?;
     LocalSet::new().block_on(runtime, event_loop::run(config, logging, signals))
 }
 
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The levels are malformed, or logs were started before.
-pub fn start(config: &LogConfig) -> Result<Logging, LoggingError> {
+pub fn start_logging(config: &LogConfig) -> Result<Logging, LoggingError> {
     let levels = config.filter.clone().unwrap_or_else(|| DEFAULT_LEVELS.into());
     let (filter, handle) = reload::Layer::new(parse_levels(&levels)?);
     let lines = fmt::layer().with_writer(std::io::stderr);
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// The levels are malformed; those before stay in force.
-    pub fn set(&mut self, levels: &str) -> Result<(), LoggingError> {
+    pub fn set_levels(&mut self, levels: &str) -> Result<(), LoggingError> {
         self.handle.reload(parse_levels(levels)?)?;
         self.levels = levels.into();
         Ok(())
--- a/crates/daemon/src/operator_commands.rs
+++ b/crates/daemon/src/operator_commands.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use lockcroft_fleet::{FleetController, OperatorError};
-use lockcroft_runtime_api::{AccessLevel, Command, CommandEntry, CommandHandler, CommandResult};
+use lockcroft_runtime_api::{AccessLevel, Command, CommandHandler, CommandResult, CommandSpec};
 use lockcroft_solver_format::NamedProblem;
 use thiserror::Error;
 use tokio::sync::Notify;
@@ -44,7 +44,7 @@
     }
 
     /// The answer to a command that shows something; any other is one that changes something.
-    fn execute(&mut self, entry: &CommandEntry, command: &Command) -> Result<String, CommandError> {
+    fn execute(&mut self, entry: &CommandSpec, command: &Command) -> Result<String, CommandError> {
         let fleet = &self.fleet;
         let text = match entry.words {
             "show info" => fleet.show_info(),
@@ -63,10 +63,10 @@
         Ok(text)
     }
 
-    fn change(&mut self, entry: &CommandEntry, command: &Command) -> Result<String, CommandError> {
+    fn change(&mut self, entry: &CommandSpec, command: &Command) -> Result<String, CommandError> {
         match entry.words {
             "set log <levels>" => {
-                self.logging.set(command.word(2).ok_or(CommandError::SetLogUsage)?)?;
+                self.logging.set_levels(command.word(2).ok_or(CommandError::SetLogUsage)?)?;
             }
             "clear counters" => self.fleet.clear_counters(),
             "reload roster" => {
@@ -122,7 +122,7 @@
 }
 
 /// The commands, with the words and the help that operators see.
-const ENTRIES: [CommandEntry; 17] = [
+const ENTRIES: [CommandSpec; 17] = [
     user("show info", "what this pilot is and how it fares"),
     user("show version", "the version of the program"),
     user("show stat", "counters by class, table and server, as CSV"),
@@ -145,12 +145,12 @@
     admin("reload roster", "read the roster file again now"),
 ];
 
-const fn user(words: &'static str, help: &'static str) -> CommandEntry {
-    CommandEntry { words, level: AccessLevel::User, help }
+const fn user(words: &'static str, help: &'static str) -> CommandSpec {
+    CommandSpec { words, level: AccessLevel::User, help }
 }
 
-const fn admin(words: &'static str, help: &'static str) -> CommandEntry {
-    CommandEntry { words, level: AccessLevel::Admin, help }
+const fn admin(words: &'static str, help: &'static str) -> CommandSpec {
+    CommandSpec { words, level: AccessLevel::Admin, help }
 }
 
 /// The problem that was solved last, as a file for `lockcroft solve`.
@@ -166,18 +166,18 @@
 }
 
 impl CommandHandler for OperatorCommands {
-    fn entries(&self) -> &'static [CommandEntry] {
+    fn commands(&self) -> &'static [CommandSpec] {
         &ENTRIES
     }
 
-    fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult {
+    fn handle_command(&mut self, entry: &CommandSpec, command: &Command) -> CommandResult {
         if entry.words == SHOW_EVENTS {
             return self.show_events(command);
         }
         CommandResult::Text(self.execute(entry, command).unwrap_or_else(|error| format!("{error}\n")))
     }
 
-    fn read_from(&mut self, position: &mut u64) -> String {
+    fn read_since(&mut self, position: &mut u64) -> String {
         self.fleet.events_since(position)
     }
 }
--- a/crates/daemon/src/proxy_connections.rs
+++ b/crates/daemon/src/proxy_connections.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use lockcroft::ProxyId;
-use lockcroft_runtime_api::{Address, MAX_RESPONSE_BYTES, ResponseReader, Stream, dial};
+use lockcroft_runtime_api::{Address, MAX_RESPONSE_BYTES, ResponseReader, Stream, connect};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -70,7 +70,7 @@
 
     /// Ends well once the controller has given the connection up.
     async fn connect_and_talk(&mut self, connection: u64) -> Result<(), ConnectionError> {
-        let attempt = timeout(CONNECT_TIMEOUT, dial(&self.address)).await;
+        let attempt = timeout(CONNECT_TIMEOUT, connect(&self.address)).await;
         let socket = attempt
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map_err(ConnectionError::Connect)?;
--- a/crates/fleet/src/applied_state.rs
+++ b/crates/fleet/src/applied_state.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable_name};
+use lockcroft_runtime_api::tables::{
+    Digest, FORCED_DRAIN, FORCED_MAINT, ServerStateRow, class_variable_name,
+};
 
 use crate::applied_entry::{AppliedEntry, Backend};
 use crate::endpoint_list::EndpointList;
@@ -30,7 +32,12 @@
 
 impl AppliedState {
     /// From the answers to `show servers state` and `show map classes`.
-    pub fn read(states: &[StateRow], map: &str, endpoints: &mut EndpointList, classes: &[String]) -> Self {
+    pub fn read(
+        states: &[ServerStateRow],
+        map: &str,
+        endpoints: &mut EndpointList,
+        classes: &[String],
+    ) -> Self {
         let mut applied = AppliedState::default();
         for row in states {
             let endpoint = endpoints.intern(&row.endpoint);
--- a/crates/fleet/src/proxy_session.rs
+++ b/crates/fleet/src/proxy_session.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft_config::{BackoffRange, ProxyConfig};
-use lockcroft_runtime_api::tables::{StateRow, read_states};
+use lockcroft_runtime_api::tables::{ServerStateRow, read_server_states};
 use nanorand::{Rng, WyRand};
 
 use crate::applied_state::AppliedState;
@@ -66,7 +66,7 @@
     pub counters: Counters,
     pub outstanding: VecDeque<OutstandingRequest>,
     /// The table entries that were read, until the map is read too.
-    pub states: Vec<StateRow>,
+    pub states: Vec<ServerStateRow>,
     pub last_response_at: Option<Duration>,
     pub disconnects: u64,
     /// Why the last connection ended, or was not made.
@@ -136,7 +136,7 @@
     /// The response is no table of states.
     pub fn take_states(&mut self, response: &str) -> Result<(), SessionError> {
         self.states =
-            read_states(response).map_err(|error| SessionError::MalformedTable(error.to_string()))?;
+            read_server_states(response).map_err(|error| SessionError::MalformedTable(error.to_string()))?;
         Ok(())
     }
 }
--- a/crates/fleet/src/views/endpoints.rs
+++ b/crates/fleet/src/views/endpoints.rs
@@ -4,7 +4,7 @@
 
 use lockcroft::{ControllerState, EndpointId, EndpointState, EndpointStatus};
 use lockcroft_runtime_api::tables::{
-    FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
+    FORCED_DRAIN, FORCED_MAINT, ServerStateRow, StatRow, write_server_states, write_stat,
 };
 
 use crate::error::OperatorError;
@@ -71,13 +71,13 @@
             }
             for (endpoint, weight) in &table.published {
                 let row = self.state_row(&name, *endpoint, &endpoints[endpoint]);
-                rows.push(StateRow { weight: self.weight_scale.units(*weight), ..row });
+                rows.push(ServerStateRow { weight: self.weight_scale.units(*weight), ..row });
             }
         }
         if rows.is_empty() && backend.is_some_and(|name| name != ALL_ENDPOINTS) {
             return Err(OperatorError::UnknownBackend);
         }
-        let mut text = write_states(&rows);
+        let mut text = write_server_states(&rows);
         if is_wanted(ALL_ENDPOINTS) {
             for (endpoint, state) in endpoints {
                 let _ = writeln!(text, "# {}", self.endpoint_comment(*endpoint, state));
@@ -86,18 +86,18 @@
         Ok(text)
     }
 
-    fn state_row(&self, backend: &str, endpoint: EndpointId, state: &EndpointState) -> StateRow {
+    fn state_row(&self, backend: &str, endpoint: EndpointId, state: &EndpointState) -> ServerStateRow {
         let address = self.endpoints.address(endpoint);
         let is_draining = state.record.status == EndpointStatus::Draining;
         let is_closed = state.record.status == EndpointStatus::Removed || state.ejected;
         let drain = if is_draining { FORCED_DRAIN } else { 0 };
         let maintenance = if is_closed { FORCED_MAINT } else { 0 };
-        StateRow {
+        ServerStateRow {
             backend: backend.into(),
             endpoint: self.endpoints.name(endpoint).into(),
             address: address.map_or("-".into(), |address| address.ip().to_string()),
             port: address.map_or(0, |address| address.port()),
-            running: state.is_up(),
+            is_running: state.is_up(),
             admin_state: drain | maintenance,
             weight: self.weight_scale.units(state.record.weight),
             health: state.health.value().unwrap_or(0),
--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -124,7 +124,7 @@
     assert_eq!(simulation.commands(), "");
     simulation.disconnect(0);
     let mut out = String::new();
-    let by_hand = lockcroft_runtime_api::split("set weight t0/e1 7");
+    let by_hand = lockcroft_runtime_api::parse_line("set weight t0/e1 7");
     ControlSession::new(AccessLevel::Admin).execute_line(
         &by_hand,
         &mut simulation.proxies[0].routing,
--- a/crates/http-client/src/connection.rs
+++ b/crates/http-client/src/connection.rs
@@ -52,7 +52,7 @@
 /// What the other end is asked to do with the connection after a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterCall {
-    KeepOpen,
+    Stay,
     Close,
 }
 
@@ -74,7 +74,7 @@
     /// # Errors
     /// The connection breaks, or the response is longer.
     pub async fn get(&mut self, path: &str, max_body_bytes: usize) -> Result<HttpResponse, CallError> {
-        self.call(path, AfterCall::KeepOpen, max_body_bytes).await
+        self.call(path, AfterCall::Stay, max_body_bytes).await
     }
 
     /// As [`HttpConnection::get`], and asks the other end to close the connection after it.
--- a/crates/proxy/src/commands/mod.rs
+++ b/crates/proxy/src/commands/mod.rs
@@ -7,7 +7,7 @@
 mod show;
 mod variables;
 
-use lockcroft_runtime_api::{AccessLevel, Command, CommandEntry, CommandHandler, CommandResult};
+use lockcroft_runtime_api::{AccessLevel, Command, CommandHandler, CommandResult, CommandSpec};
 
 pub use error::CommandError;
 pub use servers::MAX_BACKENDS;
@@ -15,7 +15,7 @@
 
 use crate::routing::RoutingState;
 
-const COMMANDS: [CommandEntry; 21] = [
+const COMMANDS: [CommandSpec; 21] = [
     command(AccessLevel::Admin, "add server <b>/<s> <addr> [weight <n>]", "add a server, in maintenance"),
     command(AccessLevel::Admin, "del server <b>/<s>", "delete a server that is in maintenance"),
     command(AccessLevel::Admin, "set server <b>/<s> weight|state|addr <v>", "change a server"),
@@ -43,8 +43,8 @@
     command(AccessLevel::Operator, "get var <name>", "a variable of the process"),
 ];
 
-const fn command(level: AccessLevel, words: &'static str, help: &'static str) -> CommandEntry {
-    CommandEntry { words, level, help }
+const fn command(level: AccessLevel, words: &'static str, help: &'static str) -> CommandSpec {
+    CommandSpec { words, level, help }
 }
 
 /// Whether a command may change the routing state.
@@ -55,11 +55,11 @@
 }
 
 impl CommandHandler for RoutingState {
-    fn entries(&self) -> &'static [CommandEntry] {
+    fn commands(&self) -> &'static [CommandSpec] {
         &COMMANDS
     }
 
-    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+    fn handle_command(&mut self, _: &CommandSpec, command: &Command) -> CommandResult {
         CommandResult::Text(self.execute(command).unwrap_or_else(|error| format!("{error}\n")))
     }
 }
--- a/crates/proxy/src/commands/show.rs
+++ b/crates/proxy/src/commands/show.rs
@@ -1,7 +1,7 @@
 //! Commands that show the proxy's state and counters.
 
 use lockcroft_runtime_api::tables::{
-    FORCED_DRAIN, FORCED_MAINT, StatRow, StateRow, write_stat, write_states,
+    FORCED_DRAIN, FORCED_MAINT, ServerStateRow, StatRow, write_server_states, write_stat,
 };
 
 use super::error::{CommandError, CommandOutput};
@@ -13,10 +13,10 @@
             return Err(CommandError::CannotFindBackend);
         }
         let selected = self.backends.iter().filter(|(name, _)| backend.is_none_or(|wanted| wanted == *name));
-        let rows: Vec<StateRow> = selected
+        let rows: Vec<ServerStateRow> = selected
             .flat_map(|(name, backend)| backend.entries().iter().map(|entry| state_row(name, entry)))
             .collect();
-        Ok(write_states(&rows))
+        Ok(write_server_states(&rows))
     }
 
     pub(super) fn show_stat(&self) -> String {
@@ -47,15 +47,15 @@
     }
 }
 
-fn state_row(backend: &str, entry: &TableEntry) -> StateRow {
+fn state_row(backend: &str, entry: &TableEntry) -> ServerStateRow {
     let maintenance = if entry.in_maintenance { FORCED_MAINT } else { 0 };
     let drain = if entry.draining { FORCED_DRAIN } else { 0 };
-    StateRow {
+    ServerStateRow {
         backend: backend.to_string(),
         endpoint: entry.name.to_string(),
         address: entry.address.ip().to_string(),
         port: entry.address.port(),
-        running: !entry.in_maintenance,
+        is_running: !entry.in_maintenance,
         admin_state: maintenance | drain,
         weight: entry.weight,
         health: 0,
--- a/crates/proxy/src/control_session.rs
+++ b/crates/proxy/src/control_session.rs
@@ -3,7 +3,7 @@
 //! that HAProxy's Management Guide has for maps. A controller that names its epoch is fenced off by a later one.
 
 use lockcroft_runtime_api::{
-    AccessLevel, Command, CommandEntry, CommandHandler, CommandResult, Session, SessionState,
+    AccessLevel, Command, CommandHandler, CommandResult, CommandSpec, Session, SessionState,
 };
 
 use crate::commands::{CommandError, changes_state, parse_int_expression};
@@ -83,7 +83,7 @@
         }
         for answer in answers {
             out.push_str(&answer);
-            self.session.end_answer(out);
+            self.session.end_response(out);
         }
         if self.session.is_interactive() || session_state != SessionState::Stay {
             session_state
@@ -94,7 +94,7 @@
 
     /// Ends the answer to a line that was carried out elsewhere, and says what becomes of the connection.
     pub fn end_line(&self, out: &mut String) -> SessionState {
-        self.session.end_answer(out);
+        self.session.end_response(out);
         if self.session.is_interactive() { SessionState::Stay } else { SessionState::Close }
     }
 
@@ -191,11 +191,11 @@
 }
 
 impl CommandHandler for StagingHandler<'_> {
-    fn entries(&self) -> &'static [CommandEntry] {
-        self.state.entries()
+    fn commands(&self) -> &'static [CommandSpec] {
+        self.state.commands()
     }
 
-    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+    fn handle_command(&mut self, _: &CommandSpec, command: &Command) -> CommandResult {
         let result = self.state.execute(command);
         CommandResult::Text(TableTransaction::answer_text(self.rejection, command, result))
     }
--- a/crates/proxy/src/io/control.rs
+++ b/crates/proxy/src/io/control.rs
@@ -3,7 +3,9 @@
 use std::io;
 use std::rc::Rc;
 
-use lockcroft_runtime_api::{AccessLevel, Command, CommandReader, Listener, SessionState, Stream, reject};
+use lockcroft_runtime_api::{
+    AccessLevel, Command, CommandReader, Listener, SessionState, Stream, close_with_error,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
@@ -35,7 +37,7 @@
             let commands = match reader.next_line() {
                 Ok(Some(commands)) => commands,
                 Ok(None) => break,
-                Err(error) => return reject(stream, &error).await,
+                Err(error) => return close_with_error(stream, &error).await,
             };
             worker.stall(&commands);
             let mut out = String::new();
--- a/crates/proxy/tests/commands.rs
+++ b/crates/proxy/tests/commands.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use lockcroft_proxy::{AttemptOutcome, Choice, LoadBalancingLimits, LoadBalancingPolicy, RoutingState};
-use lockcroft_runtime_api::{AccessLevel, Session, split};
+use lockcroft_runtime_api::{AccessLevel, Session, parse_line};
 
 fn new_state() -> RoutingState {
     let default_table =
@@ -21,7 +21,7 @@
 
 fn execute(state: &mut RoutingState, line: &str) -> String {
     let (mut session, mut out) = (Session::new(AccessLevel::Admin), String::new());
-    session.execute_line(&split(line), state, &mut out);
+    session.execute_line(&parse_line(line), state, &mut out);
     out
 }
 
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_proxy::{Proxy, ProxyConfig};
-use lockcroft_runtime_api::{Address, dial, request};
+use lockcroft_runtime_api::{Address, connect, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -340,10 +340,10 @@
         );
         let (first, rest) = line.split_at(line.len() - 20);
         // A controller that dies in the middle.
-        let mut dies = dial(&fixture.control).await.expect("dialled");
+        let mut dies = connect(&fixture.control).await.expect("dialled");
         dies.write_all(first.as_bytes()).await.expect("sent");
         drop(dies);
-        let mut stalls = dial(&fixture.control).await.expect("dialled");
+        let mut stalls = connect(&fixture.control).await.expect("dialled");
         stalls.write_all(first.as_bytes()).await.expect("sent");
         sleep(Duration::from_millis(100)).await;
         assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 0));
@@ -421,7 +421,7 @@
     run(async {
         let fixture = start(&[endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let first = "prompt i\nset var proc.epoch int(5)\nset weight standing/e0 100\n";
-        let mut old = dial(&fixture.control).await.expect("dialled");
+        let mut old = connect(&fixture.control).await.expect("dialled");
         old.write_all(first.as_bytes()).await.expect("sent");
         let mut bytes = [0; 256];
         while fixture.command("get weight standing/e0").await != "100 (initial 256)\n\n" {
@@ -438,8 +438,10 @@
         }
         assert_eq!(fixture.command("get weight standing/e0").await, "60 (initial 256)\n\n");
         // Two batches are prepared, and the later one is committed first.
-        let (mut a, mut b) =
-            (dial(&fixture.control).await.expect("dialled"), dial(&fixture.control).await.expect("dialled"));
+        let (mut a, mut b) = (
+            connect(&fixture.control).await.expect("dialled"),
+            connect(&fixture.control).await.expect("dialled"),
+        );
         for (stream, weight) in [(&mut a, 11), (&mut b, 22)] {
             let text = format!("prompt i\nprepare map tables\nset weight standing/e0 {weight}\n");
             stream.write_all(text.as_bytes()).await.expect("sent");
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -9,7 +9,7 @@
     AttemptOutcome, Choice, ChosenEndpoint, ControlSession, LoadBalancingLimits, LoadBalancingPolicy,
     RoutingState, SnapshotCommands,
 };
-use lockcroft_runtime_api::{AccessLevel, split};
+use lockcroft_runtime_api::{AccessLevel, parse_line};
 use lockcroft_table_format::{ProxyAssignment, Table, TableEntry};
 use lockcroft_table_store::ProxySnapshot;
 use nanorand::{Rng, WyRand};
@@ -184,7 +184,7 @@
         let line: Vec<String> = (0..count).map(|_| command(&mut self.rng)).collect();
         let line = line.join("; ");
         let mut out = String::new();
-        let mut transaction = queue.begin(split(&line), &self.state);
+        let mut transaction = queue.begin(parse_line(&line), &self.state);
         while !queue.step(&mut transaction) {
             self.requests();
         }
--- a/crates/runtime-api/src/address.rs
+++ b/crates/runtime-api/src/address.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// The connection can't be made.
-pub async fn dial(address: &Address) -> io::Result<Box<dyn Stream>> {
+pub async fn connect(address: &Address) -> io::Result<Box<dyn Stream>> {
     Ok(match address {
         Address::Unix(path) => Box::new(UnixStream::connect(path).await?),
         Address::Tcp(address) => {
--- a/crates/runtime-api/src/client.rs
+++ b/crates/runtime-api/src/client.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-use crate::address::{Address, dial};
+use crate::address::{Address, connect};
 use crate::server::MAX_RESPONSE_BYTES;
 
 /// Why a line of commands got no answer.
@@ -36,7 +36,7 @@
 }
 
 async fn exchange(address: &Address, line: &str) -> Result<String, RequestError> {
-    let mut stream = dial(address).await.map_err(RequestError::Unreachable)?;
+    let mut stream = connect(address).await.map_err(RequestError::Unreachable)?;
     stream.write_all(format!("{line}\n").as_bytes()).await.map_err(RequestError::Broken)?;
     let mut text = Vec::new();
     while stream.read_buf(&mut text).await.map_err(RequestError::Broken)? > 0 {
--- a/crates/runtime-api/src/command_handler.rs
+++ b/crates/runtime-api/src/command_handler.rs
@@ -5,7 +5,7 @@
 
 /// A command that a handler knows.
 #[derive(Clone, Copy, Debug)]
-pub struct CommandEntry {
+pub struct CommandSpec {
     /// The command as `help` shows it: plain words first, then arguments that begin with `<`, `[` or `@`.
     pub words: &'static str,
     /// The level that the command needs.
@@ -14,7 +14,7 @@
     pub help: &'static str,
 }
 
-impl CommandEntry {
+impl CommandSpec {
     /// How many plain words the command begins with, if these words begin with all of them; else 0.
     fn matching_words(&self, words: &[&str]) -> usize {
         let plain = self.words.split(' ').take_while(|word| !word.starts_with(['<', '[', '@']));
@@ -29,7 +29,7 @@
     }
 
     /// The entry that a command's words begin with; of several the longest.
-    pub(crate) fn find<'a>(entries: &'a [CommandEntry], words: &[&str]) -> Option<&'a CommandEntry> {
+    pub(crate) fn find<'a>(entries: &'a [CommandSpec], words: &[&str]) -> Option<&'a CommandSpec> {
         let (_, entry) = entries
             .iter()
             .map(|entry| (entry.matching_words(words), entry))
@@ -44,7 +44,7 @@
 pub enum CommandResult {
     /// This text.
     Text(String),
-    /// This text, and then whatever [`CommandHandler::read_from`] gives from this position on, until the connection
+    /// This text, and then whatever [`CommandHandler::read_since`] gives from this position on, until the connection
     /// ends.
     Follow(String, u64),
 }
@@ -52,13 +52,13 @@
 /// Carries commands out.
 pub trait CommandHandler {
     /// The commands that it knows.
-    fn entries(&self) -> &'static [CommandEntry];
+    fn commands(&self) -> &'static [CommandSpec];
 
-    /// Carries out a command, of which the entry was found among [`CommandHandler::entries`].
-    fn answer(&mut self, entry: &CommandEntry, command: &Command) -> CommandResult;
+    /// Carries out a command, of which the entry was found among [`CommandHandler::commands`].
+    fn handle_command(&mut self, entry: &CommandSpec, command: &Command) -> CommandResult;
 
     /// What there is to follow from a position on; the position moves with it.
-    fn read_from(&mut self, position: &mut u64) -> String {
+    fn read_since(&mut self, position: &mut u64) -> String {
         let _ = position;
         String::new()
     }
--- a/crates/runtime-api/src/command_reader.rs
+++ b/crates/runtime-api/src/command_reader.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 use crate::line_buffer::LineBuffer;
-use crate::tokenizer::{Command, split};
+use crate::tokenizer::{Command, parse_line};
 
 /// Longest line, and longest payload; HAProxy's `tune.bufsize`.
 pub const MAX_LINE_BYTES: usize = 16_384;
@@ -74,7 +74,7 @@
                     self.incomplete = Some(incomplete);
                 }
                 None => {
-                    let mut commands = split(&line);
+                    let mut commands = parse_line(&line);
                     let Some(terminator) = take_payload_marker(&mut commands) else {
                         return Ok(Some(commands));
                     };
@@ -86,7 +86,7 @@
     }
 
     fn next_raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
-        let len = self.lines.next_len().unwrap_or(self.lines.pending().len());
+        let len = self.lines.next_line_len().unwrap_or(self.lines.pending().len());
         if len > MAX_LINE_BYTES {
             return Err(LineTooLong);
         }
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -16,13 +16,13 @@
 pub mod tables;
 mod tokenizer;
 
-pub use address::{Address, InvalidAddress, Listener, Stream, dial};
+pub use address::{Address, InvalidAddress, Listener, Stream, connect};
 pub use client::{RequestError, request};
-pub use command_handler::{CommandEntry, CommandHandler, CommandResult};
+pub use command_handler::{CommandHandler, CommandResult, CommandSpec};
 pub use command_reader::{CommandReader, LineTooLong, MAX_LINE_BYTES};
 pub use level::{AccessLevel, UnknownLevel};
 pub use line_buffer::LineBuffer;
 pub use response_reader::ResponseReader;
-pub use server::{MAX_RESPONSE_BYTES, MAX_SESSIONS, reject, serve};
+pub use server::{MAX_RESPONSE_BYTES, MAX_SESSIONS, close_with_error, serve};
 pub use session::{Session, SessionState};
-pub use tokenizer::{Command, escaped, split};
+pub use tokenizer::{Command, escape_word, parse_line};
--- a/crates/runtime-api/src/line_buffer.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -27,7 +27,7 @@
     }
 
     /// The length of the next whole line in bytes, without its end; `None` until there is one.
-    pub fn next_len(&mut self) -> Option<usize> {
+    pub fn next_line_len(&mut self) -> Option<usize> {
         let end = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
         let end = end.map(|end| end + self.searched);
         self.searched = end.unwrap_or(self.buffer.len());
@@ -36,7 +36,7 @@
 
     /// Takes the next whole line, without its end; `None` until there is one.
     pub fn next_line<T>(&mut self, convert: impl FnOnce(&[u8]) -> T) -> Option<T> {
-        let end = self.next_len()?;
+        let end = self.next_line_len()?;
         let line = convert(&self.buffer[..end]);
         self.buffer.advance(end + 1);
         self.searched = 0;
--- a/crates/runtime-api/src/server.rs
+++ b/crates/runtime-api/src/server.rs
@@ -83,7 +83,7 @@
             let commands = match reader.next_line() {
                 Ok(Some(commands)) => commands,
                 Ok(None) => break,
-                Err(error) => return reject(stream, &error).await,
+                Err(error) => return close_with_error(stream, &error).await,
             };
             let mut out = String::new();
             let state = session.execute_line(&commands, &mut *shared.handler.borrow_mut(), &mut out);
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 /// The connection broke.
-pub async fn reject(mut stream: Box<dyn Stream>, error: &LineTooLong) -> io::Result<()> {
+pub async fn close_with_error(mut stream: Box<dyn Stream>, error: &LineTooLong) -> io::Result<()> {
     write(&mut stream, &format!("{error}\n\n")).await?;
     stream.shutdown().await?;
     // It is closed in any case.
@@ -130,7 +130,7 @@
 async fn follow(mut stream: Box<dyn Stream>, shared: &Shared, mut position: u64) -> io::Result<()> {
     let mut ignored = [0; 256];
     loop {
-        let more = shared.handler.borrow_mut().read_from(&mut position);
+        let more = shared.handler.borrow_mut().read_since(&mut position);
         write(&mut stream, &more).await?;
         if let Ok(read) = timeout(FOLLOW_INTERVAL, stream.read(&mut ignored)).await {
             return read.map(|_| ());
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -1,7 +1,7 @@
 //! One connection's conversation: its mode, its level, and help. What other commands do is the matter of a
 //! [`CommandHandler`].
 
-use crate::command_handler::{CommandEntry, CommandHandler, CommandResult};
+use crate::command_handler::{CommandHandler, CommandResult, CommandSpec};
 use crate::level::AccessLevel;
 use crate::tokenizer::Command;
 
@@ -12,7 +12,7 @@
     Stay,
     /// It is closed.
     Close,
-    /// It is sent what [`CommandHandler::read_from`] gives from this position on.
+    /// It is sent what [`CommandHandler::read_since`] gives from this position on.
     Follow(u64),
 }
 
@@ -60,11 +60,11 @@
     ) -> SessionState {
         if commands.is_empty() {
             // An empty line: just the prompt, or the end of a connection that is for one line.
-            self.end_answer(out);
+            self.end_response(out);
         }
         for command in commands {
             let state = self.execute(command, handler, out);
-            self.end_answer(out);
+            self.end_response(out);
             if state != SessionState::Stay {
                 return state;
             }
@@ -72,7 +72,7 @@
         if self.interactive { SessionState::Stay } else { SessionState::Close }
     }
 
-    /// Carries out one command; [`Session::end_answer`] ends its answer.
+    /// Carries out one command; [`Session::end_response`] ends its answer.
     pub fn execute(
         &mut self,
         command: &Command,
@@ -105,7 +105,7 @@
     }
 
     /// Writes the empty line behind an answer, and the prompt if there is one.
-    pub fn end_answer(&self, out: &mut String) {
+    pub fn end_response(&self, out: &mut String) {
         out.push('\n');
         if self.prompt {
             out.push_str("> ");
@@ -120,7 +120,7 @@
         handler: &mut dyn CommandHandler,
         out: &mut String,
     ) -> SessionState {
-        let Some(entry) = CommandEntry::find(handler.entries(), words) else {
+        let Some(entry) = CommandSpec::find(handler.commands(), words) else {
             append_lines(out, "Unknown command, but maybe one of the following ones is a better match:");
             self.write_help(handler, out);
             return SessionState::Stay;
@@ -129,7 +129,7 @@
             append_lines(out, "Permission denied");
             return SessionState::Stay;
         }
-        match handler.answer(entry, command) {
+        match handler.handle_command(entry, command) {
             CommandResult::Text(text) => {
                 append_lines(out, &text);
                 SessionState::Stay
@@ -157,8 +157,8 @@
         for BuiltIn { words, help } in BUILT_IN {
             append_lines(out, &format!("  {words:<40} : {help}"));
         }
-        for CommandEntry { words, help, .. } in
-            handler.entries().iter().filter(|entry| self.allows(entry.level))
+        for CommandSpec { words, help, .. } in
+            handler.commands().iter().filter(|entry| self.allows(entry.level))
         {
             append_lines(out, &format!("  {words:<40} : {help}"));
         }
--- a/crates/runtime-api/src/tables/mod.rs
+++ b/crates/runtime-api/src/tables/mod.rs
@@ -8,8 +8,8 @@
 
 pub use digest::Digest;
 pub use error::TableError;
-pub use server_state::{FORCED_DRAIN, FORCED_MAINT, StateRow, read_states, write_states};
-pub use stat::{STAT, StatRow, read_stat, write_stat};
+pub use server_state::{FORCED_DRAIN, FORCED_MAINT, ServerStateRow, read_server_states, write_server_states};
+pub use stat::{STAT_COLUMNS, StatRow, read_stat, write_stat};
 
 /// The name of a proxy's variable about a class, as `proc.level_look_up` for `level` and `look-up`. Names of
 /// variables have no dashes in HAProxy.
--- a/crates/runtime-api/src/tables/server_state.rs
+++ b/crates/runtime-api/src/tables/server_state.rs
@@ -21,7 +21,7 @@
 
 /// One row of `show servers state`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StateRow {
+pub struct ServerStateRow {
     /// The backend: a table.
     pub backend: String,
     /// The endpoint's name.
@@ -31,7 +31,7 @@
     /// The endpoint's port.
     pub port: u16,
     /// Whether the operational state is anything but stopped.
-    pub running: bool,
+    pub is_running: bool,
     /// The administrative state: [`FORCED_MAINT`], [`FORCED_DRAIN`] and others.
     pub admin_state: u32,
     /// The weight in force.
@@ -42,16 +42,24 @@
 
 /// Writes the table. Backends are numbered in the order in which they come.
 #[must_use]
-pub fn write_states(rows: &[StateRow]) -> String {
+pub fn write_server_states(rows: &[ServerStateRow]) -> String {
     let mut text = format!("1\n# {COLUMNS}\n");
     let mut backend_ids: BTreeMap<&str, usize> = BTreeMap::new();
     for (index, row) in rows.iter().enumerate() {
         let next_id = backend_ids.len() + 1;
         let backend_id = *backend_ids.entry(&row.backend).or_insert(next_id);
         let server_id = index + 1;
-        let state = if row.running { RUNNING } else { STOPPED };
-        let StateRow { backend, endpoint: server, address, port, admin_state: admin, weight, health, .. } =
-            row;
+        let state = if row.is_running { RUNNING } else { STOPPED };
+        let ServerStateRow {
+            backend,
+            endpoint: server,
+            address,
+            port,
+            admin_state: admin,
+            weight,
+            health,
+            ..
+        } = row;
         // Writing to a String cannot fail.
         let _ = writeln!(
             text,
@@ -66,7 +74,7 @@
 ///
 /// # Errors
 /// What is wrong, and in which row.
-pub fn read_states(text: &str) -> Result<Vec<StateRow>, TableError> {
+pub fn read_server_states(text: &str) -> Result<Vec<ServerStateRow>, TableError> {
     let mut lines = text.lines().filter(|line| !line.is_empty());
     match lines.next() {
         Some("1") => {}
@@ -118,14 +126,14 @@
         })
     }
 
-    fn read_row(&self, number: usize, line: &str) -> Result<StateRow, TableError> {
+    fn read_row(&self, number: usize, line: &str) -> Result<ServerStateRow, TableError> {
         let row = Row { number, values: line.split(' ').collect() };
-        Ok(StateRow {
+        Ok(ServerStateRow {
             backend: row.text(self.backend)?.into(),
             endpoint: row.text(self.server)?.into(),
             address: row.text(self.address)?.into(),
             port: u16::try_from(row.number(self.port)?)?,
-            running: row.number(self.state)? != STOPPED,
+            is_running: row.number(self.state)? != STOPPED,
             admin_state: row.number(self.admin)?,
             weight: row.number(self.weight)?,
             health: row.number(self.health)?,
--- a/crates/runtime-api/src/tables/stat.rs
+++ b/crates/runtime-api/src/tables/stat.rs
@@ -6,7 +6,7 @@
 
 /// The columns of `show stat`, in HAProxy's order. Behind them come others, as readers must expect: `ttot_ok` is
 /// this project's, the milliseconds of all successful attempts since the start.
-pub const STAT: &str = "pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,\
+pub const STAT_COLUMNS: &str = "pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,\
 wredis,status,weight,act,bck,chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,type,rate,\
 rate_lim,rate_max,check_status,check_code,check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,hrsp_other,\
 hanafail,req_rate,req_rate_max,req_tot,cli_abrt,srv_abrt,comp_in,comp_out,comp_byp,comp_rsp,lastsess,last_chk,\
@@ -100,8 +100,8 @@
 /// Writes the table with its header.
 #[must_use]
 pub fn write_stat(rows: &[StatRow]) -> String {
-    let columns: Vec<&str> = STAT.split(',').collect();
-    let mut text = format!("# {STAT},\n");
+    let columns: Vec<&str> = STAT_COLUMNS.split(',').collect();
+    let mut text = format!("# {STAT_COLUMNS},\n");
     for row in rows {
         for column in &columns {
             row.write_column(column, &mut text);
--- a/crates/runtime-api/src/tokenizer.rs
+++ b/crates/runtime-api/src/tokenizer.rs
@@ -30,9 +30,9 @@
 
 /// The commands of a line; empty ones are left out.
 #[must_use]
-pub fn split(line: &str) -> Vec<Command> {
+pub fn parse_line(line: &str) -> Vec<Command> {
     if line.contains('\\') {
-        return split_escaped(line);
+        return parse_escaped_line(line);
     }
     let words = |command: &str| -> Vec<String> {
         command.split([' ', '\t']).filter(|word| !word.is_empty()).map(str::to_string).collect()
@@ -40,7 +40,7 @@
     line.split(';').map(words).filter(|words| !words.is_empty()).map(Command::new).collect()
 }
 
-fn split_escaped(line: &str) -> Vec<Command> {
+fn parse_escaped_line(line: &str) -> Vec<Command> {
     let mut commands = Vec::new();
     let mut words = Vec::new();
     let mut word: Option<String> = None;
@@ -64,7 +64,7 @@
 
 /// A word with escapes, so that it is read as it is.
 #[must_use]
-pub fn escaped(word: &str) -> String {
+pub fn escape_word(word: &str) -> String {
     let mut text = String::with_capacity(word.len());
     for character in word.chars() {
         if matches!(character, '\\' | ';' | ' ' | '\t') {
--- a/crates/runtime-api/tests/codec.rs
+++ b/crates/runtime-api/tests/codec.rs
@@ -1,26 +1,28 @@
 //! Lines in, answers out: in pieces of any size, malformed, too long.
 
-use lockcroft_runtime_api::tables::{StatRow, StateRow, read_stat, read_states, write_stat, write_states};
+use lockcroft_runtime_api::tables::{
+    ServerStateRow, StatRow, read_server_states, read_stat, write_server_states, write_stat,
+};
 use lockcroft_runtime_api::{
-    AccessLevel, Command, CommandEntry, CommandHandler, CommandReader, CommandResult, LineTooLong,
-    MAX_LINE_BYTES, ResponseReader, Session, SessionState, escaped, split,
+    AccessLevel, Command, CommandHandler, CommandReader, CommandResult, CommandSpec, LineTooLong,
+    MAX_LINE_BYTES, ResponseReader, Session, SessionState, escape_word, parse_line,
 };
 use proptest::prelude::*;
 
 /// Answers with the words that it gets.
 struct Echo;
 
-const ENTRIES: [CommandEntry; 2] = [
-    CommandEntry { words: "show echo [<word>]", level: AccessLevel::User, help: "say it" },
-    CommandEntry { words: "set echo <word>", level: AccessLevel::Admin, help: "say it loud" },
+const ENTRIES: [CommandSpec; 2] = [
+    CommandSpec { words: "show echo [<word>]", level: AccessLevel::User, help: "say it" },
+    CommandSpec { words: "set echo <word>", level: AccessLevel::Admin, help: "say it loud" },
 ];
 
 impl CommandHandler for Echo {
-    fn entries(&self) -> &'static [CommandEntry] {
+    fn commands(&self) -> &'static [CommandSpec] {
         &ENTRIES
     }
 
-    fn answer(&mut self, _: &CommandEntry, command: &Command) -> CommandResult {
+    fn handle_command(&mut self, _: &CommandSpec, command: &Command) -> CommandResult {
         CommandResult::Text(format!(
             "{}{}",
             command.words[2..].join("|"),
@@ -95,17 +97,17 @@
 
 #[test]
 fn states_and_counters_are_read_as_they_were_written() {
-    let state = StateRow {
+    let state = ServerStateRow {
         backend: "t0".into(),
         endpoint: "e1".into(),
         address: "127.0.0.1".into(),
         port: 81,
-        running: true,
+        is_running: true,
         admin_state: 9,
         weight: 256,
         health: 4,
     };
-    assert_eq!(read_states(&write_states(std::slice::from_ref(&state))), Ok(vec![state]));
+    assert_eq!(read_server_states(&write_server_states(std::slice::from_ref(&state))), Ok(vec![state]));
     let row = StatRow {
         name: "t0".into(),
         endpoint: "e1".into(),
@@ -133,7 +135,7 @@
         assert!(read_stat(wrong).is_err(), "{wrong:?}");
     }
     for wrong in ["", "2\n# be_name\n", "1\n", "1\n# be_name srv_name\nt0 e1\n"] {
-        assert!(read_states(wrong).is_err(), "{wrong:?}");
+        assert!(read_server_states(wrong).is_err(), "{wrong:?}");
     }
 }
 
@@ -162,7 +164,7 @@
 
     #[test]
     fn escaped_words_are_read_as_they_are(word in "[ -~]{1,20}") {
-        let commands = split(&format!("show {}", escaped(&word)));
+        let commands = parse_line(&format!("show {}", escape_word(&word)));
         prop_assert_eq!(&commands[0].words[1], &word);
     }
 
--- a/crates/runtime-api/tests/error_texts.rs
+++ b/crates/runtime-api/tests/error_texts.rs
@@ -1,6 +1,6 @@
 //! The texts of errors, which users and controllers see.
 
-use lockcroft_runtime_api::tables::{read_stat, read_states};
+use lockcroft_runtime_api::tables::{read_server_states, read_stat};
 use lockcroft_runtime_api::{AccessLevel, Address};
 
 const STATES_HEADER: &str =
@@ -11,7 +11,7 @@
 }
 
 fn states_error(rows: &str) -> String {
-    read_states(&format!("1\n# {STATES_HEADER}\n{rows}\n")).expect_err("malformed").to_string()
+    read_server_states(&format!("1\n# {STATES_HEADER}\n{rows}\n")).expect_err("malformed").to_string()
 }
 
 #[test]
@@ -28,7 +28,7 @@
 
 #[test]
 fn malformed_states_are_located() {
-    let error = |text: &str| read_states(text).expect_err("malformed").to_string();
+    let error = |text: &str| read_server_states(text).expect_err("malformed").to_string();
     assert_eq!(error(""), "show servers state: version 1 expected, not None");
     assert_eq!(error("2\n# be_name\n"), "show servers state: version 1 expected, not Some(\"2\")");
     assert_eq!(error("1\n"), "no header");
--- a/crates/scenario/src/throttled_link/connection.rs
+++ b/crates/scenario/src/throttled_link/connection.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use lockcroft_proxy::changes_state;
-use lockcroft_runtime_api::{ResponseReader, Stream, split};
+use lockcroft_runtime_api::{ResponseReader, Stream, parse_line};
 use lockcroft_testbed::{AnsweredCommand, TrafficEvent};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -104,7 +104,7 @@
 
     /// Notes the commands of a message; gives the number of those that change something.
     fn expect_answers(&mut self, message: &[u8]) -> usize {
-        let commands = split(String::from_utf8_lossy(message).trim_end());
+        let commands = parse_line(String::from_utf8_lossy(message).trim_end());
         let changing = commands.iter().filter(|command| changes_state(command)).count();
         if changing > 0 {
             let proxy = self.link.proxy.clone();
--- a/crates/scenario/src/throttled_link/mod.rs
+++ b/crates/scenario/src/throttled_link/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use lockcroft_runtime_api::{Address, dial};
+use lockcroft_runtime_api::{Address, connect};
 use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
@@ -58,7 +58,7 @@
 
 async fn serve_connection(link: Arc<LinkState>, controller: TcpStream) {
     let _ = controller.set_nodelay(true);
-    let Ok(proxy) = dial(&link.proxy_address).await else { return };
+    let Ok(proxy) = connect(&link.proxy_address).await else { return };
     link.recorder.record(TrafficEvent::ControlStream { proxy: link.proxy.clone(), open: true });
     // However the stream ends, it ends for both.
     let _ = Connection::new(&link).forward(controller, proxy).await;
--- a/crates/table-format/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use lockcroft_runtime_api::split;
+use lockcroft_runtime_api::parse_line;
 use lockcroft_table_format::{
     Key, KeyRing, SnapshotContent, Table, TableEntry, decode_table, open_manifest, seal,
 };
@@ -86,6 +86,6 @@
         };
         let text = write();
         rate("commands: written", lines, text.len(), || drop(black_box(write())));
-        rate("commands: split", lines, text.len(), || drop(black_box(split(&text))));
+        rate("commands: split", lines, text.len(), || drop(black_box(parse_line(&text))));
     }
 }
