--- a/crates/fleet/src/applied_state.rs
+++ b/crates/fleet/src/applied_state.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 
 use lockcroft::{ClassId, EndpointId, TableId};
-use lockcroft_runtime_api::tables::{Digest, FORCED_DRAIN, FORCED_MAINT, StateRow, class_variable_name};
+use lockcroft_runtime_api::tables::{
+    Digest, FORCED_DRAIN, FORCED_MAINT, ServerStateRow, class_variable_name,
+};
 
 use crate::applied_entry::{AppliedEntry, Backend};
 use crate::endpoint_list::EndpointList;
@@ -34,7 +36,12 @@
 impl AppliedState {
     /// Builds the state from the responses to `show servers state` and `show map classes`. Assigns ids to unknown
     /// endpoint names; skips lines of the map that are incomplete or name an unknown class.
-    pub fn parse(states: &[StateRow], map: &str, endpoints: &mut EndpointList, classes: &[String]) -> Self {
+    pub fn parse(
+        states: &[ServerStateRow],
+        map: &str,
+        endpoints: &mut EndpointList,
+        classes: &[String],
+    ) -> Self {
         let mut applied = AppliedState::default();
         for row in states {
             let endpoint = endpoints.intern(&row.endpoint);
--- a/crates/fleet/src/proxy_session.rs
+++ b/crates/fleet/src/proxy_session.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lockcroft_config::{BackoffRange, ProxyConfig};
-use lockcroft_runtime_api::tables::{StateRow, read_states};
+use lockcroft_runtime_api::tables::{ServerStateRow, read_server_states};
 use nanorand::{Rng, WyRand};
 
 use crate::applied_state::AppliedState;
@@ -67,7 +67,7 @@
     pub counters: Counters,
     pub outstanding: VecDeque<OutstandingRequest>,
     /// The table entries that were read, until the map is read as well.
-    pub states: Vec<StateRow>,
+    pub states: Vec<ServerStateRow>,
     pub last_response_at: Option<Duration>,
     /// The number of lost connections and failed attempts to connect.
     pub disconnects: u64,
@@ -140,7 +140,7 @@
     /// Returns an error if the response is not a table of server states.
     pub fn read_states(&mut self, response: &str) -> Result<(), SessionError> {
         self.states =
-            read_states(response).map_err(|error| SessionError::MalformedTable(error.to_string()))?;
+            read_server_states(response).map_err(|error| SessionError::MalformedTable(error.to_string()))?;
         Ok(())
     }
 }
--- a/crates/fleet/tests/updates/commands.rs
+++ b/crates/fleet/tests/updates/commands.rs
@@ -124,7 +124,7 @@
     assert_eq!(simulation.commands(), "");
     simulation.disconnect(0);
     let mut out = String::new();
-    let command = lockcroft_runtime_api::split("set weight t0/e1 7");
+    let command = lockcroft_runtime_api::parse_line("set weight t0/e1 7");
     ControlSession::new(AccessLevel::Admin).execute_line(
         &command,
         &mut simulation.proxies[0].routing,
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use lockcroft_proxy::{Proxy, ProxyConfig};
-use lockcroft_runtime_api::{Address, dial, request};
+use lockcroft_runtime_api::{Address, connect, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -372,10 +372,10 @@
         );
         let (first, rest) = line.split_at(line.len() - 20);
         // A controller disconnects in the middle of a line.
-        let mut disconnecting = dial(&fixture.control).await.expect("connected");
+        let mut disconnecting = connect(&fixture.control).await.expect("connected");
         disconnecting.write_all(first.as_bytes()).await.expect("sent");
         drop(disconnecting);
-        let mut stalling = dial(&fixture.control).await.expect("connected");
+        let mut stalling = connect(&fixture.control).await.expect("connected");
         stalling.write_all(first.as_bytes()).await.expect("sent");
         sleep(Duration::from_millis(100)).await;
         assert_eq!((fixture.request_status().await, one.1.get(), two.1.get()), (200, 1, 0));
@@ -455,7 +455,7 @@
     run(async {
         let fixture = start_proxy(&[start_endpoint(Behavior::Answers(OK)).await.0], |_| {}).await;
         let first_lines = "prompt i\nset var proc.epoch int(5)\nset weight standing/e0 100\n";
-        let mut old_controller = dial(&fixture.control).await.expect("connected");
+        let mut old_controller = connect(&fixture.control).await.expect("connected");
         old_controller.write_all(first_lines.as_bytes()).await.expect("sent");
         let mut bytes = [0; 256];
         while fixture.command("get weight standing/e0").await != "100 (initial 256)\n\n" {
@@ -475,8 +475,8 @@
         assert_eq!(fixture.command("get weight standing/e0").await, "60 (initial 256)\n\n");
         // Two batches are prepared. The later one is committed first, so that the earlier one is refused.
         let (mut earlier, mut later) = (
-            dial(&fixture.control).await.expect("connected"),
-            dial(&fixture.control).await.expect("connected"),
+            connect(&fixture.control).await.expect("connected"),
+            connect(&fixture.control).await.expect("connected"),
         );
         for (stream, weight) in [(&mut earlier, 11), (&mut later, 22)] {
             let text = format!("prompt i\nprepare map tables\nset weight standing/e0 {weight}\n");
--- a/crates/table-format/benches/codec.rs
+++ b/crates/table-format/benches/codec.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use lockcroft_runtime_api::split;
+use lockcroft_runtime_api::parse_line;
 use lockcroft_table_format::{
     Key, KeyRing, SnapshotContent, Table, TableEntry, decode_table, open_manifest, seal,
 };
@@ -89,6 +89,6 @@
         };
         let text = encode_commands();
         print_throughput("commands: encoded", entries, text.len(), || drop(black_box(encode_commands())));
-        print_throughput("commands: split", entries, text.len(), || drop(black_box(split(&text))));
+        print_throughput("commands: split", entries, text.len(), || drop(black_box(parse_line(&text))));
     }
 }
