--- a/crates/testbed/src/fake_endpoint/config.rs
+++ b/crates/testbed/src/fake_endpoint/config.rs
@@ -1,48 +1,48 @@
-//! How a fake endpoint is built, and how it fails.
+//! Configuration and fault modes of a fake endpoint.
 
 use std::collections::HashMap;
 
 use crate::slow_start::SlowStart;
 
-/// How an endpoint is built.
+/// The configuration of a fake endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointConfig {
     /// The name under which its traffic is recorded.
     pub name: String,
-    /// How many requests it works on at the same time.
+    /// The number of requests that it executes concurrently.
     pub cores: usize,
-    /// How fast each core is; at 1 a request takes as long as its stated work.
+    /// The speed of each core. At 1, a request takes as long as its stated work.
     pub speed: f64,
-    /// Requests that may wait for a core; more are rejected before they are executed.
+    /// The number of requests that may wait for a core. Further requests are rejected before they are executed.
     pub max_queued: usize,
-    /// Work that a rejected request costs, in seconds.
+    /// The work of rejecting one request, in seconds of one core at speed 1.
     pub rejection_work_s: f64,
-    /// Work of a request by class, in seconds.
+    /// The work of one request by class, in seconds of one core at speed 1. Other classes need no work.
     pub class_work_s: HashMap<String, f64>,
-    /// How it warms up after a start.
+    /// The warm-up after a restart.
     pub slow_start: SlowStart,
 }
 
-/// How an endpoint treats requests.
+/// The way in which an endpoint handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum FaultMode {
-    /// As it should.
+    /// Executes and answers them.
     #[default]
     Healthy,
-    /// Takes requests and answers none; its health checks pass.
+    /// Accepts requests and never answers; health checks pass.
     Hang,
-    /// Answers 500 at once.
+    /// Answers immediately with status 500.
     Errors,
-    /// Rejects requests before they are executed.
+    /// Rejects requests with status 503 before they are executed.
     Reject,
-    /// So many times slower.
+    /// Executes requests slower by this factor.
     Slow(f64),
-    /// The process is gone: nothing listens.
+    /// The process has ended: connections are closed and new ones refused.
     Down,
 }
 
 impl EndpointConfig {
-    /// Of a warm process, in cores at speed 1.
+    /// Returns the capacity of a warm process, in cores at speed 1.
     pub(super) fn capacity(&self) -> f64 {
         self.cores as f64 * self.speed
     }
--- a/crates/testbed/src/fake_endpoint/mod.rs
+++ b/crates/testbed/src/fake_endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! An endpoint of a scenario: cores that work requests off one by one, a warm-up, and the ways in which it fails.
+//! A fake endpoint: a bounded queue, cores that execute requests, a warm-up after restarts, and fault modes.
 
 mod config;
 mod process;
@@ -15,19 +15,19 @@
 pub use self::config::{EndpointConfig, FaultMode};
 use self::process::Process;
 
-/// A running endpoint; it ends when this is dropped.
+/// A running endpoint. It stops when it is dropped.
 pub struct FakeEndpoint {
-    /// Where it listens, also after a restart.
+    /// The address on which it listens, which a restart keeps.
     pub address: SocketAddr,
     process: Arc<Process>,
     accept_task: AbortHandle,
 }
 
 impl FakeEndpoint {
-    /// Starts an endpoint that is warm already.
+    /// Starts an endpoint that needs no warm-up, on a free port of the loopback interface.
     ///
     /// # Errors
-    /// Its socket can't be bound.
+    /// The socket can't be bound.
     pub async fn start(config: EndpointConfig, recorder: TrafficRecorder) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -36,12 +36,12 @@
         Ok(FakeEndpoint { address, process, accept_task })
     }
 
-    /// Begins or ends a fault.
+    /// Sets the fault mode; [`FaultMode::Healthy`] ends a fault. [`FaultMode::Down`] closes all connections.
     pub fn set_fault_mode(&self, mode: FaultMode) {
         self.process.set_fault_mode(mode);
     }
 
-    /// A new process in the place of one that is gone: healthy, and warming up.
+    /// Starts a new process, which is healthy and warms up, after [`FaultMode::Down`].
     pub fn restart(&self) {
         self.process.restart();
     }
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -1,4 +1,4 @@
-//! The process of a fake endpoint: what its handle and its tasks share.
+//! The simulated process of a fake endpoint, shared by its handle and its tasks.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -24,33 +24,34 @@
 use crate::traffic_event::TrafficEvent;
 use crate::traffic_recorder::TrafficRecorder;
 
-/// A request takes at most so many times its own work longer for the requests that were rejected before it.
+/// The most rejection work that is added to one request, as a multiple of its own work. The excess is dropped.
 const MAX_REJECTION_OVERHEAD: f64 = 3.0;
-/// The least speed of a core, so that a request's time stays finite.
+/// Lower bound of the speed of a core, so that the execution time of a request is finite.
 const MIN_SPEED: f64 = 1e-3;
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Work that reached an endpoint.
+/// Work that arrived at an endpoint.
 struct WorkArrival {
     at: Duration,
-    /// In seconds of one core at full speed.
+    /// In seconds of one core at speed 1.
     work: f64,
 }
 
 struct State {
     mode: FaultMode,
-    /// When its process last started, if it did since the beginning.
+    /// When the process last restarted; `None` for the initial process, which is warm.
     started: Option<Duration>,
-    /// What arrived within the overload window while it warms up.
+    /// The work that arrived within the overload window, while the process warms up.
     recent_work: VecDeque<WorkArrival>,
+    /// The number of requests that wait for a core.
     queued: usize,
-    /// Work done for rejected requests that has not yet been taken from the time of others, in seconds.
+    /// The work of rejections that has not been added to an executed request yet, in seconds.
     rejection_backlog_s: f64,
-    /// Counts ended processes: connections of an earlier one answer nothing any more.
+    /// The number of processes that have ended. Connections accepted by an earlier process are closed.
     incarnation: u64,
 }
 
-/// An endpoint, over all of its incarnations.
+/// The state of an endpoint over all of its incarnations.
 pub struct Process {
     address: SocketAddr,
     config: EndpointConfig,
@@ -110,13 +111,14 @@
         self.state().mode
     }
 
-    /// The fraction of its full speed, from 0 to 1.
-    fn slow_start_factor(&self, state: &State) -> f64 {
+    /// Returns the current fraction of full speed, from 0 to 1.
+    fn slow_start_fraction(&self, state: &State) -> f64 {
         let Some(started) = state.started else { return 1.0 };
         self.config.slow_start.fraction_at(self.recorder.now() - started).min(1.0)
     }
 
-    /// Listens while the process is up; while it is not, the port is held and refuses connections.
+    /// Accepts connections while the process is up. While it is down, the port stays bound and refuses connections.
+    /// Returns if the port can't be bound or opened again.
     pub async fn accept_loop(self: Arc<Self>, mut listener: TcpListener) {
         let mut mode_changed = self.mode_changed.subscribe();
         let mut connections = JoinSet::new();
@@ -132,7 +134,7 @@
                 while connections.try_join_next().is_some() {}
             }
             drop(listener);
-            let Ok(socket) = self.hold_port() else { return };
+            let Ok(socket) = self.bind_port() else { return };
             while self.mode() == FaultMode::Down {
                 let _ = mode_changed.changed().await;
             }
@@ -143,14 +145,14 @@
         }
     }
 
-    fn hold_port(&self) -> io::Result<TcpSocket> {
+    fn bind_port(&self) -> io::Result<TcpSocket> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(self.address)?;
         Ok(socket)
     }
 
-    /// Serves a connection for as long as the process lives that accepted it.
+    /// Serves a connection until it closes or the process that accepted it ends.
     async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let mut mode_changed = self.mode_changed.subscribe();
         let incarnation = self.state().incarnation;
@@ -187,11 +189,11 @@
             work,
             table: header(request.headers(), headers::TABLE).unwrap_or_default(),
         });
-        let slowdown = match self.take_in(work) {
+        let slowdown = match self.count_work(work) {
             FaultMode::Hang | FaultMode::Down => return std::future::pending().await,
             FaultMode::Errors => return Ok(response(500)),
             FaultMode::Reject => return Ok(self.reject()),
-            FaultMode::Slow(times) => times,
+            FaultMode::Slow(factor) => factor,
             FaultMode::Healthy => 1.0,
         };
         if self.state().queued >= self.config.max_queued {
@@ -201,7 +203,7 @@
         Ok(response(200))
     }
 
-    /// Waits for a core and holds it for the time of the work.
+    /// Waits for a core and occupies it for the duration of the work.
     async fn execute(&self, request: u64, class: String, work: f64, slowdown: f64) {
         let queued = QueuedRequest::new(self);
         let core = self.cores.acquire().await;
@@ -210,12 +212,12 @@
         self.recorder.record(TrafficEvent::RequestExecuted { endpoint, request, class });
         let rejections = std::mem::take(&mut self.state().rejection_backlog_s);
         let work = work + rejections.min(MAX_REJECTION_OVERHEAD * work);
-        let speed = self.slow_start_factor(&self.state()) * self.config.speed / slowdown;
+        let speed = self.slow_start_fraction(&self.state()) * self.config.speed / slowdown;
         tokio::time::sleep(Duration::from_secs_f64(work / speed.max(MIN_SPEED))).await;
         drop(core);
     }
 
-    /// To reject a request is work as well; the requests that are admitted pay for it.
+    /// Rejects a request. The work of the rejection is added to the next request that is executed.
     fn reject(&self) -> Response<Full<Bytes>> {
         self.state().rejection_backlog_s += self.config.rejection_work_s;
         let mut response = response(503);
@@ -223,19 +225,19 @@
         response
     }
 
-    /// Counts work against what a warming process bears; past that the process goes down and stays so. Gives the mode in
-    /// which the request is treated.
-    fn take_in(&self, work: f64) -> FaultMode {
+    /// Counts the work of a request against the load that a warming process survives, and takes the process down if that
+    /// load is exceeded. Returns the mode in which the request is handled.
+    fn count_work(&self, work: f64) -> FaultMode {
         let mut state = self.state();
-        let factor = self.slow_start_factor(&state);
-        if factor < 1.0 {
+        let fraction = self.slow_start_fraction(&state);
+        if fraction < 1.0 {
             let SlowStart { overload_factor, overload_window, .. } = self.config.slow_start;
             let now = self.recorder.now();
             state.recent_work.push_back(WorkArrival { at: now, work });
             while state.recent_work.front().is_some_and(|first| first.at + overload_window < now) {
                 state.recent_work.pop_front();
             }
-            let capacity = factor * self.config.cores as f64 * self.config.speed;
+            let capacity = fraction * self.config.cores as f64 * self.config.speed;
             let max_work = overload_factor * capacity * overload_window.as_secs_f64();
             if state.recent_work.iter().map(|arrival| arrival.work).sum::<f64>() > max_work {
                 state.mode = FaultMode::Down;
@@ -249,7 +251,7 @@
     }
 }
 
-/// A request that waits for a core; its place is free again when it is dropped, as with its connection.
+/// A request that waits for a core. Dropping it, also together with its connection, frees its place in the queue.
 struct QueuedRequest<'a>(&'a Process);
 
 impl<'a> QueuedRequest<'a> {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test doubles on loopback for scenarios and tests: fake endpoints and a load generator. All that passes on their
-//! sockets goes into a [`TrafficRecorder`].
+//! Test doubles on loopback for scenarios and tests: fake endpoints and a load generator. They record their traffic in
+//! a [`TrafficRecorder`].
 
 #![warn(missing_docs)]
 
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! An open-loop load generator: requests come at a rate, whatever becomes of those before, and wait for as long as the
-//! client's timeout.
+//! An open-loop load generator: it sends requests at a given rate without waiting for earlier ones, and each client
+//! waits for its response until its timeout.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,48 +19,48 @@
 use crate::traffic_event::TrafficEvent;
 use crate::traffic_recorder::TrafficRecorder;
 
-/// Connections to proxies that are not used for so long are closed.
+/// Idle time after which a connection to a proxy is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_IDLE_PER_PROXY: usize = 8;
-/// Keeps the time between two requests finite where the rate is next to nothing, in requests a second.
+/// Lower bound of the rate, in requests per second, so that the time between two requests is finite.
 const MIN_RATE: f64 = 1e-3;
-/// The longest time between two requests, in seconds: a changed rate factor takes effect within it.
-const MAX_GAP_S: f64 = 1.0;
-/// The rate factor is held in these units.
-const FACTOR_UNITS: f64 = 1000.0;
+/// The longest time between two requests, in seconds. A changed rate factor takes effect within this time.
+const MAX_INTERVAL_S: f64 = 1.0;
+/// The rate factor is stored as an integer, multiplied by this scale.
+const RATE_FACTOR_SCALE: f64 = 1000.0;
 
-/// The requests of one class.
+/// The load of one request class.
 #[derive(Clone, Debug)]
 pub struct ClassLoad {
-    /// The class's name, which is the path of its requests.
+    /// The name of the class, which is also the path of its requests.
     pub name: String,
-    /// How long a client waits, all its attempts together.
+    /// How long a client waits in total, over all of its attempts.
     pub client_timeout: Duration,
-    /// Requests a second, all clients together.
+    /// Requests per second, of all clients together, before the rate factor.
     pub rate: f64,
-    /// How often a client retries at once after a failure, within its timeout.
+    /// The number of retries, each sent immediately after a failure and within the client's timeout.
     pub max_client_retries: u32,
 }
 
-/// Sends requests in the name of all clients of a scenario; clones share connections, ids and the rate factor.
+/// Sends the requests of all clients of a scenario. Clones share connections, request ids and the rate factor.
 #[derive(Clone)]
 pub struct LoadGenerator {
     client: Client<HttpConnector, Empty<Bytes>>,
     next_request_id: Arc<AtomicU64>,
-    /// The factor on all rates, in thousandths.
+    /// The factor applied to all rates, multiplied by [`RATE_FACTOR_SCALE`].
     rate_factor: Arc<AtomicU64>,
     recorder: TrafficRecorder,
 }
 
-/// How one attempt of a client ended.
+/// The outcome of one attempt of a client.
 struct AttemptResult {
     request: u64,
-    /// 0 if the client's timeout ended first.
+    /// The HTTP status; 0 if there was no response within the client's timeout.
     status: u16,
 }
 
 impl LoadGenerator {
-    /// A generator that records completed requests there.
+    /// Returns a generator that records completed requests in `recorder`.
     #[must_use]
     pub fn new(recorder: TrafficRecorder) -> Self {
         let mut connector = HttpConnector::new();
@@ -73,18 +73,18 @@
         LoadGenerator {
             client,
             next_request_id: Arc::new(AtomicU64::new(1)),
-            rate_factor: Arc::new(AtomicU64::new(FACTOR_UNITS as u64)),
+            rate_factor: Arc::new(AtomicU64::new(RATE_FACTOR_SCALE as u64)),
             recorder,
         }
     }
 
-    /// Multiplies all rates by this from now on.
+    /// Multiplies the rates of all classes by `factor`, replacing the previous factor.
     pub fn set_rate_factor(&self, factor: f64) {
-        self.rate_factor.store((factor * FACTOR_UNITS) as u64, Ordering::Relaxed);
+        self.rate_factor.store((factor * RATE_FACTOR_SCALE) as u64, Ordering::Relaxed);
     }
 
-    /// One request with its client's retries, each with an id of its own. Gives the status of the last response; 0 if
-    /// the client's timeout ended first.
+    /// Sends one request and its client's retries, each under a new id, and records the completion. Returns the HTTP
+    /// status of the last attempt, or 0 if it got no response within the client's timeout.
     pub async fn send(&self, proxy: SocketAddr, class: &ClassLoad) -> u16 {
         let sent_at = self.recorder.now();
         let mut last = AttemptResult { request: 0, status: 0 };
@@ -114,8 +114,9 @@
     }
 }
 
-/// Sends requests of a class at random times (a Poisson process), spread evenly over these proxies, until the given time
-/// since the start of the scenario. Ends once its last request has; dropping it ends them all.
+/// Sends requests of a class at random times (a Poisson process) to proxies drawn uniformly, until `until`, which is
+/// measured from the start of the scenario. Returns when the last request has completed; dropping the future cancels
+/// all requests.
 pub async fn generate_load(
     generator: LoadGenerator,
     class: ClassLoad,
@@ -125,11 +126,11 @@
 ) {
     let mut random = WyRand::new_seed(seed);
     let mut requests = JoinSet::new();
-    let mut at = generator.recorder.now();
-    while at < until && !proxies.is_empty() {
-        let rate = class.rate * generator.rate_factor.load(Ordering::Relaxed) as f64 / FACTOR_UNITS;
-        at += gap(&mut random, rate);
-        tokio::time::sleep(at.saturating_sub(generator.recorder.now())).await;
+    let mut send_at = generator.recorder.now();
+    while send_at < until && !proxies.is_empty() {
+        let rate = class.rate * generator.rate_factor.load(Ordering::Relaxed) as f64 / RATE_FACTOR_SCALE;
+        send_at += random_interval(&mut random, rate);
+        tokio::time::sleep(send_at.saturating_sub(generator.recorder.now())).await;
         let proxy = proxies[random.generate_range(0..proxies.len())];
         let generator = generator.clone();
         let class = class.clone();
@@ -139,9 +140,9 @@
     while requests.join_next().await.is_some() {}
 }
 
-/// A draw of the exponentially distributed time between two requests.
-fn gap(random: &mut WyRand, rate: f64) -> Duration {
-    // Above 0 and at most 1, so that the logarithm is finite.
+/// Draws the time until the next request from an exponential distribution.
+fn random_interval(random: &mut WyRand, rate: f64) -> Duration {
+    // In (0, 1], so that the logarithm is finite.
     let uniform = (f64::from(random.generate::<u32>()) + 1.0) / (f64::from(u32::MAX) + 1.0);
-    Duration::from_secs_f64((-uniform.ln() / rate.max(MIN_RATE)).min(MAX_GAP_S))
+    Duration::from_secs_f64((-uniform.ln() / rate.max(MIN_RATE)).min(MAX_INTERVAL_S))
 }
--- a/crates/testbed/src/slow_start.rs
+++ b/crates/testbed/src/slow_start.rs
@@ -1,22 +1,22 @@
-//! How much a fake endpoint can do while it warms up. The rules on warming endpoints are checked by the same figures.
+//! The capacity of a fake endpoint while it warms up. The rule on warming endpoints is checked with the same model.
 
 use std::time::Duration;
 
-/// The warm-up of an endpoint's process: its capacity grows in a straight line from a fraction to the whole.
+/// The warm-up of an endpoint's process: its capacity grows linearly from an initial fraction to full capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The fraction of full capacity right after the start, from 0 to 1.
+    /// The fraction of full capacity immediately after the start, from 0 to 1.
     pub initial_fraction: f64,
-    /// From the start to full capacity.
+    /// The time from the start to full capacity.
     pub window: Duration,
-    /// How many times its present capacity an endpoint bears while it warms up.
+    /// The highest load that a warming endpoint survives, as a multiple of its current capacity.
     pub overload_factor: f64,
-    /// The time over which that work is counted.
+    /// The sliding window over which that load is measured.
     pub overload_window: Duration,
 }
 
 impl SlowStart {
-    /// The fraction of full capacity this long after the start; above 1 once the endpoint is warm.
+    /// Returns the fraction of full capacity at this time after the start. It exceeds 1 after the warm-up.
     #[must_use]
     pub fn fraction_at(&self, age: Duration) -> f64 {
         let progress = age.as_secs_f64() / self.window.as_secs_f64();
--- a/crates/testbed/src/traffic_event.rs
+++ b/crates/testbed/src/traffic_event.rs
@@ -1,19 +1,19 @@
-//! What passes on the sockets of a scenario. Reports hold these events as JSON: the names there, given by serde's
-//! attributes, are read by other programs and stay.
+//! Events of the traffic of a scenario. Reports contain these events as JSON, whose keys other programs read: they are
+//! fixed by serde attributes where the names here differ.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// One thing that passed on a socket, or that a test double did.
+/// Something that was observed on a socket or done by a test double.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum TrafficEvent {
-    /// A request's bytes reached an endpoint.
+    /// A request arrived at an endpoint.
     #[serde(rename = "Arrived")]
     RequestArrived {
         /// The endpoint's name.
         endpoint: String,
-        /// The proxy that forwarded the request.
+        /// The name of the proxy that forwarded the request.
         #[serde(rename = "relay")]
         proxy: String,
         /// The request's id.
@@ -21,9 +21,9 @@
         request: u64,
         /// The request's class.
         class: String,
-        /// In seconds of one core at full speed.
+        /// The work of the request, in seconds of one core at speed 1.
         work: f64,
-        /// The table in force at the proxy and its version, as `t0@17`.
+        /// The table by which the proxy chose the endpoint, with its version, such as `t0@17`.
         table: String,
     },
     /// An endpoint began to execute a request.
@@ -37,71 +37,71 @@
         /// The request's class.
         class: String,
     },
-    /// An endpoint's process started and warms up. Endpoints that run from the beginning have no such event.
+    /// An endpoint's process restarted and warms up. The initial process, which is warm, has no such event.
     #[serde(rename = "Started")]
     EndpointStarted {
         /// The endpoint's name.
         endpoint: String,
-        /// Its full capacity, in cores at speed 1.
+        /// The capacity of the warm process, in cores at speed 1.
         capacity: f64,
     },
-    /// An endpoint's process ended: connections are refused, which leaves no trace at the endpoint.
+    /// An endpoint's process ended. Connections are refused from then on, for which the endpoint records no event.
     #[serde(rename = "Stopped")]
     EndpointStopped {
         /// The endpoint's name.
         endpoint: String,
     },
-    /// An endpoint went down under the load that it got while it warmed up.
+    /// An endpoint's process went down because of overload during its warm-up.
     #[serde(rename = "Fell")]
     EndpointOverloaded {
         /// The endpoint's name.
         endpoint: String,
     },
-    /// A control stream at a proxy was opened or closed.
+    /// A control stream to a proxy was opened or closed.
     #[serde(rename = "Stream")]
     ControlStream {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// Opened, else closed.
+        /// True if it was opened, false if it was closed.
         open: bool,
     },
-    /// The fault injection stalled a proxy's control stream, or let it go on.
+    /// The fault injection stalled or resumed a proxy's control stream.
     #[serde(rename = "Stalled")]
     ControlStreamStalled {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// Stalled, else going on.
+        /// True if it was stalled, false if it was resumed.
         #[serde(rename = "on")]
         stalled: bool,
     },
-    /// A proxy started with this default table.
+    /// A proxy's process started with its default table.
     #[serde(rename = "Standing")]
     ProxyStarted {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// Endpoints of the default table.
+        /// The names of the endpoints in the default table.
         #[serde(rename = "servers")]
         endpoints: Vec<String>,
     },
-    /// A message with commands that change something reached a proxy.
+    /// A message with commands that change the proxy's state was sent to a proxy.
     #[serde(rename = "Line")]
     UpdateReceived {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// How many of its commands change something.
+        /// The number of its commands that change the state.
         commands: usize,
     },
-    /// A proxy answered all commands of a message.
+    /// A proxy answered all state-changing commands of a message.
     #[serde(rename = "Set")]
     UpdateAnswered {
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// The commands that change something, in their order.
+        /// The commands that change the state, in the order of the message.
         #[serde(rename = "orders")]
         commands: Vec<AnsweredCommand>,
     },
@@ -111,26 +111,26 @@
         /// The proxy's name.
         #[serde(rename = "relay")]
         proxy: String,
-        /// The proxy's own table version from then on; 0 if the snapshot changed nothing.
+        /// The proxy's own version of its tables after the snapshot; 0 if the snapshot changed nothing.
         #[serde(rename = "set")]
         version: u64,
         /// The tables that the snapshot assigns to the proxy.
         tables: Vec<AppliedTable>,
-        /// Which class is routed by which table; with none the proxy kept its tables.
+        /// The table of each class. If empty, the proxy kept its tables.
         #[serde(rename = "map")]
         class_tables: Vec<ClassTable>,
-        /// Endpoints that get no requests, whatever the tables say.
+        /// The ejected endpoints, which get no requests regardless of the tables.
         #[serde(rename = "withdrawn")]
         ejected: Vec<String>,
     },
-    /// The endpoint list was written for the controllers.
+    /// A new version of the endpoint list was written for the controllers.
     #[serde(rename = "Listed")]
     ListPublished {
         /// All endpoints on the list.
         #[serde(rename = "servers")]
         endpoints: Vec<ListedEndpoint>,
     },
-    /// A request ended for its client.
+    /// A client's request completed, after all of its attempts.
     #[serde(rename = "Visit")]
     RequestCompleted {
         /// The id of the last attempt.
@@ -141,52 +141,52 @@
         /// When the client sent its first attempt.
         #[serde(rename = "asked")]
         sent_at: Duration,
-        /// Of the final response; 0 if the client's timeout ended first.
+        /// The HTTP status of the last attempt; 0 if it got no response within the client's timeout.
         status: u16,
     },
 }
 
-/// A command to a proxy with the proxy's answer.
+/// A command to a proxy and the proxy's answer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, String)")]
 pub struct AnsweredCommand {
-    /// As it was sent.
+    /// The text of the command.
     pub command: String,
-    /// Without its final line end.
+    /// The answer, without the white space around it.
     pub answer: String,
 }
 
-/// A table as a proxy applied it from files.
+/// A table that a proxy applied from a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, Vec<EndpointWeight>)")]
 pub struct AppliedTable {
-    /// As `t0`.
+    /// The name of the table, such as `t0`.
     pub name: String,
-    /// All of its entries.
+    /// All entries of the table.
     pub entries: Vec<EndpointWeight>,
 }
 
-/// A table's entry.
+/// An entry of a table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, u32)")]
 pub struct EndpointWeight {
     /// The endpoint's name.
     pub endpoint: String,
-    /// From 0 to 256.
+    /// The weight, from 0 to 256.
     pub weight: u32,
 }
 
-/// The table that routes a class.
+/// The assignment of a table to a request class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, String)")]
 pub struct ClassTable {
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// The table's name, as `t0`.
+    /// The name of the table, such as `t0`.
     pub table: String,
 }
 
-/// An endpoint as the list has it.
+/// An endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, String, Option<Duration>)")]
 pub struct ListedEndpoint {
@@ -194,7 +194,7 @@
     pub name: String,
     /// `ready`, `draining` or `gone`.
     pub state: String,
-    /// When its process last started, if it did since the beginning.
+    /// When the process last restarted, since the start of the scenario; `None` for the initial process.
     pub started: Option<Duration>,
 }
 
--- a/crates/testbed/src/traffic_recorder.rs
+++ b/crates/testbed/src/traffic_recorder.rs
@@ -1,4 +1,4 @@
-//! The record of what passed on the sockets.
+//! The record of the traffic of a scenario.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,17 +7,17 @@
 
 use crate::traffic_event::TrafficEvent;
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TrafficRecord {
-    /// Since the start of the scenario.
+    /// The time since the start of the scenario.
     pub at: Duration,
-    /// What passed.
+    /// The event.
     #[serde(rename = "what")]
     pub event: TrafficEvent,
 }
 
-/// Where all test doubles of a scenario record events; clones write into the same record.
+/// Records the events of all test doubles of a scenario in order of time. Clones write to the same record.
 #[derive(Clone)]
 pub struct TrafficRecorder {
     start: Instant,
@@ -31,20 +31,20 @@
 }
 
 impl TrafficRecorder {
-    /// The time since the start of the scenario.
+    /// Returns the time since the start of the scenario, which is when the recorder was created.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Adds an event at the present time.
+    /// Adds an event with the current time.
     pub fn record(&self, event: TrafficEvent) {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
-        // The time is taken under the lock, so that the record is in order.
+        // The time is read under the lock so that records are in order of time.
         records.push(TrafficRecord { at: self.start.elapsed(), event });
     }
 
-    /// All that was recorded so far.
+    /// Returns a copy of all records so far.
     #[must_use]
     pub fn records(&self) -> Vec<TrafficRecord> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner).clone()
--- a/crates/testbed/tests/fake_endpoint.rs
+++ b/crates/testbed/tests/fake_endpoint.rs
@@ -1,4 +1,4 @@
-//! The fake endpoint on its socket.
+//! Tests of the fake endpoint over its socket.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Guards against a queue that is full for good once connections end while their requests wait.
+/// Guards against a queue that stays full after connections closed while their requests were waiting for a core.
 #[tokio::test]
-async fn connections_that_end_free_their_places_in_the_queue() {
+async fn closed_connections_free_their_places_in_the_queue() {
     let config = EndpointConfig {
         name: "e1".into(),
         cores: 1,
@@ -25,8 +25,8 @@
         },
     };
     let endpoint = FakeEndpoint::start(config, TrafficRecorder::default()).await.expect("started");
-    let mut busy = TcpStream::connect(endpoint.address).await.expect("connected");
-    busy.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
+    let mut executing = TcpStream::connect(endpoint.address).await.expect("connected");
+    executing.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
     for _ in 0..4 {
         let mut stream = TcpStream::connect(endpoint.address).await.expect("connected");
         stream.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
