--- a/crates/scenario/src/endpoint_list_file.rs
+++ b/crates/scenario/src/endpoint_list_file.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as a file that controllers read: replaced as a whole, at a new version each time.
+//! The endpoint list file that controllers read. Each change replaces the whole file under a new version.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,15 +8,15 @@
 
 use lockcroft_testbed::{ListedEndpoint, TrafficEvent, TrafficRecorder};
 
-/// When an endpoint's process started.
+/// The time at which an endpoint's process started, by both clocks.
 #[derive(Clone, Copy)]
 pub struct StartTime {
-    /// Since the start of the scenario.
+    /// The time since the start of the scenario.
     pub scenario_time: Duration,
     pub wall_clock: SystemTime,
 }
 
-/// An endpoint on the list.
+/// An endpoint in the list.
 pub struct ListEntry {
     pub zone: String,
     pub machine_type: String,
@@ -24,11 +24,11 @@
     pub weight: f64,
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// The last start, if there was one since the beginning.
+    /// The last restart; `None` if the initial process still runs.
     pub started: Option<StartTime>,
 }
 
-/// The list and its file.
+/// The endpoint list and its file.
 pub struct EndpointListFile {
     path: PathBuf,
     pub entries: BTreeMap<String, ListEntry>,
@@ -37,11 +37,12 @@
 }
 
 impl EndpointListFile {
+    /// Returns a list that is not yet written to its file.
     pub fn new(path: PathBuf, entries: BTreeMap<String, ListEntry>, recorder: TrafficRecorder) -> Self {
         EndpointListFile { path, entries, version: 0, recorder }
     }
 
-    /// Changes the state of these endpoints; [`write`](Self::write) publishes it.
+    /// Changes the state of these endpoints. [`write`](Self::write) publishes the change.
     pub fn set_state(&mut self, endpoints: &[String], state: &'static str) {
         for name in endpoints {
             if let Some(entry) = self.entries.get_mut(name) {
@@ -50,21 +51,21 @@
         }
     }
 
-    /// Notes that an endpoint's process started; [`write`](Self::write) publishes it.
+    /// Sets the start time of an endpoint's process. [`write`](Self::write) publishes the change.
     pub fn set_started(&mut self, endpoint: &str, scenario_time: Duration, wall_clock: SystemTime) {
         if let Some(entry) = self.entries.get_mut(endpoint) {
             entry.started = Some(StartTime { scenario_time, wall_clock });
         }
     }
 
-    /// Publishes the list.
+    /// Replaces the file by the current list under the next version, and records the publication.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn write(&mut self) -> io::Result<()> {
         let text = self.to_xml();
         self.version += 1;
-        // Readers must never see half a list.
+        // The file is replaced by a rename, so that readers never see an incomplete list.
         let temporary = self.path.with_extension("new");
         std::fs::write(&temporary, text)?;
         std::fs::rename(&temporary, &self.path)?;
--- a/crates/scenario/src/observed_state.rs
+++ b/crates/scenario/src/observed_state.rs
@@ -1,19 +1,19 @@
-//! What a proxy's tables held at each version, worked out again from the commands and snapshots that passed.
+//! The tables of a proxy at each version, reconstructed from the commands and snapshots that were recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use lockcroft_testbed::{AnsweredCommand, AppliedTable, ClassTable};
 
-/// The table that a proxy starts with, by the name that it has in commands.
+/// The name of the default table in commands.
 const DEFAULT_TABLE: &str = "standing";
 const FULL_WEIGHT: u32 = 256;
 
-/// A table's entry as the commands left it.
+/// An entry of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Entry {
     weight: u32,
-    /// Draining or ejected: it gets no requests whatever its weight.
+    /// True while the endpoint is draining or ejected. It gets no requests, regardless of its weight.
     not_ready: bool,
 }
 
@@ -23,36 +23,35 @@
     }
 }
 
-/// A state that a table was in.
+/// The state of a table at a version of the proxy.
 #[derive(Clone, Debug)]
 struct TableVersion {
     table: String,
     version: u64,
-    /// Weights of the entries that could be picked, by endpoint.
+    /// The weights of the entries that could be picked, by endpoint.
     weights: BTreeMap<String, u32>,
 }
 
-/// One proxy, followed by what passed on its sockets.
+/// The state of a proxy, reconstructed from the recorded traffic of its sockets.
 #[derive(Clone, Debug, Default)]
 pub struct ObservedState {
     tables: BTreeMap<String, BTreeMap<String, Entry>>,
-    /// Every state that a table was in, with the version that brought it about; a proxy that restarts counts versions
-    /// anew.
+    /// All states of all tables, each with the version that led to it. A proxy that restarts begins again at version 0.
     history: Vec<TableVersion>,
-    /// Where in the history the proxy's present process begins.
+    /// The index in the history at which the proxy's current process begins.
     incarnation_start: usize,
     version: u64,
     class_tables: BTreeMap<String, String>,
-    /// Ejected by the controller whose tables the proxy holds, where it reads files.
+    /// For a proxy that reads table files: the endpoints ejected by the snapshot that last assigned its tables.
     ejected: BTreeSet<String>,
     open_streams: usize,
     stalled: bool,
-    /// Since when it follows a controller: a control stream is open and not stalled.
+    /// The time since which a control stream has been open and not stalled; `None` while there is none.
     pub attached_since: Option<Duration>,
 }
 
 impl ObservedState {
-    /// The proxy started with this default table.
+    /// Resets the state for a new process with this default table.
     pub fn start(&mut self, endpoints: &[String], classes: &[String]) {
         let entry = |name: &String| (name.clone(), Entry { weight: FULL_WEIGHT, not_ready: false });
         let default_table = endpoints.iter().map(entry).collect();
@@ -60,17 +59,17 @@
         self.version = 0;
         self.incarnation_start = self.history.len();
         self.ejected.clear();
-        self.remember_all();
+        self.record_all();
         self.class_tables = classes.iter().map(|class| (class.clone(), DEFAULT_TABLE.into())).collect();
     }
 
-    /// A control stream was opened or closed.
+    /// Counts a control stream that was opened or closed.
     pub fn control_stream(&mut self, at: Duration, open: bool) {
         self.open_streams = if open { self.open_streams + 1 } else { self.open_streams.saturating_sub(1) };
         self.update_attached(at);
     }
 
-    /// The control stream was stalled, or goes on.
+    /// Sets whether the control stream is stalled.
     pub fn set_stalled(&mut self, at: Duration, stalled: bool) {
         self.stalled = stalled;
         self.update_attached(at);
@@ -81,17 +80,17 @@
         self.attached_since = if attached { self.attached_since.or(Some(at)) } else { None };
     }
 
-    /// An update with its answers; it changes something only if all of it was carried out.
+    /// Applies an answered update. It has an effect only if all of its commands succeeded.
     pub fn apply_update(&mut self, commands: &[AnsweredCommand]) {
         if commands.iter().all(|answered| is_success(&answered.answer)) {
             commands.iter().for_each(|answered| self.apply_command(&answered.command));
             self.version += 1;
-            self.remember_changed();
+            self.record_changed();
         }
     }
 
-    /// A snapshot of the table files. Without an assignment of a class the tables stay, and its ejections come to those
-    /// before.
+    /// Applies a snapshot of the table files. If it assigns no class, the proxy keeps its tables, and the ejections of the
+    /// snapshot are added to those of the one that last assigned tables. At version 0 no new state is recorded.
     pub fn apply_snapshot(
         &mut self,
         version: u64,
@@ -113,7 +112,7 @@
         }
         if version > 0 {
             self.version = version;
-            self.remember_all();
+            self.record_all();
         }
     }
 
@@ -127,29 +126,30 @@
         }
     }
 
-    /// Remembers the tables that are not as they were last.
-    fn remember_changed(&mut self) {
-        self.remember(|last, weights| last.is_none_or(|last| last.weights != *weights));
+    /// Adds the tables that differ from their last recorded state to the history.
+    fn record_changed(&mut self) {
+        self.record(|last, weights| last.is_none_or(|last| last.weights != *weights));
     }
 
-    /// Remembers all tables: entries that can't be picked may have come or gone, which makes a version too.
-    fn remember_all(&mut self) {
-        self.remember(|_, _| true);
+    /// Adds all tables to the history: a change of entries that can't be picked leads to a new version as well.
+    fn record_all(&mut self) {
+        self.record(|_, _| true);
     }
 
-    fn remember(&mut self, wanted: impl Fn(Option<&TableVersion>, &BTreeMap<String, u32>) -> bool) {
+    fn record(&mut self, is_recorded: impl Fn(Option<&TableVersion>, &BTreeMap<String, u32>) -> bool) {
         for (name, entries) in &self.tables {
             let pickable = entries.iter().filter(|(_, entry)| entry.can_be_picked());
             let weights: BTreeMap<String, u32> =
                 pickable.map(|(endpoint, entry)| (endpoint.clone(), entry.weight)).collect();
             let last = self.history[self.incarnation_start..].iter().rev().find(|past| past.table == *name);
-            if wanted(last, &weights) {
+            if is_recorded(last, &weights) {
                 self.history.push(TableVersion { table: name.clone(), version: self.version, weights });
             }
         }
     }
 
-    /// The states that a table was in at this version, named as `t0@17`; a restarted proxy may repeat a version.
+    /// Returns the states of a table at a version, such as `t0@17`. There may be several, as a restarted proxy repeats
+    /// versions.
     fn states_at<'a>(&'a self, table_version: &str) -> impl Iterator<Item = &'a TableVersion> {
         let parts = table_version.split_once('@');
         let name_and_version = parts.and_then(|(name, version)| Some((name, version.parse::<u64>().ok()?)));
@@ -158,13 +158,13 @@
         })
     }
 
-    /// Whether the table at this version, as `t0@17`, has an entry for the endpoint that can be picked.
+    /// Returns true if the table at a version, such as `t0@17`, had an entry for the endpoint that could be picked.
     #[must_use]
     pub fn could_pick(&self, table_version: &str, endpoint: &str) -> bool {
         self.states_at(table_version).any(|state| state.weights.contains_key(endpoint))
     }
 
-    /// The weights of a table's entries at this version, if it was in one such state only.
+    /// Returns the weights of the entries of a table at a version, if it had exactly one state at that version.
     #[must_use]
     pub fn weights(&self, table_version: &str) -> Option<&BTreeMap<String, u32>> {
         let mut states = self.states_at(table_version);
@@ -172,7 +172,7 @@
         states.next().is_none().then_some(&first.weights)
     }
 
-    /// Whether some class has no entry that can be picked.
+    /// Returns true if the table of some class has no entry that can be picked.
     #[must_use]
     pub fn lacks_endpoint(&self) -> bool {
         self.class_tables.values().any(|table| {
@@ -194,10 +194,10 @@
                 self.tables.entry(table).or_default().remove(&endpoint);
             }
             ["set", "server", path, "weight", weight] => {
-                self.change_entry(path, |entry| entry.weight = weight.parse().unwrap_or(0));
+                self.update_entry(path, |entry| entry.weight = weight.parse().unwrap_or(0));
             }
             ["set", "server", path, "state", state] => {
-                self.change_entry(path, |entry| entry.not_ready = state != "ready");
+                self.update_entry(path, |entry| entry.not_ready = state != "ready");
             }
             ["set" | "add", "map", "classes", class, table] => {
                 self.class_tables.insert(class.into(), table.into());
@@ -206,7 +206,7 @@
         }
     }
 
-    fn change_entry(&mut self, path: &str, change: impl FnOnce(&mut Entry)) {
+    fn update_entry(&mut self, path: &str, change: impl FnOnce(&mut Entry)) {
         let EntryPath { table, endpoint } = EntryPath::from(path);
         if let Some(entry) = self.tables.get_mut(&table).and_then(|entries| entries.get_mut(&endpoint)) {
             change(entry);
@@ -214,7 +214,7 @@
     }
 }
 
-/// An entry as commands name it: `t0/e1`.
+/// The path of an entry in commands, such as `t0/e1`.
 struct EntryPath {
     table: String,
     endpoint: String,
@@ -227,7 +227,7 @@
     }
 }
 
-/// Whether an answer of the runtime API says that the command was carried out.
+/// Returns true if an answer of the runtime API reports success.
 fn is_success(answer: &str) -> bool {
     let successes = ["New server registered", "Server deleted", "address changed", "nothing changed"];
     answer.is_empty() || successes.iter().any(|success| answer.starts_with(success))
--- a/crates/scenario/src/owned_task.rs
+++ b/crates/scenario/src/owned_task.rs
@@ -1,4 +1,4 @@
-//! A task that ends with its owner.
+//! A task that is aborted with its owner.
 
 use tokio::task::JoinHandle;
 
@@ -6,7 +6,7 @@
 pub struct OwnedTask(JoinHandle<()>);
 
 impl OwnedTask {
-    /// Starts the task on the present runtime.
+    /// Spawns the task on the current Tokio runtime. Panics outside of one.
     pub fn spawn(task: impl Future<Output = ()> + Send + 'static) -> Self {
         OwnedTask(tokio::spawn(task))
     }
--- a/crates/scenario/src/proxy_fleet.rs
+++ b/crates/scenario/src/proxy_fleet.rs
@@ -1,33 +1,33 @@
-//! The proxies of a scenario.
+//! Settings of the proxies of a scenario.
 
 use std::time::Duration;
 
 use lockcroft_proxy::{LoadBalancingPolicy, ProxyConfig};
 
-/// The proxies; what is not stated stays as a proxy has it by default.
+/// The settings of all proxies. For `None` a proxy uses its own default.
 #[derive(Clone, Debug)]
 pub struct ProxyFleet {
-    /// Proxies in each zone.
+    /// The number of proxies in each zone.
     pub per_zone: usize,
-    /// Endpoints of its own zone in a proxy's default table.
+    /// The number of endpoints of its own zone in a proxy's default table.
     pub default_table_entries: usize,
-    /// From where proxies get their tables.
+    /// The source from which proxies get their tables.
     pub table_source: TableSource,
-    /// How proxies choose an endpoint.
+    /// The policy by which proxies choose an endpoint.
     pub policy: Option<LoadBalancingPolicy>,
-    /// How long a proxy's own outlier ejection lasts.
+    /// The duration of a local outlier ejection at a proxy.
     pub ejection_time: Option<Duration>,
-    /// How long an attempt may take.
+    /// The time limit for an attempt.
     pub attempt_timeout: Option<Duration>,
-    /// Retries for each first attempt, at most.
+    /// The maximum number of retries per first attempt.
     pub retry_ratio: Option<f64>,
-    /// Requests in flight to an endpoint, at most.
+    /// The maximum number of requests in flight to an endpoint.
     pub max_in_flight: Option<usize>,
-    /// Requests that wait for an endpoint, at most.
+    /// The maximum number of requests that wait for capacity at an endpoint.
     pub max_queued_requests: Option<usize>,
 }
 
-/// From where a proxy gets its tables.
+/// The source from which a proxy gets its tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TableSource {
     /// Commands on its control socket.
@@ -35,12 +35,12 @@
     Commands,
     /// A folder of table files.
     Files,
-    /// Every second proxy reads files.
+    /// Table files for every second proxy, commands for the others.
     Mixed,
 }
 
 impl TableSource {
-    /// Whether the proxy of this number, from 0, reads files.
+    /// Returns true if the proxy of this number, counted from 0, reads table files.
     #[must_use]
     pub fn reads_files(self, number: usize) -> bool {
         self == TableSource::Files || self == TableSource::Mixed && number % 2 == 1
@@ -48,7 +48,7 @@
 }
 
 impl ProxyFleet {
-    /// Puts what is stated here into a proxy's configuration.
+    /// Overwrites a proxy's configuration with the settings that are given here.
     pub fn apply(&self, config: &mut ProxyConfig) {
         config.limits.policy = self.policy.unwrap_or(config.limits.policy);
         config.limits.ejection_time = self.ejection_time.unwrap_or(config.limits.ejection_time);
--- a/crates/scenario/src/resource_meter.rs
+++ b/crates/scenario/src/resource_meter.rs
@@ -1,4 +1,4 @@
-//! What a controller's process takes of the machine, second by second, from the kernel's own account.
+//! CPU and memory usage of a controller's process, sampled once per second from `/proc`.
 
 use std::fmt;
 use std::fs;
@@ -15,19 +15,19 @@
 /// The kernel counts CPU time in ticks of a hundredth of a second (`USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
 const KIB_PER_MIB: f64 = 1024.0;
-/// Names of the threads of proxies and of their reading of files begin so.
+/// Prefixes of the names of the threads that run proxies and of those that read their table files.
 const PROXY_THREADS: [&str; 2] = ["proxies-", "files-"];
-/// Where user and system time stand among the fields behind a process's name in `/proc/PID/stat`.
+/// Indexes of user and system time among the fields after the process name in `/proc/PID/stat`.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// What a controller's process took within a second.
+/// The usage of a controller's process since the previous sample.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64, f64)")]
 pub struct ResourceSample {
-    /// In seconds since the start of the scenario.
+    /// The time of the sample, in seconds since the start of the scenario.
     pub at_s: f64,
-    /// Cores in use.
+    /// CPU usage in cores, averaged since the previous sample.
     pub cores: f64,
     /// Resident memory in MiB.
     pub memory_mib: f64,
@@ -39,12 +39,12 @@
     }
 }
 
-/// What the controller and the proxies took of the machine. The names in JSON stay.
+/// The resource usage of the controller and of the proxies. Other programs read the names in JSON, which are fixed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ResourceUsage {
-    /// A sample of the controller a second.
+    /// Samples of the controller's process, one per second.
     pub samples: Vec<ResourceSample>,
-    /// Seconds of CPU that the threads of all proxies took, their reading of files among it.
+    /// CPU time of the threads of all proxies, including the reading of table files, in seconds.
     #[serde(rename = "proxies_s")]
     pub proxy_cpu_s: f64,
 }
@@ -65,33 +65,34 @@
     }
 }
 
-/// Samples a controller's process for as long as it lives.
+/// Samples the resource usage of a controller's process until it is finished or dropped.
 pub struct ResourceMeter {
     samples: Arc<Mutex<Vec<ResourceSample>>>,
     sampling: OwnedTask,
 }
 
-/// The kernel's account of a process.
+/// The usage counters of a process, read from `/proc`.
 #[derive(Clone, Copy)]
-struct ProcessAccount {
+struct ProcessUsage {
     process_id: u32,
-    /// When it was read, in seconds since the start of the scenario.
+    /// The time of reading, in seconds since the start of the scenario.
     at_s: f64,
-    /// CPU time since the start of the process.
+    /// The CPU time since the start of the process, in clock ticks.
     cpu_ticks: f64,
     memory_mib: f64,
 }
 
 impl ResourceMeter {
-    /// Samples the process of this number, whichever that is at the time; 0 is none.
+    /// Starts to sample the process whose id `process_id` currently contains; 0 stands for none. The id may change when
+    /// the process is restarted.
     #[must_use]
     pub fn start(process_id: Arc<AtomicU32>, recorder: TrafficRecorder) -> Self {
         let samples = Arc::new(Mutex::new(Vec::new()));
-        let sampling = OwnedTask::spawn(sample(process_id, recorder, samples.clone()));
+        let sampling = OwnedTask::spawn(sample_usage(process_id, recorder, samples.clone()));
         ResourceMeter { samples, sampling }
     }
 
-    /// Ends the sampling and gives what was seen.
+    /// Stops the sampling and returns the usage so far.
     #[must_use]
     pub fn finish(self) -> ResourceUsage {
         drop(self.sampling);
@@ -100,44 +101,46 @@
     }
 }
 
-async fn sample(
+async fn sample_usage(
     process_id: Arc<AtomicU32>,
     recorder: TrafficRecorder,
     samples: Arc<Mutex<Vec<ResourceSample>>>,
 ) {
-    let mut last: Option<ProcessAccount> = None;
+    let mut last: Option<ProcessUsage> = None;
     loop {
         tokio::time::sleep(SAMPLE_INTERVAL).await;
         let at_s = recorder.now().as_secs_f64();
-        let account = ProcessAccount::read(process_id.load(Ordering::Relaxed), at_s);
-        if let (Some(last), Some(account)) = (last, account)
-            && last.process_id == account.process_id
+        let usage = ProcessUsage::read(process_id.load(Ordering::Relaxed), at_s);
+        if let (Some(last), Some(usage)) = (last, usage)
+            && last.process_id == usage.process_id
         {
-            let sample = account.since(&last);
+            let sample = usage.since(&last);
             samples.lock().unwrap_or_else(PoisonError::into_inner).push(sample);
         }
-        last = account;
+        last = usage;
     }
 }
 
-impl ProcessAccount {
+impl ProcessUsage {
+    /// Reads the counters, or returns `None` if the process doesn't exist.
     fn read(process_id: u32, at_s: f64) -> Option<Self> {
         let stat = fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
-        // The name in brackets may hold blanks and brackets.
+        // The process name is in parentheses and may itself contain spaces and parentheses.
         let cpu_ticks = cpu_ticks(stat.rsplit_once(')')?.1)?;
         let status = fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_mib = resident.trim().trim_end_matches(" kB").parse::<f64>().ok()? / KIB_PER_MIB;
-        Some(ProcessAccount { process_id, at_s, cpu_ticks, memory_mib })
+        Some(ProcessUsage { process_id, at_s, cpu_ticks, memory_mib })
     }
 
-    fn since(&self, last: &ProcessAccount) -> ResourceSample {
+    /// Returns the usage between an earlier reading and this one.
+    fn since(&self, last: &ProcessUsage) -> ResourceSample {
         let cores = (self.cpu_ticks - last.cpu_ticks) / TICKS_PER_SECOND / (self.at_s - last.at_s);
         ResourceSample { at_s: self.at_s, cores, memory_mib: self.memory_mib }
     }
 }
 
-/// Seconds of CPU so far of this process's own threads whose names begin so.
+/// Returns the CPU time of the current process's threads whose names have one of the prefixes, in seconds.
 fn cpu_seconds_of_threads(prefixes: &[&str]) -> f64 {
     let threads = fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let ticks = |thread: fs::DirEntry| {
@@ -149,7 +152,7 @@
     threads.filter_map(ticks).sum::<f64>() / TICKS_PER_SECOND
 }
 
-/// User and system time among the fields behind a process's or thread's name.
+/// Returns the sum of user and system time from the fields after the name of a process or thread.
 fn cpu_ticks(fields: &str) -> Option<f64> {
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let user: f64 = fields.get(USER_TIME_FIELD)?.parse().ok()?;
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -43,7 +43,7 @@
         controller.map_err(|source| ScenarioError::Program { path: program.into(), source })?;
     let meter = ResourceMeter::start(controller.process_id(), stage.recorder.clone());
     let load = LoadGenerator::new(stage.recorder.clone());
-    let watcher = OwnedTask::spawn(stage.table_folder.clone().watch(stage.recorder.clone()));
+    let watcher = OwnedTask::spawn(stage.table_folder.clone().record_applied(stage.recorder.clone()));
     let _clients = start_load(scenario, &stage, &load);
     for step in steps(&scenario.faults).iter().filter(|step| step.at < scenario.duration) {
         tokio::time::sleep(step.at.saturating_sub(stage.recorder.now())).await;
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -1,5 +1,5 @@
-//! The folder of table files of a scenario, and what its proxies apply from it: a proxy's status says which snapshot it
-//! applied as which version of its own, and what that snapshot holds is read here again from the folder.
+//! The folder of table files of a scenario, and a task that records the snapshots that proxies apply from it. The status
+//! file of a proxy names each applied snapshot and the proxy's own version; the content is read from the folder.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -15,23 +15,23 @@
 use lockcroft_testbed::{AppliedTable, ClassTable, EndpointWeight, TrafficEvent, TrafficRecorder};
 use tokio::sync::Mutex;
 
-/// Much shorter than the time for which old snapshots are kept, so that each is still there when it is looked up.
+/// Much shorter than the time for which old snapshots are kept, so that an applied snapshot can still be read.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const PROXY_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// More than a controller keeps by default, so that the snapshots of the past can be looked up.
+/// More than a controller keeps by default, so that applied snapshots can still be read.
 const KEPT_SNAPSHOTS: usize = 64;
 const KEY_FILE_MODE: u32 = 0o600;
 
-/// Where the table files of a scenario are.
+/// The folder of table files of a scenario and its key file.
 #[derive(Clone)]
 pub struct TableFolder {
     folder: PathBuf,
-    keys: PathBuf,
-    /// Held while a proxy restarts, so that nothing is recorded of the new process before its start is.
+    key_file: PathBuf,
+    /// Held while a proxy restarts, so that its start is recorded before anything else of the new process.
     pub restart_lock: Arc<Mutex<()>>,
 }
 
-/// A status that was recorded already.
+/// Identifies an applied snapshot in a proxy's status that was already recorded.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SeenStatus {
     proxy: String,
@@ -42,55 +42,55 @@
 }
 
 impl TableFolder {
-    /// Makes the folder, with a key of its own.
+    /// Creates the folder and a key file in `base`.
     ///
     /// # Errors
     /// The folder or the key file can't be written.
     pub fn create(base: &Path) -> io::Result<Self> {
         let folder = base.join("tables");
-        let keys = base.join("keys");
+        let key_file = base.join("keys");
         fs::create_dir_all(&folder)?;
-        // The secret of a scenario guards nothing.
-        fs::write(&keys, format!("rehearsed {}\n", "5e".repeat(32)))?;
-        fs::set_permissions(&keys, fs::Permissions::from_mode(KEY_FILE_MODE))?;
-        Ok(TableFolder { folder, keys, restart_lock: Arc::default() })
+        // A fixed key is sufficient, as a scenario has nothing to protect.
+        fs::write(&key_file, format!("rehearsed {}\n", "5e".repeat(32)))?;
+        fs::set_permissions(&key_file, fs::Permissions::from_mode(KEY_FILE_MODE))?;
+        Ok(TableFolder { folder, key_file, restart_lock: Arc::default() })
     }
 
-    /// The element of a controller's configuration.
+    /// Returns the element `files` of a controller's configuration.
     #[must_use]
     pub fn controller_xml(&self) -> String {
         format!(
             "<files folder=\"{}\" keys=\"{}\" generations=\"{KEPT_SNAPSHOTS}\" look-every=\"100ms\"/>\n",
             self.folder.display(),
-            self.keys.display()
+            self.key_file.display()
         )
     }
 
-    /// The part of a proxy's configuration.
+    /// Returns the settings of table files for a proxy's configuration.
     #[must_use]
     pub fn proxy_config(&self) -> TableFilesConfig {
         TableFilesConfig {
             folder: self.folder.clone(),
-            key_file: self.keys.clone(),
+            key_file: self.key_file.clone(),
             poll_interval: PROXY_POLL_INTERVAL,
         }
     }
 
-    /// Records what proxies apply, until it is dropped.
-    pub async fn watch(self, recorder: TrafficRecorder) {
-        let Ok(keys) = read_keys(&self.keys) else { return };
+    /// Records the snapshots that proxies apply, until the future is dropped.
+    pub async fn record_applied(self, recorder: TrafficRecorder) {
+        let Ok(keys) = read_keys(&self.key_file) else { return };
         let layout = StoreLayout::new(&self.folder);
         let mut statuses = StatusReader::default();
         let mut seen = BTreeSet::new();
         loop {
             tokio::time::sleep(STATUS_POLL_INTERVAL).await;
-            // An asynchronous lock, which a restart holds over its own waits.
+            // An asynchronous lock, because a restart holds it across await points.
             let _no_restart = self.restart_lock.lock().await;
             for status in statuses.read_changed(&self.folder).unwrap_or_default() {
                 for applied in
                     status.laid.iter().filter(|applied| seen.insert(SeenStatus::new(&status, applied)))
                 {
-                    // A snapshot that is gone already can't be judged: choices by it count as outside of the table.
+                    // A deleted snapshot can't be recorded. The check then counts choices by it as violations.
                     if let Ok(snapshot) = load_snapshot(&layout, applied.epoch, applied.version, &keys) {
                         recorder.record(applied_event(&status.proxy, applied, &snapshot.content));
                     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// What a snapshot holds for this proxy.
+/// Returns the event of a proxy that applied a snapshot, with the content of the snapshot for this proxy.
 fn applied_event(proxy: &str, applied: &proto::Laid, content: &SnapshotContent) -> TrafficEvent {
     let group = content.group_number_of(proxy).map(|number| &content.groups[&number]);
     let assignments: Vec<_> = group.into_iter().flat_map(|group| &group.assignments).collect();
@@ -140,7 +140,7 @@
     }
 }
 
-/// As proxies name the table.
+/// Returns the name that proxies give to the table of this number.
 fn table_name(number: u32) -> String {
     format!("t{number}")
 }
--- a/crates/scenario/src/xml.rs
+++ b/crates/scenario/src/xml.rs
@@ -1,4 +1,4 @@
-//! The XML of scenarios: the one place that knows its names of elements and attributes. The schema is `day.xsd`.
+//! Reads scenarios from XML. The names of elements and attributes, which `day.xsd` defines, are mapped here only.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -12,18 +12,18 @@
 use crate::scenario::{EndpointGroup, LoadProfile, Scenario};
 use crate::variants::{MachineTypeWeight, SearchSpace, SettingOverride, Variant};
 
-/// The schema of scenario files.
+/// The XML schema of scenario files.
 pub const SCHEMA: &str = include_str!("../day.xsd");
-/// Each action with its updates and acknowledgements.
+/// Includes each action with its updates and acknowledgements.
 const DEFAULT_LOG_LEVELS: &str =
     "info,lockcroft::action=debug,lockcroft::update=debug,lockcroft::acknowledgement=debug";
-const DEFAULT_NOTICE: Duration = Duration::from_secs(1);
+const DEFAULT_NOTICE_DELAY: Duration = Duration::from_secs(1);
 
 impl Scenario {
-    /// Reads a scenario's file.
+    /// Reads a scenario from a file.
     ///
     /// # Errors
-    /// All that is wrong with the file.
+    /// Returns all errors in the file, or that it can't be read.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         read(&Document::open(file, SCHEMA)?)
     }
@@ -31,13 +31,16 @@
     /// Reads a scenario from the text of a file.
     ///
     /// # Errors
-    /// All that is wrong with the text.
+    /// Returns all errors in the text.
     pub fn parse(text: &str) -> Result<Self, ConfigErrors> {
         read(&Document::new(Path::new("day.xml"), text.into(), SCHEMA)?)
     }
 }
 
-/// Reads a document that its schema allows.
+/// Reads a document that is valid by the schema.
+///
+/// # Errors
+/// Returns the errors in attributes that the schema can't check.
 fn read(document: &Document) -> Result<Scenario, ConfigErrors> {
     let tree = document.tree();
     let root = tree.root_element();
@@ -52,7 +55,7 @@
         log_levels: root.attribute("log").unwrap_or(DEFAULT_LOG_LEVELS).into(),
         settings: settings.unwrap_or_default(),
         endpoints: elements("endpoints").map(endpoint_group).collect(),
-        proxies: proxies.expect("the schema requires the element"),
+        proxies: proxies.expect("the schema requires the element relays"),
         load: elements("visits").map(load_profile).collect(),
         faults,
         variants: variants(document, elements("way"))?,
@@ -87,7 +90,7 @@
     }
 }
 
-/// The schema allows no other names.
+/// Returns the table source of this name; the schema allows no others.
 fn table_source(name: &str) -> TableSource {
     match name {
         "files" => TableSource::Files,
@@ -115,12 +118,12 @@
         proxy: node.attribute("relay").map(String::from),
         factor: number(node, "times", 1.0),
         after_commands: number(node, "after-commands", 1.0) as usize,
-        notice_delay: time(node, "notice").unwrap_or(DEFAULT_NOTICE),
+        notice_delay: time(node, "notice").unwrap_or(DEFAULT_NOTICE_DELAY),
         command: text(node, "command"),
     }
 }
 
-/// The schema allows no other names.
+/// Returns the kind of fault of this name; the schema allows no others.
 fn fault_kind(name: &str) -> FaultKind {
     match name {
         "hang" => FaultKind::Hang,
@@ -144,7 +147,7 @@
     SearchSpace { machine_type: text(node, "kind"), weights }
 }
 
-/// The variants, or the errors of all of them.
+/// Reads all variants, or returns the errors of all of them.
 fn variants<'t>(
     document: &Document,
     nodes: impl Iterator<Item = Node<'t, 't>>,
@@ -155,14 +158,13 @@
 }
 
 fn variant(document: &Document, node: Node, errors: &mut Vec<ConfigError>) -> Variant {
-    let invalid = |word: &str, expected: &str| {
-        document.error(node, format!("{word:?} is not to be read"), Some(expected))
-    };
+    let invalid =
+        |word: &str, expected: &str| document.error(node, format!("can't parse {word:?}"), Some(expected));
     let overrides = words(node, "set").map(|word| {
         let expected = "element/attribute=value or element/child/attribute=value";
         setting_override(word).ok_or_else(|| invalid(word, expected))
     });
-    let overrides = valid(overrides, errors);
+    let overrides = collect_valid(overrides, errors);
     let weights = words(node, "weights").map(|word| {
         machine_type_weight(word).ok_or_else(|| invalid(word, "kind=weight, the weight above 0"))
     });
@@ -170,13 +172,16 @@
         name: text(node, "name"),
         without: words(node, "without").map(String::from).collect(),
         overrides,
-        weights: valid(weights, errors),
+        weights: collect_valid(weights, errors),
         table_source: node.attribute("front").map(table_source),
     }
 }
 
-/// What could be read; the errors go to the others.
-fn valid<T>(results: impl Iterator<Item = Result<T, ConfigError>>, errors: &mut Vec<ConfigError>) -> Vec<T> {
+/// Returns the values that could be read and appends the errors of the others to `errors`.
+fn collect_valid<T>(
+    results: impl Iterator<Item = Result<T, ConfigError>>,
+    errors: &mut Vec<ConfigError>,
+) -> Vec<T> {
     results.filter_map(|result| result.map_err(|error| errors.push(error)).ok()).collect()
 }
 
@@ -202,7 +207,7 @@
     (weight > 0.0).then(|| MachineTypeWeight { machine_type: machine_type.into(), weight })
 }
 
-/// The child elements as they stand in the text, a line each.
+/// Returns the source text of the child elements, one per line.
 fn inner_xml(text: &str, node: Node) -> String {
     let children = node.children().filter(Node::is_element).map(|child| &text[child.range()]);
     children.fold(String::new(), |all, child| all + child + "\n")
