--- a/crates/scenario/src/check_result.rs
+++ b/crates/scenario/src/check_result.rs
@@ -1,31 +1,33 @@
-//! What came of the check of one rule.
+//! The result of the check of one rule.
 
 use serde::Serialize;
 
-/// One rule with its figure, which must not exceed its limit. The names in JSON are read by other programs and stay.
+/// A rule with the worst value that was measured, which must not exceed the limit. Other programs read the names in
+/// JSON, which are fixed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CheckResult {
-    /// The rule's name.
+    /// The name of the rule.
     pub rule: &'static str,
-    /// What the figure counts, with its unit.
+    /// The unit of the value, or what it counts.
     #[serde(rename = "of")]
     pub unit: &'static str,
-    /// The worst that was seen.
+    /// The highest value that was measured, or the number of violations.
     #[serde(rename = "figure")]
     pub worst_value: f64,
-    /// The most that the rule allows.
+    /// The highest value that the rule allows.
     pub limit: f64,
-    /// Who and when, at the figure.
+    /// The endpoint, proxy, request or time at which the worst value was measured; empty if there is none.
     #[serde(rename = "at")]
     pub location: String,
 }
 
 impl CheckResult {
+    /// Returns the result of a rule for which nothing was measured yet.
     pub(crate) fn new(rule: &'static str, unit: &'static str, limit: f64) -> Self {
         CheckResult { rule, unit, worst_value: 0.0, limit, location: String::new() }
     }
 
-    /// Takes a figure that was seen; the worst one stays.
+    /// Adds a measured value. The highest one and its location are kept.
     pub(crate) fn observe(&mut self, value: f64, location: impl FnOnce() -> String) {
         if value > self.worst_value {
             self.worst_value = value;
@@ -33,12 +35,12 @@
         }
     }
 
-    /// Counts one violation more.
-    pub(crate) fn count(&mut self, location: impl FnOnce() -> String) {
+    /// Counts one more violation, whose location is kept.
+    pub(crate) fn count_violation(&mut self, location: impl FnOnce() -> String) {
         self.observe(self.worst_value + 1.0, location);
     }
 
-    /// Whether the rule was kept.
+    /// Returns true if the worst value does not exceed the limit.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.worst_value <= self.limit
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,9 @@
-//! Plays a scripted scenario: a real controller in a process of its own, real proxies, fake endpoints on loopback, and
-//! fault injections by time. Judges the five rules from what passed on the sockets, never from the controller's own
-//! account.
+//! Runs scripted scenarios: a real controller in its own process, real proxies, fake endpoints on loopback, and fault
+//! injections at given times. The rules are checked on the traffic recorded at the sockets, never on what the
+//! controller reports about itself.
 //!
-//! [`Scenario`] is what a file says, [`run`] plays it, [`check_rules`] checks the rules, [`score`] weighs the requests.
+//! [`Scenario`] is read from a file, [`run`] runs it, [`check_rules`] checks the rules on the recorded traffic, and
+//! [`score`] computes the goodput.
 
 #![warn(missing_docs)]
 
--- a/crates/scenario/src/observed_state.rs
+++ b/crates/scenario/src/observed_state.rs
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Applies a snapshot of the table files. If it assigns no class, the proxy keeps its tables, and the ejections of the
-    /// snapshot are added to those of the one that last assigned tables. At version 0 no new state is recorded.
+    /// Applies a snapshot of the table files. If it assigns no class, the proxy keeps its tables, and the ejections
+    /// of the snapshot are added to those of the one that last assigned tables. At version 0 no new state is
+    /// recorded.
     pub fn apply_snapshot(
         &mut self,
         version: u64,
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,5 +1,5 @@
-//! What came of a scenario, as JSON for programs and as text for people. The names in JSON and the words of the text
-//! stay.
+//! The report of a scenario, as JSON for programs and as text for people. The names in JSON and the words of the text
+//! are fixed.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 use crate::resource_meter::ResourceUsage;
 use crate::score::{RestartScore, Score};
 
-/// The rows of the controller's `show info` that the text has.
+/// The rows of the controller's `show info` that the text contains.
 const INFO_ROWS: [&str; 13] = [
     "OrderMsP50",
     "OrderMsP99",
@@ -27,46 +27,46 @@
     "LaidMsMost",
 ];
 
-/// What came of a scenario.
+/// The report of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// A result for each rule.
+    /// The result of each rule.
     #[serde(rename = "verdicts")]
     pub checks: Vec<CheckResult>,
-    /// What was earned.
+    /// The goodput and related figures.
     pub score: Score,
-    /// The controller's `show info` at the end; for people, not for the checks.
+    /// The lines of the controller's `show info` at the end. The checks don't use them.
     #[serde(rename = "pilot")]
     pub controller_info: Vec<String>,
-    /// What the controller and the proxies took of the machine.
+    /// The resource usage of the controller and of the proxies.
     #[serde(rename = "load")]
     pub resource_usage: ResourceUsage,
-    /// Of the controller's process, if it ended in time.
+    /// The exit code of the controller's process, if it ended within its timeout.
     #[serde(rename = "exit")]
     pub exit_code: Option<i32>,
-    /// All that passed on the sockets.
+    /// The recorded traffic.
     pub records: Vec<TrafficRecord>,
 }
 
-/// What came of a scenario, without all that passed.
+/// The report of a scenario without the recorded traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// What was earned.
+    /// The goodput and related figures.
     pub score: Score,
-    /// Names of the rules that were broken.
+    /// The names of the rules that were broken.
     #[serde(rename = "broken")]
     pub broken_rules: Vec<String>,
 }
 
 impl Report {
-    /// The report without the record.
+    /// Returns the report without the recorded traffic.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let broken_rules = self.broken_rules().map(String::from).collect();
         Summary { score: self.score.clone(), broken_rules }
     }
 
-    /// Whether all rules were kept.
+    /// Returns true if all rules were kept.
     #[must_use]
     pub fn all_checks_passed(&self) -> bool {
         self.checks.iter().all(CheckResult::passed)
@@ -79,9 +79,9 @@
     fn write_checks(&self, out: &mut fmt::Formatter) -> fmt::Result {
         for check in &self.checks {
             let CheckResult { rule, unit, worst_value, limit, location } = check;
-            let verdict = if check.passed() { "kept" } else { "BROKEN" };
+            let result = if check.passed() { "kept" } else { "BROKEN" };
             let location = if location.is_empty() { String::new() } else { format!(" ({location})") };
-            writeln!(out, "{verdict:6} {rule:20} {worst_value:.2} of {limit:.2} {unit}{location}")?;
+            writeln!(out, "{result:6} {rule:20} {worst_value:.2} of {limit:.2} {unit}{location}")?;
         }
         Ok(())
     }
--- a/crates/scenario/src/rules/availability.rs
+++ b/crates/scenario/src/rules/availability.rs
@@ -1,4 +1,4 @@
-//! The rule that each class has an endpoint at each proxy that follows a controller.
+//! The rule that each class has a usable endpoint at each proxy with a control stream.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 use crate::rules::fleet_history::FleetHistory;
 use crate::rules::limits::Limits;
 
+/// Measures how long a class has no usable endpoint at a proxy.
 pub struct Availability {
     result: CheckResult,
-    /// Since when a proxy has lacked an endpoint for a class.
-    lacking_since: BTreeMap<String, Duration>,
+    /// By proxy, the time since which some class has had no endpoint that can be picked.
+    without_endpoint_since: BTreeMap<String, Duration>,
 }
 
 impl Availability {
@@ -18,27 +19,29 @@
         let limit = limits.max_time_without_endpoints.as_secs_f64();
         Availability {
             result: CheckResult::new("endpoint for all", "s without a line", limit),
-            lacking_since: BTreeMap::new(),
+            without_endpoint_since: BTreeMap::new(),
         }
     }
 
-    /// Looks at one proxy, after each change of its state.
+    /// Evaluates one proxy; to be called after each change of its state. Time counts only while the proxy is attached
+    /// and the list has a ready endpoint that is not warming up.
     pub fn evaluate(&mut self, at: Duration, proxy: &str, fleet: &FleetHistory) {
         let state = fleet.proxy(proxy);
-        let lacking = state.is_some_and(|state| state.attached_since.is_some() && state.lacks_endpoint());
-        let since = self.lacking_since.get(proxy).copied();
+        let lacks_endpoint =
+            state.is_some_and(|state| state.attached_since.is_some() && state.lacks_endpoint());
+        let since = self.without_endpoint_since.get(proxy).copied();
         if let Some(since) = since {
-            let unserved = (at - since).as_secs_f64();
-            self.result.observe(unserved, || format!("{proxy} until {:.1} s", at.as_secs_f64()));
+            let duration_s = (at - since).as_secs_f64();
+            self.result.observe(duration_s, || format!("{proxy} until {:.1} s", at.as_secs_f64()));
         }
-        if lacking && fleet.has_warm_endpoint(at) {
-            self.lacking_since.insert(proxy.into(), since.unwrap_or(at));
+        if lacks_endpoint && fleet.has_warm_endpoint(at) {
+            self.without_endpoint_since.insert(proxy.into(), since.unwrap_or(at));
         } else {
-            self.lacking_since.remove(proxy);
+            self.without_endpoint_since.remove(proxy);
         }
     }
 
-    /// Looks at all proxies, before the list changes and at the end of the record.
+    /// Evaluates all proxies; to be called before each change of the list and at the end of the record.
     pub fn evaluate_all(&mut self, at: Duration, fleet: &FleetHistory) {
         fleet.proxy_names().for_each(|proxy| self.evaluate(at, proxy, fleet));
     }
--- a/crates/scenario/src/rules/draining.rs
+++ b/crates/scenario/src/rules/draining.rs
@@ -1,4 +1,4 @@
-//! The rule that an endpoint that drains or is gone gets no request once the grace is over.
+//! The rule that a draining or removed endpoint gets no request after the drain grace period.
 
 use lockcroft_testbed::{TrafficEvent, TrafficRecord};
 
@@ -6,6 +6,7 @@
 use crate::rules::fleet_history::FleetHistory;
 use crate::rules::limits::Limits;
 
+/// Measures how long after a drain or removal an endpoint still gets requests.
 pub struct Draining {
     result: CheckResult,
 }
@@ -16,14 +17,14 @@
         Draining { result: CheckResult::new("drains kept", "s after told", limit) }
     }
 
-    /// The time runs from the report of the list, or from when the proxy attached if that is later.
+    /// Measures the time from the list update, or from the attachment of the proxy if that is later, to a request.
     pub fn observe(&mut self, record: &TrafficRecord, fleet: &FleetHistory) {
         let TrafficEvent::RequestArrived { endpoint, proxy, .. } = &record.event else { return };
-        let Some(out_since) = fleet.out_since(endpoint) else { return };
+        let Some(excluded_since) = fleet.excluded_since(endpoint) else { return };
         let Some(attached_since) = fleet.proxy(proxy).and_then(|state| state.attached_since) else { return };
-        let late = (record.at - out_since.max(attached_since)).as_secs_f64();
+        let delay_s = (record.at - excluded_since.max(attached_since)).as_secs_f64();
         let at = record.at.as_secs_f64();
-        self.result.observe(late, || format!("{proxy} to {endpoint} at {at:.1} s"));
+        self.result.observe(delay_s, || format!("{proxy} to {endpoint} at {at:.1} s"));
     }
 
     pub fn finish(self) -> CheckResult {
--- a/crates/scenario/src/rules/execution.rs
+++ b/crates/scenario/src/rules/execution.rs
@@ -1,4 +1,4 @@
-//! The rules on executions: no effect happens twice, and no attempt follows one that was executed.
+//! The rules on executions: no request with effects is executed twice, and no attempt follows an execution.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use crate::check_result::CheckResult;
 use crate::rules::limits::Limits;
 
-/// No request of a class with effects is executed twice.
-pub fn no_effect_twice(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
+/// Counts repeated executions of requests of classes with effects.
+pub fn check_single_execution(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
     let mut result = CheckResult::new("no effect twice", "visits run twice", 0.0);
     let mut executions: BTreeMap<u64, u32> = BTreeMap::new();
     for record in records {
@@ -17,15 +17,15 @@
         *count += 1;
         if *count > 1 && limits.execute_once.contains(class) {
             let at = record.at.as_secs_f64();
-            result.count(|| format!("visit {request} at {endpoint} at {at:.1} s"));
+            result.count_violation(|| format!("visit {request} at {endpoint} at {at:.1} s"));
         }
     }
     result
 }
 
-/// No request is sent anywhere once it was executed somewhere. Clients give each retry an id of its own, so that a later
+/// Counts attempts of requests that were already executed. Clients send each retry under a new id, so that a later
 /// arrival of the same id is a proxy's retry.
-pub fn no_retry_after_execution(records: &[TrafficRecord]) -> CheckResult {
+pub fn check_retries(records: &[TrafficRecord]) -> CheckResult {
     let mut result = CheckResult::new("second tries", "tries after one that ran", 0.0);
     let mut executed_at = BTreeMap::new();
     for record in records {
@@ -35,7 +35,7 @@
             }
             TrafficEvent::RequestArrived { request, endpoint, .. } => {
                 if let Some(first) = executed_at.get(request) {
-                    result.count(|| format!("visit {request} at {endpoint} after {first}"));
+                    result.count_violation(|| format!("visit {request} at {endpoint} after {first}"));
                 }
             }
             _ => {}
--- a/crates/scenario/src/rules/fleet_history.rs
+++ b/crates/scenario/src/rules/fleet_history.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the proxies' tables at an instant of the record, for the rules that ask for them.
+//! The endpoint list and the proxies' states while the record is replayed, for the rules that need them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,16 +8,17 @@
 use crate::observed_state::ObservedState;
 use crate::rules::limits::Limits;
 
-/// An endpoint as the list has it.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy)]
 struct ListedState {
     ready: bool,
-    /// Since when the list says that requests must not go there.
-    out_since: Option<Duration>,
+    /// The time since which the list has excluded the endpoint from requests; `None` if it does not.
+    excluded_since: Option<Duration>,
+    /// When the process last restarted; `None` for the initial process.
     started: Option<Duration>,
 }
 
-/// What the record said up to an instant.
+/// The state of the list and of all proxies after the records observed so far.
 pub struct FleetHistory<'a> {
     limits: &'a Limits,
     list: BTreeMap<String, ListedState>,
@@ -25,11 +26,12 @@
 }
 
 impl<'a> FleetHistory<'a> {
+    /// Returns a history before the first record.
     pub fn new(limits: &'a Limits) -> Self {
         FleetHistory { limits, list: BTreeMap::new(), proxies: BTreeMap::new() }
     }
 
-    /// Takes an event; gives the proxy whose state it may have changed.
+    /// Applies a record and returns the name of the proxy whose state it may have changed.
     pub fn observe<'r>(&mut self, record: &'r TrafficRecord) -> Option<&'r str> {
         let at = record.at;
         match &record.event {
@@ -67,37 +69,39 @@
         self.proxies.entry(name.into()).or_default()
     }
 
-    /// An endpoint that the list no longer names is gone.
+    /// Replaces the list. Endpoints that it no longer contains are kept in state `gone`.
     fn update_list(&mut self, at: Duration, endpoints: &[ListedEndpoint]) {
         let before = std::mem::take(&mut self.list);
         let missing = before.iter().filter(|(name, _)| !endpoints.iter().any(|known| known.name == **name));
-        let gone = missing.map(|(name, listed)| ListedEndpoint {
+        let removed = missing.map(|(name, listed)| ListedEndpoint {
             name: name.clone(),
             state: "gone".into(),
             started: listed.started,
         });
-        for ListedEndpoint { name, state, started } in endpoints.iter().cloned().chain(gone) {
-            let out = state == "draining" || state == "gone" && !self.limits.ignore_removals;
-            let out_before = before.get(&name).and_then(|listed| listed.out_since);
-            let out_since = out.then(|| out_before.unwrap_or(at));
-            self.list.insert(name, ListedState { ready: state == "ready", out_since, started });
+        for ListedEndpoint { name, state, started } in endpoints.iter().cloned().chain(removed) {
+            let is_excluded = state == "draining" || state == "gone" && !self.limits.ignore_removals;
+            let excluded_before = before.get(&name).and_then(|listed| listed.excluded_since);
+            let excluded_since = is_excluded.then(|| excluded_before.unwrap_or(at));
+            self.list.insert(name, ListedState { ready: state == "ready", excluded_since, started });
         }
     }
 
+    /// Returns the names of all proxies in the record so far.
     pub fn proxy_names(&self) -> impl Iterator<Item = &str> {
         self.proxies.keys().map(String::as_str)
     }
 
+    /// Returns the state of a proxy.
     pub fn proxy(&self, name: &str) -> Option<&ObservedState> {
         self.proxies.get(name)
     }
 
-    /// Since when the list says that no request must go to the endpoint.
-    pub fn out_since(&self, endpoint: &str) -> Option<Duration> {
-        self.list.get(endpoint)?.out_since
+    /// Returns the time since which the list has excluded the endpoint from requests.
+    pub fn excluded_since(&self, endpoint: &str) -> Option<Duration> {
+        self.list.get(endpoint)?.excluded_since
     }
 
-    /// Whether the list has an endpoint that is ready and no longer warming up.
+    /// Returns true if the list has an endpoint that is ready and not warming up.
     pub fn has_warm_endpoint(&self, at: Duration) -> bool {
         let window = self.limits.slow_start.window;
         let warm = |listed: &ListedState| listed.started.is_none_or(|start| start + window <= at);
--- a/crates/scenario/src/rules/limits.rs
+++ b/crates/scenario/src/rules/limits.rs
@@ -1,37 +1,38 @@
-//! The limits of the rules.
+//! The limits that the rules are checked against.
 
 use std::time::Duration;
 
 use lockcroft::Settings;
 use lockcroft_testbed::SlowStart;
 
-/// The limits as the controller's settings state them.
+/// The limits of the rules, taken from the controller's settings.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// All classes of requests.
+    /// The names of all request classes.
     pub classes: Vec<String>,
-    /// Classes of which no request may be executed twice: all but those that are safe.
+    /// The names of the classes of which no request may be executed twice: those with an effect other than `safe`.
     pub execute_once: Vec<String>,
-    /// How long a proxy may lack an endpoint for a class.
+    /// The longest time for which a class may have no usable endpoint at a proxy.
     pub max_time_without_endpoints: Duration,
-    /// How long after the list reported a drain requests may still reach the endpoint.
+    /// The drain grace period, within which an endpoint may still get requests after the list update.
     pub drain_grace: Duration,
-    /// Endpoints that are gone from the list may get requests.
+    /// True if endpoints that were removed from the list may get requests; draining ones may not.
     pub ignore_removals: bool,
-    /// How much a warming endpoint bears.
+    /// The warm-up of endpoints and the load that they survive during it.
     pub slow_start: SlowStart,
-    /// Commands that wait at all proxies together, at most.
+    /// The maximum number of commands that are sent and not answered yet, at all proxies together.
     pub max_queued_entries: f64,
-    /// Messages to a proxy within the window, at most.
+    /// The maximum number of messages to one proxy within the window.
     pub max_messages: f64,
-    /// Over which messages are counted.
+    /// The sliding window over which messages are counted.
     pub message_window: Duration,
-    /// Proxies choose evenly by weight, and nothing but updates and failures keeps them from it.
+    /// True if proxies choose evenly by weight, unless updates or failures prevent it. Otherwise the fractions of
+    /// entries are not checked.
     pub even_balancing: bool,
 }
 
 impl Limits {
-    /// The limits of these settings, for proxies that balance evenly.
+    /// Returns the limits of these settings, for proxies that balance evenly.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter();
--- a/crates/scenario/src/rules/mod.rs
+++ b/crates/scenario/src/rules/mod.rs
@@ -1,5 +1,5 @@
-//! The five rules, judged from the record of what passed. Each module checks one concern; those that ask for the list or
-//! the tables of an instant get them from [`fleet_history`].
+//! Checks the rules on a record of traffic. Each module checks one concern. [`fleet_history`] provides the endpoint
+//! list and the tables at the time of a record.
 
 mod availability;
 mod choices;
@@ -16,16 +16,16 @@
 use crate::check_result::CheckResult;
 
 use self::availability::Availability;
-use self::choices::choices_by_table;
+use self::choices::check_choices;
 use self::draining::Draining;
-use self::execution::{no_effect_twice, no_retry_after_execution};
+use self::execution::{check_retries, check_single_execution};
 use self::fleet_history::FleetHistory;
 pub use self::limits::Limits;
-use self::updates::{few_messages, short_queue};
-use self::warming::warming_not_overloaded;
-use self::weight_fractions::fractions_by_weight;
+use self::updates::{check_message_rate, check_queued_commands};
+use self::warming::check_warming_load;
+use self::weight_fractions::check_weight_fractions;
 
-/// Checks all rules on a record, which is in the order of time.
+/// Checks all rules on records in order of time, and returns one result for each rule.
 #[must_use]
 pub fn check_rules(records: &[TrafficRecord], limits: &Limits) -> Vec<CheckResult> {
     let mut fleet = FleetHistory::new(limits);
@@ -45,13 +45,13 @@
     }
     vec![
         availability.finish(),
-        no_effect_twice(records, limits),
+        check_single_execution(records, limits),
         draining.finish(),
-        warming_not_overloaded(records, limits),
-        short_queue(records, limits),
-        few_messages(records, limits),
-        choices_by_table(records, &fleet),
-        no_retry_after_execution(records),
-        fractions_by_weight(records, &fleet, limits),
+        check_warming_load(records, limits),
+        check_queued_commands(records, limits),
+        check_message_rate(records, limits),
+        check_choices(records, &fleet),
+        check_retries(records),
+        check_weight_fractions(records, &fleet, limits),
     ]
 }
--- a/crates/scenario/src/rules/updates.rs
+++ b/crates/scenario/src/rules/updates.rs
@@ -1,4 +1,4 @@
-//! The rules on the update channel: a short queue at the proxies, and few messages to each.
+//! The rules on the update channel: the number of unanswered commands and the rate of messages are limited.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use crate::check_result::CheckResult;
 use crate::rules::limits::Limits;
 
-/// Commands that wait at all proxies together.
-pub fn short_queue(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
+/// Measures the number of commands that are sent and not answered yet, at all proxies together.
+pub fn check_queued_commands(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
     let mut result = CheckResult::new("short queue", "lines waiting", limits.max_queued_entries);
     let mut queued: BTreeMap<&str, usize> = BTreeMap::new();
     for record in records {
@@ -20,10 +20,10 @@
                 result.observe(total, || format!("at {:.1} s", record.at.as_secs_f64()));
             }
             TrafficEvent::UpdateAnswered { proxy, commands } => {
-                let waiting = queued.entry(proxy).or_default();
-                *waiting = waiting.saturating_sub(commands.len());
+                let unanswered = queued.entry(proxy).or_default();
+                *unanswered = unanswered.saturating_sub(commands.len());
             }
-            // What was on its way when a stream broke waits no longer.
+            // Commands in flight when a stream closes get no answer.
             TrafficEvent::ControlStream { proxy, .. } => {
                 queued.remove(proxy.as_str());
             }
@@ -33,8 +33,8 @@
     result
 }
 
-/// Messages to one proxy within the window.
-pub fn few_messages(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
+/// Measures the number of messages to one proxy within the window.
+pub fn check_message_rate(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
     let mut result = CheckResult::new("few messages", "messages in the span", limits.max_messages);
     let mut received: BTreeMap<&str, VecDeque<Duration>> = BTreeMap::new();
     for record in records {
--- a/crates/scenario/src/rules/warming.rs
+++ b/crates/scenario/src/rules/warming.rs
@@ -1,4 +1,4 @@
-//! The rule that a warming endpoint is not pushed over: it gets no more than it bears.
+//! The rule that a warming endpoint is not overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,26 +8,28 @@
 use crate::check_result::CheckResult;
 use crate::rules::limits::Limits;
 
-/// An endpoint that went down is over the limit, whatever work was counted.
-const JUST_OVER: f64 = 1.001;
+/// The load of an endpoint that went down from overload, as a multiple of the limit: above it, whatever was measured.
+const OVER_LIMIT_FACTOR: f64 = 1.001;
 
-/// Work that reached an endpoint.
+/// Work that arrived at an endpoint.
 struct WorkArrival {
     at: Duration,
-    /// In seconds of one core at full speed.
+    /// In seconds of one core at speed 1.
     work: f64,
 }
 
 struct WarmingEndpoint {
-    since: Duration,
-    /// Once it is warm, in cores at speed 1.
+    /// When its process started.
+    started: Duration,
+    /// The capacity of the warm process, in cores at speed 1.
     capacity: f64,
-    /// What arrived within the overload window.
+    /// The work that arrived within the overload window.
     recent_work: VecDeque<WorkArrival>,
 }
 
-/// The work of each overload window against what the endpoint can do then.
-pub fn warming_not_overloaded(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
+/// Measures the work that arrives at warming endpoints within the overload window, as a multiple of their current
+/// capacity.
+pub fn check_warming_load(records: &[TrafficRecord], limits: &Limits) -> CheckResult {
     let limit = limits.slow_start.overload_factor;
     let mut result = CheckResult::new("no cold pushed over", "times capacity", limit);
     let mut warming: BTreeMap<&str, WarmingEndpoint> = BTreeMap::new();
@@ -36,14 +38,16 @@
         match &record.event {
             TrafficEvent::EndpointStarted { endpoint, capacity } => {
                 let recent_work = VecDeque::new();
-                warming.insert(endpoint, WarmingEndpoint { since: at, capacity: *capacity, recent_work });
+                warming.insert(endpoint, WarmingEndpoint { started: at, capacity: *capacity, recent_work });
             }
             TrafficEvent::EndpointOverloaded { endpoint } => {
-                result.observe(limit * JUST_OVER, || format!("{endpoint} fell at {:.1} s", at.as_secs_f64()));
+                result.observe(limit * OVER_LIMIT_FACTOR, || {
+                    format!("{endpoint} fell at {:.1} s", at.as_secs_f64())
+                });
             }
             TrafficEvent::RequestArrived { endpoint, work, .. } => {
                 let Some(state) = warming.get_mut(endpoint.as_str()) else { continue };
-                match state.load(at, *work, limits) {
+                match state.add_work(at, *work, limits) {
                     Some(load) => result.observe(load, || format!("{endpoint} at {:.1} s", at.as_secs_f64())),
                     None => drop(warming.remove(endpoint.as_str())),
                 }
@@ -55,10 +59,11 @@
 }
 
 impl WarmingEndpoint {
-    /// The work of the overload window as a multiple of what the endpoint can do; none once it is warm.
-    fn load(&mut self, at: Duration, work: f64, limits: &Limits) -> Option<f64> {
+    /// Adds work and returns the load over the overload window as a multiple of the current capacity. Returns `None`
+    /// once the endpoint is warm.
+    fn add_work(&mut self, at: Duration, work: f64, limits: &Limits) -> Option<f64> {
         let window = limits.slow_start.overload_window;
-        let fraction = limits.slow_start.fraction_at(at - self.since);
+        let fraction = limits.slow_start.fraction_at(at - self.started);
         if fraction >= 1.0 {
             return None;
         }
--- a/crates/scenario/src/rules/weight_fractions.rs
+++ b/crates/scenario/src/rules/weight_fractions.rs
@@ -1,4 +1,4 @@
-//! The rule that proxies keep to the weights: in each state of a table, each entry gets its fraction of the requests.
+//! The rule that proxies balance by weight: under each table version, each entry gets its fraction of the requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,21 +9,22 @@
 use crate::rules::fleet_history::FleetHistory;
 use crate::rules::limits::Limits;
 
-/// Fewer requests by one state of a table say nothing.
+/// Groups with fewer requests are too small to be checked.
 const MIN_REQUESTS: usize = 50;
-/// After a failure a proxy may eject an endpoint by itself for this long, and so leave the weights.
+/// The time after a failure for which a proxy may eject an endpoint by itself, and so deviate from the weights.
 const SETTLING_TIME: Duration = Duration::from_secs(6);
 
-/// The requests of one proxy by one state of a table.
-struct Group {
+/// The requests that a proxy sent by one table version.
+struct RequestGroup {
+    /// The number of requests by endpoint.
     by_endpoint: BTreeMap<String, usize>,
     first: Duration,
     last: Duration,
 }
 
-impl Group {
+impl RequestGroup {
     fn new(at: Duration) -> Self {
-        Group { by_endpoint: BTreeMap::new(), first: at, last: at }
+        RequestGroup { by_endpoint: BTreeMap::new(), first: at, last: at }
     }
 
     fn total(&self) -> usize {
@@ -31,14 +32,14 @@
     }
 }
 
-/// The requests of a record, by what may disturb the proxies' choices.
+/// The requests of a record and the events that may make proxies deviate from the weights.
 #[derive(Default)]
 struct Requests<'a> {
-    /// By proxy and state of a table.
-    groups: BTreeMap<(&'a str, &'a str), Group>,
-    /// Times of attempts that were not executed, by proxy.
+    /// Requests by proxy and table version.
+    groups: BTreeMap<(&'a str, &'a str), RequestGroup>,
+    /// The times of attempts that were not executed, by proxy.
     failures: BTreeMap<&'a str, Vec<Duration>>,
-    /// When some endpoint was down: a refused connection leaves no trace at the endpoint.
+    /// The times when some endpoint was down. Refused connections are not recorded as attempts.
     outages: Vec<Outage>,
 }
 
@@ -47,16 +48,21 @@
     to: Duration,
 }
 
-/// Smooth weighted round robin keeps an entry within half a request for each other entry of its fraction; a state of a
-/// table begins and ends in the middle of a round, so two more are allowed.
-pub fn fractions_by_weight(records: &[TrafficRecord], fleet: &FleetHistory, limits: &Limits) -> CheckResult {
+/// Measures by how many requests an entry deviates from its fraction beyond the allowed deviation. Smooth weighted
+/// round robin deviates by at most half a request per entry of the table. Two more requests are allowed because a
+/// table version begins and ends within a round.
+pub fn check_weight_fractions(
+    records: &[TrafficRecord],
+    fleet: &FleetHistory,
+    limits: &Limits,
+) -> CheckResult {
     let limit = if limits.even_balancing { 0.0 } else { f64::INFINITY };
     let mut result = CheckResult::new("shares by weight", "visits past the bound", limit);
     let requests = Requests::new(records);
     for ((proxy, table), group) in &requests.groups {
         let Some(weights) = fleet.proxy(proxy).and_then(|state| state.weights(table)) else { continue };
         let total = group.total();
-        if total < MIN_REQUESTS || requests.disturbed(proxy, group) {
+        if total < MIN_REQUESTS || requests.is_disturbed(proxy, group) {
             continue;
         }
         let weight_sum: f64 = weights.values().map(|weight| f64::from(*weight)).sum();
@@ -78,7 +84,7 @@
             let TrafficEvent::RequestArrived { endpoint, proxy, table, request, .. } = &record.event else {
                 continue;
             };
-            let group = requests.groups.entry((proxy, table)).or_insert_with(|| Group::new(record.at));
+            let group = requests.groups.entry((proxy, table)).or_insert_with(|| RequestGroup::new(record.at));
             *group.by_endpoint.entry(endpoint.clone()).or_default() += 1;
             group.last = record.at;
             if !executed.contains(&(*request, endpoint)) {
@@ -88,8 +94,8 @@
         requests
     }
 
-    /// Whether failures or outages may have kept the proxy from the weights.
-    fn disturbed(&self, proxy: &str, group: &Group) -> bool {
+    /// Returns true if failures or outages may have made the proxy deviate from the weights.
+    fn is_disturbed(&self, proxy: &str, group: &RequestGroup) -> bool {
         let mut failures = self.failures.get(proxy).into_iter().flatten();
         failures.any(|at| *at + SETTLING_TIME >= group.first && *at <= group.last)
             || self
@@ -99,6 +105,7 @@
     }
 }
 
+/// Returns the request and the endpoint of an execution.
 fn execution(record: &TrafficRecord) -> Option<(u64, &str)> {
     match &record.event {
         TrafficEvent::RequestExecuted { request, endpoint, .. } => Some((*request, endpoint.as_str())),
@@ -106,6 +113,7 @@
     }
 }
 
+/// Returns the times between the end of an endpoint's process and its next start.
 fn outages(records: &[TrafficRecord]) -> Vec<Outage> {
     let mut down = BTreeMap::new();
     let mut outages = Vec::new();
@@ -120,8 +128,8 @@
             _ => {}
         }
     }
-    // The settling time is added to the end.
-    let end_of_time = Duration::MAX - SETTLING_TIME;
-    outages.extend(down.into_values().map(|from| Outage { from, to: end_of_time }));
+    // The settling time is added to this later, which must not overflow.
+    let max_end = Duration::MAX - SETTLING_TIME;
+    outages.extend(down.into_values().map(|from| Outage { from, to: max_end }));
     outages
 }
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -1,5 +1,5 @@
-//! What was earned: the value of the requests that were answered, as a fraction of the value of all that came (goodput).
-//! The names in JSON are read by other programs and stay.
+//! Goodput: the value that was earned by answered requests, as a fraction of the value of all requests. Other
+//! programs read the names in JSON, which are fixed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,62 +8,65 @@
 use lockcroft_testbed::{AnsweredCommand, TrafficEvent, TrafficRecord};
 use serde::{Deserialize, Serialize};
 
+/// The length of the windows for which goodput is given separately.
 const WINDOW: Duration = Duration::from_secs(10);
-/// The time after a restart that is looked at by itself.
+/// The time after a restart of the controller that is scored separately.
 const RESTART_WINDOW: Duration = Duration::from_secs(20);
-/// Weights move all the time: the tables of a restart are applied once there was no update for so long.
+/// The tables count as restored after a restart once there was no update for this long, as weights change at all times.
 const QUIET_TIME: Duration = Duration::from_secs(1);
 
 /// The zone of each endpoint and proxy, by name.
 pub type ZonesByName = BTreeMap<String, String>;
 
-/// What came of the 20 s after a restart of the controller.
+/// The score of the 20 s after a restart of the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RestartScore {
-    /// When it restarted, in seconds since the start of the scenario.
+    /// The time of the restart, in seconds since the start of the scenario.
     pub at_s: f64,
-    /// The goodput of the requests sent in this time, from 0 to 1.
+    /// The goodput of the requests that were sent in this time, from 0 to 1.
     #[serde(rename = "fulfilled")]
     pub goodput: f64,
-    /// Commands that change a weight or an admission rate in this time, at all proxies together.
+    /// The number of commands in this time that change a weight or an admission rate, at all proxies together.
     pub changes: usize,
-    /// Seconds to the last command that assigns a table or sets an entry of one, before there was none for 1 s; 0 if
-    /// none came.
+    /// The time from the restart to the last command that assigns a table or sets an entry, before a pause of over 1 s
+    /// between updates, in seconds; 0 if there was none.
     pub settled_s: f64,
 }
 
 /// Goodput, from 0 to 1, by class and by time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Score {
-    /// Requests that were counted.
+    /// The number of completed requests.
     #[serde(rename = "visits")]
     pub requests: usize,
-    /// Of all requests.
+    /// The goodput of all requests.
     #[serde(rename = "whole")]
     pub goodput: f64,
-    /// Of the worst 10 s, by the time when requests were sent.
+    /// The goodput of the worst 10 s, by the time when requests were sent.
     #[serde(rename = "worst_window")]
     pub worst_window_goodput: f64,
-    /// Where the worst 10 s begin, in seconds since the start of the scenario.
+    /// The start of the worst 10 s, in seconds since the start of the scenario.
     #[serde(rename = "worst_at_s")]
     pub worst_window_at_s: f64,
-    /// Of each 10 s from the start.
+    /// The goodput of each 10 s from the start.
     #[serde(rename = "tens")]
     pub window_goodput: Vec<f64>,
-    /// Of each class.
+    /// The goodput of each class, by name.
     #[serde(rename = "classes")]
     pub class_goodput: BTreeMap<String, f64>,
-    /// The fraction of arrivals at an endpoint of another zone than the proxy's.
+    /// The fraction of attempts that were sent to an endpoint of another zone than the proxy's.
     #[serde(rename = "crossing")]
     pub cross_zone_fraction: f64,
-    /// Commands that change a weight or an admission rate, at all proxies together, in each 10 s from the start.
+    /// The number of commands that change a weight or an admission rate, at all proxies together, in each 10 s from the
+    /// start.
     pub changes: Vec<usize>,
-    /// After each restart of the controller.
+    /// The scores of the time after each restart of the controller.
     pub restarts: Vec<RestartScore>,
 }
 
-/// Scores a record. An answer within the latency objective earns its class's value in full, a later one the part that
-/// the settings state. The restarts of the controller are given by time.
+/// Scores a record. A successful response within the latency objective earns the full value of its class, a later one
+/// the fraction from the settings. `zones` gives the zones of endpoints and proxies, `restarts` the times at which
+/// the controller was restarted.
 #[must_use]
 pub fn score(
     records: &[TrafficRecord],
@@ -93,10 +96,11 @@
     }
 }
 
-/// What a request of a class earns.
+/// The value of a request of a class.
 struct ClassValue {
     latency_objective_s: f64,
     value: f64,
+    /// The fraction of the value that a response after the latency objective earns.
     late_fraction: f64,
 }
 
@@ -114,7 +118,7 @@
         named.collect()
     }
 
-    /// The part of its value that a request earns, from 0 to 1.
+    /// Returns the fraction of its value that a request earns, from 0 to 1.
     fn earned_fraction(&self, status: u16, latency: Duration) -> f64 {
         if status != 200 {
             0.0
@@ -126,7 +130,7 @@
     }
 }
 
-/// Value that was earned, of that which was asked for.
+/// The value of requests and the part of it that was earned.
 #[derive(Clone, Copy, Debug, Default)]
 struct Goodput {
     requested: f64,
@@ -139,19 +143,20 @@
         self.earned += value * fraction;
     }
 
+    /// Returns the earned fraction of the value; 1 if there were no requests.
     fn fraction(&self) -> f64 {
         if self.requested > 0.0 { self.earned / self.requested } else { 1.0 }
     }
 }
 
-/// Goodput of a record so far.
+/// The goodput of the records added so far.
 struct Totals {
     requests: usize,
     all: Goodput,
     by_class: BTreeMap<String, Goodput>,
-    /// By the second in which a window begins; windows overlap.
+    /// Overlapping windows, by the second at which they begin.
     windows: BTreeMap<u64, Goodput>,
-    /// By the time of the restart.
+    /// The goodput after each restart, with the time of the restart.
     restarts: Vec<(Duration, Goodput)>,
 }
 
@@ -175,14 +180,14 @@
                 goodput.add(value, fraction);
             }
         }
-        // A window begins at every second; a request counts in all windows that hold it.
+        // A window begins at each second; a request counts in all windows that contain it.
         let second = sent_at.as_secs();
         for begin in second.saturating_sub(WINDOW.as_secs() - 1)..=second {
             self.windows.entry(begin).or_default().add(value, fraction);
         }
     }
 
-    /// The worst of the windows that the record covers to their end.
+    /// Returns the window with the lowest goodput, among those that end within the record.
     fn worst_window(&self) -> Option<(u64, Goodput)> {
         let last = self.windows.keys().last().map_or(0, |last| last.saturating_sub(WINDOW.as_secs() - 1));
         let complete = self.windows.iter().filter(|(begin, _)| **begin <= last);
@@ -190,6 +195,7 @@
         worst.map(|(begin, goodput)| (*begin, *goodput))
     }
 
+    /// Returns the goodput of the successive windows from the start.
     fn successive_windows(&self) -> Vec<f64> {
         let successive = self.windows.iter().filter(|(begin, _)| **begin % WINDOW.as_secs() == 0);
         successive.map(|(_, goodput)| goodput.fraction()).collect()
@@ -203,26 +209,26 @@
         _ => None,
     });
     let mut changes = 0;
-    let mut settled: Option<Duration> = None;
-    let mut quiet = false;
+    let mut last_change: Option<Duration> = None;
+    let mut is_quiet = false;
     for (updated_at, commands) in updates {
         changes += commands.iter().filter(|answered| changes_weight(answered)).count();
-        quiet |= settled.is_some_and(|last| updated_at > last + QUIET_TIME);
-        if !quiet && commands.iter().any(sets_table) {
-            settled = Some(updated_at);
+        is_quiet |= last_change.is_some_and(|last| updated_at > last + QUIET_TIME);
+        if !is_quiet && commands.iter().any(sets_table) {
+            last_change = Some(updated_at);
         }
     }
-    let settled_s = settled.map_or(0.0, |settled| (settled - at).as_secs_f64());
+    let settled_s = last_change.map_or(0.0, |last| (last - at).as_secs_f64());
     RestartScore { at_s: at.as_secs_f64(), goodput: goodput.fraction(), changes, settled_s }
 }
 
-/// Whether the command assigns a table or sets an entry of one.
+/// Returns true if the command assigns a table or sets an entry.
 fn sets_table(answered: &AnsweredCommand) -> bool {
     let command = &answered.command;
     command.starts_with("add server") || command.contains(" map classes ") || command.contains(" weight ")
 }
 
-/// Whether the command changes a weight or an admission rate.
+/// Returns true if the command changes a weight or an admission rate.
 fn changes_weight(answered: &AnsweredCommand) -> bool {
     answered.command.contains(" weight ") || answered.command.starts_with("set var proc.level_")
 }
@@ -238,6 +244,7 @@
     f64::from(cross_zone) / f64::from(arrivals.max(1))
 }
 
+/// Returns the number of changes of weights and admission rates in each window from the start.
 fn weight_changes(records: &[TrafficRecord]) -> Vec<usize> {
     let mut changes = Vec::new();
     for record in records {
--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/stage/mod.rs
@@ -61,7 +61,8 @@
 }
 
 impl Stage {
-    /// Starts endpoints and proxies, with so many threads for proxies, and writes the controller's files into the folder.
+    /// Starts endpoints and proxies, with so many threads for proxies, and writes the controller's files into the
+    /// folder.
     ///
     /// # Errors
     /// The scenario's settings are no settings, or a socket or file can't be had.
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -1,5 +1,6 @@
-//! The folder of table files of a scenario, and a task that records the snapshots that proxies apply from it. The status
-//! file of a proxy names each applied snapshot and the proxy's own version; the content is read from the folder.
+//! The folder of table files of a scenario, and a task that records the snapshots that proxies apply from it. The
+//! status file of a proxy names each applied snapshot and the proxy's own version; the content is read from the
+//! folder.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -225,8 +225,8 @@
         response
     }
 
-    /// Counts the work of a request against the load that a warming process survives, and takes the process down if that
-    /// load is exceeded. Returns the mode in which the request is handled.
+    /// Counts the work of a request against the load that a warming process survives, and takes the process down if
+    /// that load is exceeded. Returns the mode in which the request is handled.
     fn count_work(&self, work: f64) -> FaultMode {
         let mut state = self.state();
         let fraction = self.slow_start_fraction(&state);
