--- a/crates/scenario/src/apply_variant.rs
+++ b/crates/scenario/src/apply_variant.rs
@@ -1,4 +1,4 @@
-//! A scenario in one of its variants.
+//! Applies a variant to a scenario.
 
 use std::ops::Range;
 
@@ -9,10 +9,10 @@
 use crate::variants::{MachineTypeWeight, SettingOverride, Variant};
 
 impl Scenario {
-    /// The scenario in this variant; the scenario itself stays.
+    /// Returns a copy of the scenario with the changes of this variant.
     ///
     /// # Errors
-    /// The variant names what the scenario does not have.
+    /// The variant names a machine type or an element that the scenario doesn't have, or the settings aren't valid XML.
     pub fn with_variant(&self, variant: &Variant) -> Result<Scenario, VariantError> {
         let mut scenario = self.clone();
         scenario.proxies.table_source = variant.table_source.unwrap_or(scenario.proxies.table_source);
@@ -35,25 +35,26 @@
         Ok(scenario)
     }
 
-    fn set_weight(&mut self, of: &MachineTypeWeight, variant: &Variant) -> Result<(), VariantError> {
+    /// Sets the listed weight of all endpoints of a machine type.
+    fn set_weight(&mut self, weight: &MachineTypeWeight, variant: &Variant) -> Result<(), VariantError> {
         let mut groups =
-            self.endpoints.iter_mut().filter(|group| group.machine_type == of.machine_type).peekable();
+            self.endpoints.iter_mut().filter(|group| group.machine_type == weight.machine_type).peekable();
         groups.peek().ok_or_else(|| VariantError::UnknownMachineType {
             variant: variant.name.clone(),
-            machine_type: of.machine_type.clone(),
+            machine_type: weight.machine_type.clone(),
         })?;
-        groups.for_each(|group| group.weight = of.weight);
+        groups.for_each(|group| group.weight = weight.weight);
         Ok(())
     }
 }
 
-/// A piece of the settings' text and what takes its place.
+/// A range of the text of the settings and the text that replaces it.
 struct Replacement {
     range: Range<usize>,
     text: String,
 }
 
-/// The attribute with its new value; a new attribute comes first in its element.
+/// Returns the replacement that sets or removes an attribute. A new attribute is inserted before the others.
 fn replace_attribute(text: &str, node: Node, setting: &SettingOverride) -> Replacement {
     let range = match node.attribute_node(setting.attribute.as_str()) {
         Some(attribute) => attribute.range(),
@@ -74,12 +75,12 @@
 struct SettingsChange<'a> {
     variant: &'a str,
     element: &'a str,
-    /// The name of the element's child that is meant; empty for the element itself.
+    /// The value of the attribute `name` of the child that is meant; empty for the element itself.
     child: &'a str,
 }
 
 impl SettingsChange<'_> {
-    /// The settings with the change.
+    /// Returns the settings with the change.
     fn apply(
         &self,
         settings: &str,
@@ -99,6 +100,7 @@
         Ok(changed[OPEN.len()..changed.len() - CLOSE.len()].into())
     }
 
+    /// Returns the element that is changed.
     fn find<'t>(&self, tree: &'t Document<'t>) -> Option<Node<'t, 't>> {
         let mut elements = tree.root_element().children().filter(|node| node.has_tag_name(self.element));
         if self.child.is_empty() {
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in playing a scenario.
+//! Errors of preparing and running a scenario.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,66 +6,66 @@
 use lockcroft_config::ConfigErrors;
 use thiserror::Error;
 
-/// A scenario can't be staged or played.
+/// An error of preparing or running a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// A socket or file of the stage can't be had.
+    /// A socket or file of the run can't be opened, read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The scenario's settings are no settings of a controller.
+    /// The scenario's settings are not a valid configuration of a controller.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// The controller's program can't be started.
+    /// The program of the controller can't be started.
     #[error("{}: {source}", .path.display())]
     Program {
-        /// The program.
+        /// The path of the program.
         path: PathBuf,
-        /// Why it can't be started.
+        /// The cause.
         source: io::Error,
     },
-    /// A proxy can't be started again.
+    /// A proxy can't be restarted.
     #[error("{proxy}: {source}")]
     Proxy {
-        /// The proxy's name.
+        /// The name of the proxy.
         proxy: String,
-        /// Which of its sockets can't be had, and why.
+        /// The cause, such as a socket that can't be bound.
         source: io::Error,
     },
-    /// A fault names an endpoint that the scenario does not have.
-    #[error("no server {name:?}; there are {known}")]
+    /// A fault names an endpoint that the scenario doesn't have.
+    #[error("unknown endpoint {name:?}; known endpoints: {known}")]
     UnknownEndpoint {
         /// The name in the scenario's file.
         name: String,
-        /// All endpoints, set apart by commas.
+        /// The names of all endpoints, separated by commas.
         known: String,
     },
-    /// A fault names a proxy that the scenario does not have.
-    #[error("no relay {0:?}")]
+    /// A fault names a proxy that the scenario doesn't have.
+    #[error("unknown proxy {0:?}")]
     UnknownProxy(String),
 }
 
-/// A variant names what its scenario does not have.
+/// A variant can't be applied to its scenario.
 #[derive(Debug, Error)]
 pub enum VariantError {
-    /// There are no endpoints of this machine type.
-    #[error("{variant}: no endpoints of kind {machine_type:?}")]
+    /// The scenario has no endpoints of a machine type that the variant names.
+    #[error("variant {variant:?}: no endpoints of kind {machine_type:?}")]
     UnknownMachineType {
-        /// The variant's name.
+        /// The name of the variant.
         variant: String,
-        /// As the variant has it.
+        /// The machine type.
         machine_type: String,
     },
-    /// The settings have no such element.
-    #[error("way {variant:?}: the terms have no {element} {child}")]
+    /// The settings don't have an element that the variant names.
+    #[error("variant {variant:?}: the settings have no element {element} {child}")]
     UnknownElement {
-        /// The variant's name.
+        /// The name of the variant.
         variant: String,
-        /// The element's name.
+        /// The name of the element.
         element: String,
-        /// The name of a child of the element, or nothing.
+        /// The value of the attribute `name` of the child that is meant; empty for the element itself.
         child: String,
     },
-    /// The settings are no XML, before or after a change.
-    #[error("terms: {0}")]
+    /// The settings are not well-formed XML, before or after a change.
+    #[error("invalid XML in the settings: {0}")]
     InvalidSettings(#[from] roxmltree::Error),
 }
--- a/crates/scenario/src/fault_steps.rs
+++ b/crates/scenario/src/fault_steps.rs
@@ -1,22 +1,23 @@
-//! The steps of a script: each fault begins, and most end.
+//! The steps of the fault injections: each fault begins, and most end.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::faults::{FaultInjection, FaultKind};
 
-/// One step of the script.
+/// A step of a fault injection.
 pub struct Step<'a> {
-    /// Since the start of the scenario.
+    /// The time since the start of the scenario.
     pub at: Duration,
     pub fault: &'a FaultInjection,
     pub phase: Phase,
 }
 
+/// The phase of a fault that a step begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Begins,
-    /// The list reports an endpoint that was lost a while ago.
+    /// The endpoint list reports endpoints that were lost earlier.
     Noticed,
     Ends,
 }
@@ -31,7 +32,7 @@
     }
 }
 
-/// The steps of these faults in the order of their times.
+/// Returns the steps of these faults in order of time.
 pub fn steps(faults: &[FaultInjection]) -> Vec<Step<'_>> {
     let mut steps = Vec::new();
     for fault in faults {
--- a/crates/scenario/src/faults.rs
+++ b/crates/scenario/src/faults.rs
@@ -1,40 +1,41 @@
-//! Fault injections of a scenario.
+//! The fault injections of a scenario.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What is done to the fleet.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Endpoints take requests and answer none.
+    /// Endpoints accept requests and never answer.
     Hang,
-    /// Endpoints answer with errors.
+    /// Endpoints answer with status 500.
     Errors,
-    /// Endpoints are slower.
+    /// Endpoints execute requests slower, by `factor`.
     Slow,
-    /// Endpoints reject requests.
+    /// Endpoints reject requests before they are executed.
     Reject,
-    /// Endpoints' processes end, and later start again and warm up; the list reports both after `notice_delay`.
+    /// Processes of endpoints end, which the endpoint list reports after `notice_delay`. At the end of the fault they
+    /// restart and warm up, which the list reports immediately.
     LoseEndpoint,
-    /// The list says that endpoints drain.
+    /// The endpoint list reports endpoints as draining.
     Drain,
-    /// The list says that endpoints are gone, and they are not.
+    /// The endpoint list reports running endpoints as removed.
     FalselyRemove,
-    /// A proxy's control stream stalls within a message.
+    /// A proxy's control stream stalls in the middle of a message.
     StallProxy,
-    /// A proxy's control stream breaks before a message is answered.
+    /// A proxy's control stream is closed after a message is sent and before its answer reaches the controller.
     BreakProxyStream,
-    /// A proxy's process ends, and a new one starts in its place.
+    /// A proxy is restarted.
     RestartProxy,
     /// The controller's process is killed.
     KillController,
-    /// Requests come at a multiple of their rate.
+    /// The request rates are multiplied by `factor`.
     Overload,
-    /// An operator gives the controller a command.
+    /// A command is sent to the controller's runtime API.
     RunCommand,
 }
 
-/// The word that is printed while a scenario is played.
+/// Writes the word that is printed when a step of the fault is applied.
 impl fmt::Display for FaultKind {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
@@ -55,27 +56,27 @@
     }
 }
 
-/// A fault with its time and its targets. What its kind does not use is left at its default.
+/// A fault with its time and targets. Fields that the kind doesn't use have their defaults.
 #[derive(Clone, Debug)]
 pub struct FaultInjection {
-    /// When it begins, since the start of the scenario.
+    /// The time at which it begins, since the start of the scenario.
     pub at: Duration,
-    /// How long it lasts; without it, to the end.
+    /// The time for which it lasts; `None` for the rest of the scenario, or for 3 s if a stream is stalled.
     pub duration: Option<Duration>,
-    /// What is done.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Endpoints by name, beside those of the zone.
+    /// The names of the affected endpoints, in addition to those of the zone.
     pub endpoints: Vec<String>,
-    /// All endpoints of this zone.
+    /// The zone of which all endpoints are affected.
     pub zone: Option<String>,
-    /// The proxy that is meant.
+    /// The name of the affected proxy.
     pub proxy: Option<String>,
-    /// How many times slower endpoints are, or how many times more requests come.
+    /// The factor by which endpoints are slower or request rates higher.
     pub factor: f64,
-    /// A message with more commands than this stalls or breaks.
+    /// The stream stalls or is closed at the next message with more state-changing commands than this.
     pub after_commands: usize,
-    /// How long after an endpoint is lost the list says so.
+    /// The time from the loss of endpoints to the list update that reports it.
     pub notice_delay: Duration,
-    /// The operator's command.
+    /// The command for the controller's runtime API.
     pub command: String,
 }
--- a/crates/scenario/src/recording_link/link_state.rs
+++ b/crates/scenario/src/recording_link/link_state.rs
@@ -1,4 +1,4 @@
-//! What the streams of a link share.
+//! The state that the streams of a link share.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,56 +6,60 @@
 use lockcroft_runtime_api::Address;
 use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 
-/// What happens to the next message with more than so many commands that change something.
+/// A fault that is injected at the next message with more than a given number of state-changing commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StallPoint {
-    /// It stops in the middle for a while, then goes on.
+pub enum StreamFault {
+    /// The stream stalls in the middle of the message for a time.
     Stall {
-        /// A message with more commands than this is stalled.
+        /// The message must have more state-changing commands than this.
         after_commands: usize,
-        /// For how long.
+        /// The duration of the stall.
         duration: Duration,
     },
-    /// It is carried out, and the stream breaks before its answer.
+    /// The message is executed, and the stream is closed before its answer reaches the controller.
     Disconnect {
-        /// A message with more commands than this is cut off.
+        /// The message must have more state-changing commands than this.
         after_commands: usize,
     },
 }
 
-/// A link to one proxy.
+/// The state of a link to one proxy.
 pub struct LinkState {
-    /// The proxy's name.
+    /// The name of the proxy.
     pub proxy: String,
-    /// Where the link dials the proxy.
+    /// The proxy's control socket, to which the link connects.
     pub proxy_address: Address,
-    next_stall: Mutex<Option<StallPoint>>,
+    next_fault: Mutex<Option<StreamFault>>,
+    /// The record of the link's traffic.
     pub recorder: TrafficRecorder,
 }
 
 impl LinkState {
+    /// Returns a link without a pending fault.
     pub fn new(proxy: &str, proxy_address: Address, recorder: TrafficRecorder) -> Self {
-        LinkState { proxy: proxy.into(), proxy_address, next_stall: Mutex::default(), recorder }
+        LinkState { proxy: proxy.into(), proxy_address, next_fault: Mutex::default(), recorder }
     }
 
-    pub fn stall_next(&self, stall: StallPoint) {
-        *self.next_stall() = Some(stall);
+    /// Sets the next fault and replaces one that was not triggered yet.
+    pub fn set_next_fault(&self, fault: StreamFault) {
+        *self.next_fault() = Some(fault);
     }
 
-    fn next_stall(&self) -> MutexGuard<'_, Option<StallPoint>> {
-        self.next_stall.lock().unwrap_or_else(PoisonError::into_inner)
+    fn next_fault(&self) -> MutexGuard<'_, Option<StreamFault>> {
+        self.next_fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The stall that is due for a message with so many commands.
-    pub fn take_stall(&self, commands: usize) -> Option<StallPoint> {
-        let mut next_stall = self.next_stall();
-        next_stall.take_if(|stall| match stall {
-            StallPoint::Stall { after_commands, .. } | StallPoint::Disconnect { after_commands } => {
+    /// Removes and returns the next fault if a message with this number of state-changing commands triggers it.
+    pub fn take_fault(&self, commands: usize) -> Option<StreamFault> {
+        let mut next_fault = self.next_fault();
+        next_fault.take_if(|fault| match fault {
+            StreamFault::Stall { after_commands, .. } | StreamFault::Disconnect { after_commands } => {
                 commands > *after_commands
             }
         })
     }
 
+    /// Records that the control stream was stalled or resumed.
     pub fn record_stalled(&self, stalled: bool) {
         let proxy = self.proxy.clone();
         self.recorder.record(TrafficEvent::ControlStreamStalled { proxy, stalled });
--- a/crates/scenario/src/recording_link/mod.rs
+++ b/crates/scenario/src/recording_link/mod.rs
@@ -1,5 +1,6 @@
-//! A link in front of a proxy's control socket: controllers dial it, it dials the proxy, and what passes either way is
-//! recorded. It can also stall within a message, or break between an update and its answer.
+//! A link in front of a proxy's control socket: controllers connect to it, it connects to the proxy, and it records
+//! the traffic in both directions. It can also stall within a message, or close the stream between an update and its
+//! answer.
 
 mod connection;
 mod link_state;
@@ -17,11 +18,11 @@
 
 use self::connection::Connection;
 use self::link_state::LinkState;
-pub use self::link_state::StallPoint;
+pub use self::link_state::StreamFault;
 
-/// The link; it ends, with its streams, when this is dropped.
+/// A link to a proxy. Dropping it closes the link and its streams.
 pub struct RecordingLink {
-    /// Where controllers dial it.
+    /// The address to which controllers connect.
     pub address: SocketAddr,
     state: Arc<LinkState>,
     _accept_task: OwnedTask,
@@ -40,9 +41,9 @@
         Ok(RecordingLink { address, state, _accept_task: accept_task })
     }
 
-    /// Stalls the next message that is long enough.
-    pub fn stall_next(&self, stall: StallPoint) {
-        self.state.stall_next(stall);
+    /// Injects a fault at the next message that triggers it.
+    pub fn set_next_fault(&self, fault: StreamFault) {
+        self.state.set_next_fault(fault);
     }
 }
 
@@ -52,7 +53,7 @@
         connections.spawn(serve_connection(link.clone(), controller));
         while connections.try_join_next().is_some() {}
     }
-    // No new streams; those that are open go on.
+    // The listener failed: open streams continue, new ones are not accepted.
     while connections.join_next().await.is_some() {}
 }
 
@@ -60,7 +61,7 @@
     let _ = controller.set_nodelay(true);
     let Ok(proxy) = dial(&link.proxy_address).await else { return };
     link.recorder.record(TrafficEvent::ControlStream { proxy: link.proxy.clone(), open: true });
-    // However the stream ends, it ends for both.
+    // Both sides are closed when forwarding ends, whatever the result.
     let _ = Connection::new(&link).forward(controller, proxy).await;
     link.recorder.record(TrafficEvent::ControlStream { proxy: link.proxy.clone(), open: false });
 }
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario as it is scripted.
+//! The content of a scenario file.
 
 use std::time::Duration;
 
@@ -9,58 +9,58 @@
 /// A scripted scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// From the first request to the last.
+    /// The time during which requests are sent.
     pub duration: Duration,
-    /// Of the load and of the default tables.
+    /// The seed of the random load and of the random choice of default tables.
     pub seed: u64,
-    /// The levels of the controller's logs.
+    /// The log levels of the controller, as in its configuration.
     pub log_levels: String,
-    /// The part of the controller's configuration from `zones` to `allowed`, as XML.
+    /// The settings of the controller's configuration as XML: its elements from `zones` to `allowed`.
     pub settings: String,
-    /// The endpoints.
+    /// The groups of endpoints.
     pub endpoints: Vec<EndpointGroup>,
-    /// The proxies.
+    /// The settings of the proxies.
     pub proxies: ProxyFleet,
-    /// The requests, by class.
+    /// The load of each class.
     pub load: Vec<LoadProfile>,
-    /// In the order of their times.
+    /// The fault injections in order of time.
     pub faults: Vec<FaultInjection>,
-    /// Variants in which it may be played.
+    /// The variants in which the scenario may be run.
     pub variants: Vec<Variant>,
-    /// Listed weights that a search goes through.
+    /// The listed weights that a search tries.
     pub search_spaces: Vec<SearchSpace>,
 }
 
-/// Endpoints that are alike.
+/// A group of endpoints with the same properties.
 #[derive(Clone, Debug)]
 pub struct EndpointGroup {
-    /// Their machine type.
+    /// The machine type.
     pub machine_type: String,
-    /// How many stand in each zone.
+    /// The number of endpoints in each zone.
     pub per_zone: usize,
-    /// Cores of each.
+    /// The cores of each endpoint.
     pub cores: usize,
-    /// How fast a core is; at 1 a request takes as long as its stated work.
+    /// The speed of each core. At 1, a request takes as long as its stated work.
     pub speed: f64,
-    /// As the list has it.
+    /// The weight in the endpoint list.
     pub weight: f64,
-    /// Where they stand; none named: in every zone.
+    /// The zones of the endpoints; all zones if empty.
     pub zones: Vec<String>,
-    /// Requests that may wait for a core.
+    /// The number of requests that may wait for a core at each endpoint.
     pub max_queued: usize,
-    /// Work of a rejected request.
+    /// The work of rejecting one request, as the time on a core at speed 1.
     pub rejection_work: Duration,
 }
 
-/// The requests of a class.
+/// The load of a request class.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// The class's name.
+    /// The name of the class.
     pub class: String,
-    /// Requests a second, all proxies together.
+    /// Requests per second, at all proxies together.
     pub rate: f64,
-    /// Of a core at speed 1.
+    /// The work of one request, as the time on a core at speed 1.
     pub work: Duration,
-    /// How often a client retries at once after a failure.
+    /// The number of retries that a client sends, each immediately after a failure.
     pub max_client_retries: u32,
 }
--- a/crates/scenario/src/stage/endpoints.rs
+++ b/crates/scenario/src/stage/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a stage.
+//! Starts the endpoints of a scenario.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,7 +9,7 @@
 use crate::rules::Limits;
 use crate::scenario::{EndpointGroup, Scenario};
 
-/// Running endpoints with their entries on the list, by name.
+/// Running endpoints and their entries in the endpoint list, by name.
 #[derive(Default)]
 pub struct StartedEndpoints {
     pub endpoints: BTreeMap<String, FakeEndpoint>,
@@ -17,6 +17,9 @@
 }
 
 /// Starts the endpoints of all groups in these zones.
+///
+/// # Errors
+/// A socket can't be bound.
 pub async fn start_endpoints(
     scenario: &Scenario,
     zones: &[String],
@@ -30,7 +33,7 @@
                 continue;
             }
             for number in 1..=group.per_zone {
-                // The first group's endpoints go without its index.
+                // The names of the first group's endpoints don't contain an index.
                 let prefix = if index == 0 { String::new() } else { format!("{index}-") };
                 let name = format!("{zone}-{prefix}{number}");
                 let config = endpoint_config(&name, scenario, group, limits);
--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/stage/mod.rs
@@ -1,4 +1,4 @@
-//! The stage of a scenario: endpoints, proxies, the endpoint list and the controller's configuration.
+//! The environment of a scenario: endpoints, proxies, the endpoint list and the controller's configuration.
 
 mod endpoints;
 mod proxies;
@@ -26,7 +26,7 @@
 
 const LIST_FILE: &str = "roster.xml";
 
-/// All that a scenario is played with, but the controller's process and the load.
+/// The environment of a scenario, without the controller's process and the load.
 pub struct Stage {
     runtimes: ProxyRuntimes,
     /// The endpoints by name.
@@ -38,19 +38,19 @@
     pub config_path: PathBuf,
     /// The controller's own runtime API.
     pub controller_socket: PathBuf,
-    /// What the controller's configuration file says.
+    /// The content of the controller's configuration file.
     pub config: DaemonConfig,
-    /// The limits of the rules.
+    /// The limits that the rules are checked against.
     pub limits: Limits,
-    /// Where all traffic is recorded.
+    /// The record of all traffic.
     pub recorder: TrafficRecorder,
     pub(crate) table_folder: TableFolder,
 }
 
-/// A whole configuration file with the scenario's settings: these elements for table files, proxies and the endpoint
-/// list are put in.
+/// Returns the text of a configuration file with the scenario's settings and with the given elements for table files,
+/// proxies and the endpoint list.
 #[must_use]
-pub fn settings(scenario: &Scenario, socket: &Path, files: &str, proxies: &str, list: &str) -> String {
+pub fn config_text(scenario: &Scenario, socket: &Path, files: &str, proxies: &str, list: &str) -> String {
     let Scenario { seed, log_levels, settings, .. } = scenario;
     format!(
         "<lockcroft>\n<pilot name=\"rehearsed\" seed=\"{seed}\"/>\n\
@@ -61,16 +61,16 @@
 }
 
 impl Stage {
-    /// Starts endpoints and proxies, with so many threads for proxies, and writes the controller's files into the
+    /// Starts endpoints and proxies, using this number of threads for proxies, and writes the controller's files to the
     /// folder.
     ///
     /// # Errors
-    /// The scenario's settings are no settings, or a socket or file can't be had.
+    /// The scenario's settings are invalid, or a socket or file can't be opened or written.
     pub async fn build(scenario: &Scenario, folder: &Path, threads: usize) -> Result<Self, ScenarioError> {
         let controller_socket = folder.join("pilot.sock");
         let config_path = folder.join("pilot.xml");
-        // Zones, classes and limits are read from the scenario's settings before there are proxies and endpoints.
-        fs::write(&config_path, settings(scenario, &controller_socket, "", "", "<roster/>"))?;
+        // Proxies and endpoints need the zones, classes and limits, which are read from a first configuration file.
+        fs::write(&config_path, config_text(scenario, &controller_socket, "", "", "<roster/>"))?;
         let config = DaemonConfig::open(&config_path)?;
         let limits = limits(scenario, &config);
         let recorder = TrafficRecorder::default();
@@ -108,16 +108,15 @@
         })
     }
 
-    /// Ends a proxy with its streams, as if its process were gone, and starts a new one in its place, with the default
-    /// table.
+    /// Stops a proxy with all of its connections and starts it again with the default table.
     ///
     /// # Errors
-    /// Its sockets can't be had again.
+    /// One of its sockets can't be bound again.
     pub async fn restart_proxy(&self, proxy: &ProxyInstance) -> Result<(), ScenarioError> {
-        let _no_status = self.table_folder.restart_lock.lock().await;
+        let _restart_guard = self.table_folder.restart_lock.lock().await;
         self.runtimes.stop(proxy.number);
         let started = self.runtimes.start(proxy.number, proxy.config.clone()).await;
-        // Recorded only now: what the old process was sent until it ended belongs to the old one.
+        // The start is recorded after the stop, so that traffic until then is attributed to the old process.
         proxy.record_start(&self.recorder);
         match started {
             Ok(_) => Ok(()),
@@ -125,13 +124,13 @@
         }
     }
 
-    /// The proxy of this name.
+    /// Returns the proxy of this name.
     #[must_use]
     pub fn proxy(&self, name: &str) -> Option<&ProxyInstance> {
         self.proxies.iter().find(|proxy| proxy.name == name)
     }
 
-    /// Zones of all endpoints and proxies by their names.
+    /// Returns the zones of all endpoints and proxies by name.
     #[must_use]
     pub fn zones(&self) -> ZonesByName {
         let endpoints = self.list.entries.iter().map(|(name, entry)| (name.clone(), entry.zone.clone()));
@@ -139,10 +138,10 @@
         endpoints.chain(proxies).collect()
     }
 
-    /// Endpoints by name, and all of the zone.
+    /// Returns the given endpoints, followed by all endpoints of the zone.
     ///
     /// # Errors
-    /// A name is of no endpoint.
+    /// There is no endpoint of one of the names.
     pub fn select_endpoints(
         &self,
         names: &[String],
@@ -159,7 +158,8 @@
     }
 }
 
-/// Smooth weighted round robin balances evenly, unless requests wait for a saturated endpoint.
+/// Returns the limits of the rules. Smooth weighted round robin balances evenly unless requests wait for a saturated
+/// endpoint.
 fn limits(scenario: &Scenario, config: &DaemonConfig) -> Limits {
     let policy = scenario.proxies.policy.unwrap_or_default();
     let even_balancing =
@@ -167,7 +167,7 @@
     Limits { even_balancing, ..Limits::new(&config.settings) }
 }
 
-/// The controller's whole configuration, once proxies and list are there; `config` is the one without them.
+/// Returns the text of the controller's complete configuration. `config` is the one without proxies and endpoint list.
 fn controller_config(
     scenario: &Scenario,
     socket: &Path,
@@ -182,10 +182,10 @@
         TableSource::Files | TableSource::Mixed => table_folder.controller_xml(),
     };
     let list_xml = format!("<roster-file path=\"{LIST_FILE}\" look-every=\"100ms\"/>");
-    settings(scenario, socket, &files_xml, &proxies_xml, &list_xml)
+    config_text(scenario, socket, &files_xml, &proxies_xml, &list_xml)
 }
 
-/// Requests a second at each proxy.
+/// Returns the average requests per second at each proxy.
 fn requests_per_proxy(scenario: &Scenario, config: &DaemonConfig) -> f64 {
     let rate: f64 = scenario.load.iter().map(|load| load.rate).sum();
     rate / (scenario.proxies.per_zone * config.names.zones.len()) as f64
--- a/crates/scenario/src/stage/proxies.rs
+++ b/crates/scenario/src/stage/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a stage.
+//! Starts the proxies of a scenario.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,26 +18,26 @@
 use crate::scenario::Scenario;
 use crate::table_folder::TableFolder;
 
-/// A large scenario has more pairs of proxies and endpoints than there are file descriptors for connections.
+/// Short, because a large scenario has more pairs of proxies and endpoints than there are file descriptors.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A proxy of the stage, behind a link on its control socket.
+/// A running proxy with a recording link to its control socket.
 pub struct ProxyInstance {
-    /// Its name.
+    /// The name of the proxy.
     pub name: String,
-    /// Its zone.
+    /// The zone of the proxy.
     pub zone: String,
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
     /// The link to its control socket.
     pub link: RecordingLink,
-    /// By which its runtime knows it.
+    /// The number by which [`ProxyRuntimes`] identifies it.
     pub(super) number: usize,
     pub(super) config: ProxyConfig,
 }
 
 impl ProxyInstance {
-    /// The element of the controller's configuration.
+    /// Returns the element `proxy` of the controller's configuration.
     pub(super) fn to_xml(&self, requests_per_s: f64) -> String {
         let table_source = if self.config.table_files.is_some() { "files" } else { "commands" };
         format!(
@@ -46,7 +46,7 @@
         )
     }
 
-    /// Records that a new process started with its default table.
+    /// Records the start of a new process with its default table.
     pub(super) fn record_start(&self, recorder: &TrafficRecorder) {
         record_start(&self.config, recorder);
     }
@@ -57,7 +57,7 @@
     recorder.record(TrafficEvent::ProxyStarted { proxy: config.name.clone(), endpoints });
 }
 
-/// What proxies are started from.
+/// Starts proxies from the scenario and the controller's configuration.
 pub struct ProxyStarter<'a> {
     pub scenario: &'a Scenario,
     pub config: &'a DaemonConfig,
@@ -69,6 +69,10 @@
 }
 
 impl ProxyStarter<'_> {
+    /// Starts all proxies of all zones.
+    ///
+    /// # Errors
+    /// A socket can't be bound.
     pub async fn start_all(&self) -> Result<Vec<ProxyInstance>, ScenarioError> {
         let mut random = WyRand::new_seed(self.scenario.seed);
         let mut proxies = Vec::new();
@@ -82,7 +86,7 @@
         Ok(proxies)
     }
 
-    /// Endpoints of the zone that a proxy knows before a controller assigns it a table.
+    /// Returns randomly chosen endpoints of the zone, which a proxy uses before a controller assigns it a table.
     fn default_table(&self, zone: &str, random: &mut WyRand) -> Vec<(String, SocketAddr)> {
         let mut in_zone: Vec<_> = self.entries.iter().filter(|(_, entry)| entry.zone == zone).collect();
         random.shuffle(&mut in_zone);
@@ -119,7 +123,7 @@
         config
     }
 
-    /// The clients' timeout of each class.
+    /// Returns the client timeout of each class.
     fn class_timeouts(&self) -> Vec<(String, Duration)> {
         let timeout = |index: usize| self.config.settings.classes[index].client_timeout.unwrap_or_default();
         let classes = self.config.names.classes.iter().enumerate();
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -86,7 +86,7 @@
         loop {
             tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             // An asynchronous lock, because a restart holds it across await points.
-            let _no_restart = self.restart_lock.lock().await;
+            let _restart_guard = self.restart_lock.lock().await;
             for status in statuses.read_changed(&self.folder).unwrap_or_default() {
                 for applied in
                     status.laid.iter().filter(|applied| seen.insert(SeenStatus::new(&status, applied)))
--- a/crates/scenario/src/variants.rs
+++ b/crates/scenario/src/variants.rs
@@ -1,33 +1,32 @@
-//! Variants of a scenario: the same faults and requests with other settings or other listed weights, to be compared
-//! side by side.
+//! Variants of a scenario: the same faults and load with other settings or other listed weights, for comparison.
 
 use crate::proxy_fleet::TableSource;
 
-/// What differs from the scenario as it stands.
+/// The changes that a variant makes to the scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Variant {
-    /// By which it is chosen.
+    /// The name by which the variant is selected.
     pub name: String,
-    /// Elements of the settings that are left out.
+    /// The names of the elements that are removed from the settings.
     pub without: Vec<String>,
-    /// Attributes in the settings that are changed.
+    /// The attributes of the settings that are changed.
     pub overrides: Vec<SettingOverride>,
-    /// Listed weights of endpoints by machine type.
+    /// The listed weights of endpoints by machine type.
     pub weights: Vec<MachineTypeWeight>,
-    /// From where proxies get their tables, if not as the scenario has it.
+    /// The source from which proxies get their tables, if it differs from the scenario's.
     pub table_source: Option<TableSource>,
 }
 
 /// An attribute in the settings that a variant changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingOverride {
-    /// The element's name.
+    /// The name of the element.
     pub element: String,
-    /// The name of the element's child that has the attribute; empty for the element itself.
+    /// The value of the attribute `name` of the child that has the attribute; empty for the element itself.
     pub child: String,
-    /// The attribute's name.
+    /// The name of the attribute.
     pub attribute: String,
-    /// Its value; empty if the attribute is left out.
+    /// The value; empty if the attribute is removed.
     pub value: String,
 }
 
@@ -36,20 +35,20 @@
 pub struct MachineTypeWeight {
     /// The machine type.
     pub machine_type: String,
-    /// Above 0.
+    /// The weight, above 0.
     pub weight: f64,
 }
 
-/// Weights of a machine type that a search goes through.
+/// The listed weights that a search tries for a machine type.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchSpace {
     /// The machine type.
     pub machine_type: String,
-    /// Each above 0.
+    /// The weights, each above 0.
     pub weights: Vec<f64>,
 }
 
-/// Every choice of one weight a machine type, as variants that differ in these alone. They go without the solver, which
+/// Returns a variant for each combination of one weight per machine type. The variants run without the solver, which
 /// would replace the weights.
 #[must_use]
 pub fn search_variants(spaces: &[SearchSpace]) -> Vec<Variant> {
@@ -65,6 +64,7 @@
     variants
 }
 
+/// Returns a copy of the variant for each weight of the machine type.
 fn with_each_weight(variant: &Variant, space: &SearchSpace) -> Vec<Variant> {
     let with_weight = |weight: &f64| {
         let mut variant = variant.clone();
