--- a/crates/scenario/tests/report_json.rs
+++ b/crates/scenario/tests/report_json.rs
@@ -1,4 +1,4 @@
-//! The JSON of reports is read by other programs: its keys stay, whatever the types are called here.
+//! Guards the JSON and the text of reports, which other programs and people read, against renamed types and fields.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 };
 use serde_json::{Value, json};
 
-fn text(text: &str) -> String {
+fn string(text: &str) -> String {
     text.into()
 }
 
 fn events() -> Vec<TrafficEvent> {
     vec![
         TrafficEvent::RequestArrived {
-            endpoint: text("e"),
-            proxy: text("r"),
+            endpoint: string("e"),
+            proxy: string("r"),
             request: 1,
-            class: text("c"),
+            class: string("c"),
             work: 0.5,
-            table: text("t0@1"),
+            table: string("t0@1"),
         },
-        TrafficEvent::RequestExecuted { endpoint: text("e"), request: 1, class: text("c") },
-        TrafficEvent::EndpointStarted { endpoint: text("e"), capacity: 2.0 },
-        TrafficEvent::EndpointStopped { endpoint: text("e") },
-        TrafficEvent::EndpointOverloaded { endpoint: text("e") },
-        TrafficEvent::ControlStream { proxy: text("r"), open: true },
-        TrafficEvent::ControlStreamStalled { proxy: text("r"), stalled: false },
-        TrafficEvent::ProxyStarted { proxy: text("r"), endpoints: vec![text("e")] },
-        TrafficEvent::UpdateReceived { proxy: text("r"), commands: 3 },
+        TrafficEvent::RequestExecuted { endpoint: string("e"), request: 1, class: string("c") },
+        TrafficEvent::EndpointStarted { endpoint: string("e"), capacity: 2.0 },
+        TrafficEvent::EndpointStopped { endpoint: string("e") },
+        TrafficEvent::EndpointOverloaded { endpoint: string("e") },
+        TrafficEvent::ControlStream { proxy: string("r"), open: true },
+        TrafficEvent::ControlStreamStalled { proxy: string("r"), stalled: false },
+        TrafficEvent::ProxyStarted { proxy: string("r"), endpoints: vec![string("e")] },
+        TrafficEvent::UpdateReceived { proxy: string("r"), commands: 3 },
         TrafficEvent::UpdateAnswered {
-            proxy: text("r"),
-            commands: vec![AnsweredCommand { command: text("command"), answer: text("answer") }],
+            proxy: string("r"),
+            commands: vec![AnsweredCommand { command: string("command"), answer: string("answer") }],
         },
         TrafficEvent::SnapshotApplied {
-            proxy: text("r"),
+            proxy: string("r"),
             version: 4,
             tables: vec![AppliedTable {
-                name: text("t0"),
-                entries: vec![EndpointWeight { endpoint: text("e"), weight: 5 }],
+                name: string("t0"),
+                entries: vec![EndpointWeight { endpoint: string("e"), weight: 5 }],
             }],
-            class_tables: vec![ClassTable { class: text("c"), table: text("t0") }],
-            ejected: vec![text("e")],
+            class_tables: vec![ClassTable { class: string("c"), table: string("t0") }],
+            ejected: vec![string("e")],
         },
         TrafficEvent::ListPublished {
             endpoints: vec![
                 ListedEndpoint {
-                    name: text("e"),
-                    state: text("ready"),
+                    name: string("e"),
+                    state: string("ready"),
                     started: Some(Duration::from_secs(6)),
                 },
-                ListedEndpoint { name: text("f"), state: text("gone"), started: None },
+                ListedEndpoint { name: string("f"), state: string("gone"), started: None },
             ],
         },
         TrafficEvent::RequestCompleted {
             request: 1,
-            class: text("c"),
+            class: string("c"),
             sent_at: Duration::from_millis(1500),
             status: 200,
         },
@@ -71,7 +71,7 @@
             unit: "s after told",
             worst_value: 3.0,
             limit: 2.0,
-            location: text("r to e at 4.0 s"),
+            location: string("r to e at 4.0 s"),
         }],
         score: Score {
             requests: 7,
@@ -79,12 +79,12 @@
             worst_window_goodput: 0.5,
             worst_window_at_s: 8.0,
             window_goodput: vec![0.25],
-            class_goodput: [(text("c"), 0.5)].into(),
+            class_goodput: [(string("c"), 0.5)].into(),
             cross_zone_fraction: 0.125,
             changes: vec![9],
             restarts: vec![RestartScore { at_s: 10.0, goodput: 0.5, changes: 11, settled_s: 1.5 }],
         },
-        controller_info: vec![text("Name: rehearsed")],
+        controller_info: vec![string("Name: rehearsed")],
         resource_usage: ResourceUsage {
             samples: vec![ResourceSample { at_s: 1.0, cores: 0.5, memory_mib: 20.0 }],
             proxy_cpu_s: 3.0,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_report_keeps_its_json() {
+fn a_report_has_fixed_json() {
     let events = json!([
         {"Arrived": {"endpoint": "e", "relay": "r", "visit": 1, "class": "c", "work": 0.5, "table": "t0@1"}},
         {"Ran": {"endpoint": "e", "visit": 1, "class": "c"}},
@@ -139,17 +139,16 @@
 }
 
 #[test]
-fn a_summary_keeps_its_json_and_is_read_again() {
+fn a_summary_has_fixed_json_and_can_be_parsed() {
     let summary = report().summary();
     let expected = json!({"score": score_json(), "broken": ["drains kept"]});
     assert_eq!(serde_json::to_value(&summary).expect("JSON"), expected);
-    let read: lockcroft_scenario::Summary = serde_json::from_value(expected.clone()).expect("a summary");
-    assert_eq!(serde_json::to_value(read).expect("JSON"), expected);
+    let parsed: lockcroft_scenario::Summary = serde_json::from_value(expected.clone()).expect("a summary");
+    assert_eq!(serde_json::to_value(parsed).expect("JSON"), expected);
 }
 
-/// Reports as people read them.
 #[test]
-fn a_report_keeps_its_text() {
+fn a_report_has_a_fixed_text() {
     let expected = "\
 BROKEN drains kept          3.00 of 2.00 s after told (r to e at 4.0 s)
 fulfilled earnings 0.750 of 7 visits, 0.500 in the worst 10 s (from 8 s)
--- a/crates/scenario/tests/variants.rs
+++ b/crates/scenario/tests/variants.rs
@@ -1,4 +1,4 @@
-//! A scenario in several variants.
+//! Tests of variants of a scenario and of the variants of a search.
 
 use lockcroft_scenario::{Scenario, search_variants};
 
@@ -11,23 +11,23 @@
 </day>"#;
 
 #[test]
-fn a_variant_changes_what_it_names_and_nothing_else() {
+fn a_variant_changes_only_the_settings_that_it_names() {
     let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
-    let plain = scenario.with_variant(&scenario.variants[0]).expect("all that it names is there");
+    let plain = scenario.with_variant(&scenario.variants[0]).expect("all elements and machine types exist");
     let settings: String = plain.settings.split_whitespace().collect::<Vec<_>>().join(" ");
     let expected = r#"<kinds><kind cores="1" name="old"/><kind name="new" cores="8"/></kinds> <rules fixed-weights="true" />"#;
     assert_eq!(settings, expected);
     assert_eq!(plain.endpoints.iter().map(|group| group.weight).collect::<Vec<_>>(), [0.5, 1.0]);
     assert_eq!(scenario.endpoints[1].zones, ["a", "b"]);
-    assert!(scenario.settings.contains("<solver"), "the scenario itself stays");
+    assert!(scenario.settings.contains("<solver"), "the scenario itself is unchanged");
 }
 
 #[test]
-fn a_search_goes_through_every_choice() {
+fn a_search_has_a_variant_for_each_combination_of_weights() {
     let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     let names: Vec<String> =
         search_variants(&scenario.search_spaces).into_iter().map(|variant| variant.name).collect();
-    let all = [
+    let expected = [
         "old=0.25 new=1",
         "old=0.25 new=2",
         "old=0.25 new=3",
@@ -35,11 +35,11 @@
         "old=0.5 new=2",
         "old=0.5 new=3",
     ];
-    assert_eq!(names, all);
+    assert_eq!(names, expected);
 }
 
 #[test]
-fn a_variant_that_names_what_is_not_there_is_rejected() {
+fn a_variant_with_an_unknown_element_or_an_invalid_weight_is_rejected() {
     let mut scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     scenario.variants[0].without = vec!["limits".into()];
     let error = scenario.with_variant(&scenario.variants[0]).unwrap_err().to_string();
--- a/crates/scenario/tests/xml.rs
+++ b/crates/scenario/tests/xml.rs
@@ -1,11 +1,11 @@
-//! Every element and attribute of a scenario's file is read into its field.
+//! Tests that elements and attributes of scenario files are read into their fields.
 
 use std::time::Duration;
 
 use lockcroft_proxy::LoadBalancingPolicy;
 use lockcroft_scenario::{FaultKind, Scenario, TableSource};
 
-const FULL: &str = r#"<day length="90s" seed="7" log="debug">
+const SCENARIO: &str = r#"<day length="90s" seed="7" log="debug">
   <terms><zones><zone name="a"/></zones></terms>
   <endpoints kind="k" per-zone="2" cores="3" speed="1.5" weight="0.5" zones="a b" queue="9" turn-away-work="2ms"/>
   <endpoints kind="l" per-zone="1" cores="1"/>
@@ -17,20 +17,26 @@
 </day>"#;
 
 #[test]
-fn every_attribute_is_read() {
-    let scenario = Scenario::parse(FULL).expect("a sound file");
+fn attributes_are_read_into_their_fields() {
+    let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     assert_eq!(
         (scenario.duration, scenario.seed, scenario.log_levels.as_str()),
         (Duration::from_secs(90), 7, "debug")
     );
     assert_eq!(scenario.settings, "<zones><zone name=\"a\"/></zones>\n");
-    let full = &scenario.endpoints[0];
-    assert_eq!((full.machine_type.as_str(), full.per_zone, full.cores, full.speed), ("k", 2, 3, 1.5));
-    assert_eq!((full.weight, full.max_queued, full.rejection_work), (0.5, 9, Duration::from_millis(2)));
-    assert_eq!(full.zones, ["a", "b"]);
-    let plain = &scenario.endpoints[1];
+    let explicit = &scenario.endpoints[0];
     assert_eq!(
-        (plain.speed, plain.weight, plain.max_queued, plain.rejection_work),
+        (explicit.machine_type.as_str(), explicit.per_zone, explicit.cores, explicit.speed),
+        ("k", 2, 3, 1.5)
+    );
+    assert_eq!(
+        (explicit.weight, explicit.max_queued, explicit.rejection_work),
+        (0.5, 9, Duration::from_millis(2))
+    );
+    assert_eq!(explicit.zones, ["a", "b"]);
+    let with_defaults = &scenario.endpoints[1];
+    assert_eq!(
+        (with_defaults.speed, with_defaults.weight, with_defaults.max_queued, with_defaults.rejection_work),
         (1.0, 1.0, 64, Duration::ZERO)
     );
     let proxies = &scenario.proxies;
@@ -57,8 +63,8 @@
 }
 
 #[test]
-fn faults_are_read_in_the_order_of_their_times() {
-    let scenario = Scenario::parse(FULL).expect("a sound file");
+fn faults_are_sorted_by_time() {
+    let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     let [first, second] = &scenario.faults[..] else { panic!("two faults") };
     assert_eq!((first.at, first.duration, first.kind), (Duration::from_secs(1), None, FaultKind::Hang));
     assert_eq!((first.factor, first.after_commands, first.notice_delay), (1.0, 1, Duration::from_secs(1)));
@@ -74,9 +80,9 @@
     assert_eq!((second.proxy.as_deref(), second.command.as_str()), (Some("r"), "show info"));
 }
 
-/// The words are printed while a scenario is played.
+/// The words are printed while a scenario runs.
 #[test]
-fn each_kind_of_fault_is_read_and_printed_by_its_word() {
+fn fault_kinds_are_read_and_printed_by_their_words() {
     let words = [
         ("hang", "Hang"),
         ("errors", "Errors"),
@@ -93,7 +99,7 @@
         ("ask", "Ask"),
     ];
     for (kind, word) in words {
-        let text = FULL.replace("kind=\"hang\"", &format!("kind=\"{kind}\""));
+        let text = SCENARIO.replace("kind=\"hang\"", &format!("kind=\"{kind}\""));
         let scenario = Scenario::parse(&text).expect("a valid scenario");
         assert_eq!(scenario.faults[0].kind.to_string(), word);
     }
