--- a/crates/scenario/src/stage/mod.rs
+++ b/crates/scenario/src/environment/mod.rs
@@ -27,7 +27,7 @@
 const LIST_FILE: &str = "roster.xml";
 
 /// The environment of a scenario, without the controller's process and the load.
-pub struct Stage {
+pub struct Environment {
     runtimes: ProxyRuntimes,
     /// The endpoints by name.
     pub endpoints: BTreeMap<String, FakeEndpoint>,
@@ -60,7 +60,7 @@
     )
 }
 
-impl Stage {
+impl Environment {
     /// Starts endpoints and proxies, using this number of threads for proxies, and writes the controller's files to the
     /// folder.
     ///
@@ -94,7 +94,7 @@
         let text = controller_config(scenario, &controller_socket, &proxies, &table_folder, &config);
         fs::write(&config_path, text)?;
         let config = DaemonConfig::open(&config_path)?;
-        Ok(Stage {
+        Ok(Environment {
             runtimes,
             endpoints: started.endpoints,
             proxies,
--- a/crates/scenario/src/fault_injector.rs
+++ b/crates/scenario/src/fault_injector.rs
@@ -5,18 +5,18 @@
 use lockcroft_testbed::{FaultMode, LoadGenerator};
 
 use crate::controller_process::ControllerProcess;
+use crate::environment::{Environment, ProxyInstance};
 use crate::error::ScenarioError;
 use crate::fault_steps::{Phase, Step};
 use crate::faults::{FaultInjection, FaultKind};
 use crate::recording_link::StreamFault;
-use crate::stage::{ProxyInstance, Stage};
 
 /// The duration of a stall if the fault doesn't state it.
 const DEFAULT_STALL_DURATION: Duration = Duration::from_secs(3);
 
 /// Applies faults to the parts of a running scenario.
 pub struct FaultInjector<'a> {
-    pub stage: &'a mut Stage,
+    pub environment: &'a mut Environment,
     pub controller: &'a mut ControllerProcess,
     pub load: &'a LoadGenerator,
 }
@@ -26,10 +26,10 @@
     ///
     /// # Errors
     /// There is no endpoint or no proxy of a name.
-    pub fn check(stage: &Stage, fault: &FaultInjection) -> Result<(), ScenarioError> {
-        stage.select_endpoints(&fault.endpoints, fault.zone.as_deref())?;
+    pub fn check(environment: &Environment, fault: &FaultInjection) -> Result<(), ScenarioError> {
+        environment.select_endpoints(&fault.endpoints, fault.zone.as_deref())?;
         match &fault.proxy {
-            Some(name) if stage.proxy(name).is_none() => Err(ScenarioError::UnknownProxy(name.clone())),
+            Some(name) if environment.proxy(name).is_none() => Err(ScenarioError::UnknownProxy(name.clone())),
             _ => Ok(()),
         }
     }
@@ -64,7 +64,7 @@
             }
             FaultKind::RestartProxy if begins => {
                 if let Some(proxy) = self.proxy(fault) {
-                    self.stage.restart_proxy(proxy).await?;
+                    self.environment.restart_proxy(proxy).await?;
                 }
             }
             FaultKind::StallProxy
@@ -79,11 +79,11 @@
     }
 
     fn endpoints(&self, fault: &FaultInjection) -> Result<Vec<String>, ScenarioError> {
-        self.stage.select_endpoints(&fault.endpoints, fault.zone.as_deref())
+        self.environment.select_endpoints(&fault.endpoints, fault.zone.as_deref())
     }
 
     fn proxy(&self, fault: &FaultInjection) -> Option<&ProxyInstance> {
-        self.stage.proxy(fault.proxy.as_deref()?)
+        self.environment.proxy(fault.proxy.as_deref()?)
     }
 
     fn set_stream_fault(&self, fault: &FaultInjection, stream_fault: StreamFault) {
@@ -95,15 +95,15 @@
     fn set_fault_mode(&self, step: &Step<'_>, mode: FaultMode) -> Result<(), ScenarioError> {
         let mode = if step.phase == Phase::Begins { mode } else { FaultMode::Healthy };
         for name in self.endpoints(step.fault)? {
-            self.stage.endpoints[&name].set_fault_mode(mode);
+            self.environment.endpoints[&name].set_fault_mode(mode);
         }
         Ok(())
     }
 
     fn publish_state(&mut self, fault: &FaultInjection, state: &'static str) -> Result<(), ScenarioError> {
         let endpoints = self.endpoints(fault)?;
-        self.stage.list.set_state(&endpoints, state);
-        Ok(self.stage.list.write()?)
+        self.environment.list.set_state(&endpoints, state);
+        Ok(self.environment.list.write()?)
     }
 
     /// Ends processes of endpoints, reports it in the list later, and restarts them at the end of the fault.
@@ -113,9 +113,9 @@
             Phase::Noticed => self.publish_state(step.fault, "gone"),
             Phase::Ends => {
                 for name in self.endpoints(step.fault)? {
-                    self.stage.endpoints[&name].restart();
-                    let now = self.stage.recorder.now();
-                    self.stage.list.set_started(&name, now, SystemTime::now());
+                    self.environment.endpoints[&name].restart();
+                    let now = self.environment.recorder.now();
+                    self.environment.list.set_started(&name, now, SystemTime::now());
                 }
                 self.publish_state(step.fault, "ready")
             }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -7,6 +7,7 @@
 use lockcroft_testbed::{ClassLoad, LoadGenerator, generate_load};
 
 use crate::controller_process::ControllerProcess;
+use crate::environment::Environment;
 use crate::error::ScenarioError;
 use crate::fault_injector::FaultInjector;
 use crate::fault_steps::{Phase, Step, steps};
@@ -17,7 +18,6 @@
 use crate::rules::check_rules;
 use crate::scenario::Scenario;
 use crate::score::score;
-use crate::stage::Stage;
 
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -36,35 +36,37 @@
 ) -> Result<Report, ScenarioError> {
     // One core is reserved for the controller's process.
     let cores = std::thread::available_parallelism().map_or(2, std::num::NonZero::get);
-    let mut stage = Stage::build(scenario, folder, cores.saturating_sub(1)).await?;
+    let mut environment = Environment::build(scenario, folder, cores.saturating_sub(1)).await?;
     for fault in &scenario.faults {
-        FaultInjector::check(&stage, fault)?;
+        FaultInjector::check(&environment, fault)?;
     }
-    let controller = ControllerProcess::start(program, &stage.config_path, &folder.join("pilot.log"));
+    let controller = ControllerProcess::start(program, &environment.config_path, &folder.join("pilot.log"));
     let mut controller =
         controller.map_err(|source| ScenarioError::Program { path: program.into(), source })?;
-    let meter = ResourceMeter::start(controller.process_id(), stage.recorder.clone());
-    let load = LoadGenerator::new(stage.recorder.clone());
+    let meter = ResourceMeter::start(controller.process_id(), environment.recorder.clone());
+    let load = LoadGenerator::new(environment.recorder.clone());
     let snapshot_recorder =
-        OwnedTask::spawn(stage.table_folder.clone().record_applied(stage.recorder.clone()));
-    let _load_tasks = start_load(scenario, &stage, &load);
+        OwnedTask::spawn(environment.table_folder.clone().record_applied(environment.recorder.clone()));
+    let _load_tasks = start_load(scenario, &environment, &load);
     for step in steps(&scenario.faults).iter().filter(|step| step.at < scenario.duration) {
-        tokio::time::sleep(step.at.saturating_sub(stage.recorder.now())).await;
+        tokio::time::sleep(step.at.saturating_sub(environment.recorder.now())).await;
         report_progress(&describe(step));
-        FaultInjector { stage: &mut stage, controller: &mut controller, load: &load }.apply(step).await?;
+        FaultInjector { environment: &mut environment, controller: &mut controller, load: &load }
+            .apply(step)
+            .await?;
         if step.fault.kind == FaultKind::RunCommand && step.phase == Phase::Begins {
-            report_progress(query_controller(&stage, &step.fault.command).await.trim());
+            report_progress(query_controller(&environment, &step.fault.command).await.trim());
         }
     }
-    tokio::time::sleep(scenario.duration.saturating_sub(stage.recorder.now())).await;
+    tokio::time::sleep(scenario.duration.saturating_sub(environment.recorder.now())).await;
     // The last requests complete within the longest client timeout.
-    tokio::time::sleep(max_client_timeout(&stage)).await;
-    let info = query_controller(&stage, "show info").await;
+    tokio::time::sleep(max_client_timeout(&environment)).await;
+    let info = query_controller(&environment, "show info").await;
     let resource_usage = meter.finish();
     let exit_code = controller.terminate(SHUTDOWN_TIMEOUT);
     drop(snapshot_recorder);
     let controller_data = ControllerData { info, resource_usage, exit_code };
-    Ok(report(scenario, &stage, controller_data))
+    Ok(report(scenario, &environment, controller_data))
 }
 
 /// The data collected about the controller's process.
@@ -74,11 +76,11 @@
     exit_code: Option<i32>,
 }
 
-fn report(scenario: &Scenario, stage: &Stage, controller_data: ControllerData) -> Report {
-    let records = stage.recorder.records();
+fn report(scenario: &Scenario, environment: &Environment, controller_data: ControllerData) -> Report {
+    let records = environment.recorder.records();
     Report {
-        checks: check_rules(&records, &stage.limits),
-        score: score(&records, &stage.config.settings, &stage.zones(), &restarts(scenario)),
+        checks: check_rules(&records, &environment.limits),
+        score: score(&records, &environment.config.settings, &environment.zones(), &restarts(scenario)),
         controller_info: controller_data
             .info
             .lines()
@@ -97,8 +99,8 @@
 }
 
 /// Returns the answer of the controller's runtime API, or the error as text.
-async fn query_controller(stage: &Stage, command: &str) -> String {
-    let socket = Address::Unix(stage.controller_socket.clone());
+async fn query_controller(environment: &Environment, command: &str) -> String {
+    let socket = Address::Unix(environment.controller_socket.clone());
     request(&socket, command, COMMAND_TIMEOUT).await.unwrap_or_else(|error| error.to_string())
 }
 
@@ -108,20 +110,20 @@
     kills.filter_map(|kill| Some(kill.at + kill.duration?)).collect()
 }
 
-fn max_client_timeout(stage: &Stage) -> Duration {
-    let classes = &stage.config.settings.classes;
+fn max_client_timeout(environment: &Environment) -> Duration {
+    let classes = &environment.config.settings.classes;
     classes.iter().filter_map(|class| class.client_timeout).max().unwrap_or_default()
 }
 
 /// Starts the load of all classes. Dropping the returned tasks ends it.
-fn start_load(scenario: &Scenario, stage: &Stage, generator: &LoadGenerator) -> Vec<OwnedTask> {
-    let proxies: Vec<_> = stage.proxies.iter().map(|proxy| proxy.address).collect();
+fn start_load(scenario: &Scenario, environment: &Environment, generator: &LoadGenerator) -> Vec<OwnedTask> {
+    let proxies: Vec<_> = environment.proxies.iter().map(|proxy| proxy.address).collect();
     let mut tasks = Vec::new();
     for (index, profile) in scenario.load.iter().enumerate() {
-        let class = stage.limits.classes.iter().position(|class| *class == profile.class).unwrap_or(0);
+        let class = environment.limits.classes.iter().position(|class| *class == profile.class).unwrap_or(0);
         let class = ClassLoad {
             name: profile.class.clone(),
-            client_timeout: stage.config.settings.classes[class].client_timeout.unwrap_or_default(),
+            client_timeout: environment.config.settings.classes[class].client_timeout.unwrap_or_default(),
             rate: profile.rate,
             max_client_retries: profile.max_client_retries,
         };
