--- a/crates/scenario/src/endpoint_list_file.rs
+++ b/crates/scenario/src/endpoint_list_file.rs
@@ -22,7 +22,7 @@
     pub machine_type: String,
     pub address: SocketAddr,
     pub weight: f64,
-    /// `ready`, `draining` or `gone`.
+    /// The state: `ready`, `draining` or `gone`.
     pub state: &'static str,
     /// The last restart; `None` if the initial process still runs.
     pub started: Option<StartTime>,
--- a/crates/scenario/src/environment/mod.rs
+++ b/crates/scenario/src/environment/mod.rs
@@ -31,12 +31,12 @@
     runtimes: ProxyRuntimes,
     /// The endpoints by name.
     pub endpoints: BTreeMap<String, FakeEndpoint>,
-    /// The proxies, each behind a link on its control socket.
+    /// The proxies, each with a recording link to its control socket.
     pub proxies: Vec<ProxyInstance>,
     pub(crate) list: EndpointListFile,
-    /// The controller's configuration file.
+    /// The path of the controller's configuration file.
     pub config_path: PathBuf,
-    /// The controller's own runtime API.
+    /// The socket of the controller's runtime API.
     pub controller_socket: PathBuf,
     /// The content of the controller's configuration file.
     pub config: DaemonConfig,
--- a/crates/scenario/src/faults.rs
+++ b/crates/scenario/src/faults.rs
@@ -27,7 +27,7 @@
     BreakProxyStream,
     /// A proxy is restarted.
     RestartProxy,
-    /// The controller's process is killed.
+    /// The controller's process is killed, and restarted at the end of the fault.
     KillController,
     /// The request rates are multiplied by `factor`.
     Overload,
--- a/crates/scenario/src/observed_state.rs
+++ b/crates/scenario/src/observed_state.rs
@@ -105,7 +105,8 @@
         } else {
             self.ejected.clone_from(&not_ready);
             self.replace_tables(tables);
-            let assignments = class_tables.iter().map(|of| (of.class.clone(), of.table.clone()));
+            let assignments =
+                class_tables.iter().map(|class_table| (class_table.class.clone(), class_table.table.clone()));
             self.class_tables.extend(assignments);
         }
         for (endpoint, entry) in self.tables.values_mut().flatten() {
@@ -121,8 +122,8 @@
         self.tables.retain(|name, _| name == DEFAULT_TABLE);
         for table in tables {
             let entries = table.entries.iter();
-            let entries =
-                entries.map(|of| (of.endpoint.clone(), Entry { weight: of.weight, not_ready: false }));
+            let entries = entries
+                .map(|entry| (entry.endpoint.clone(), Entry { weight: entry.weight, not_ready: false }));
             self.tables.insert(table.name.clone(), entries.collect());
         }
     }
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -15,7 +15,7 @@
 /// The tables count as restored after a restart once there was no update for this long, as weights change at all times.
 const QUIET_TIME: Duration = Duration::from_secs(1);
 
-/// The zone of each endpoint and proxy, by name.
+/// The zones of endpoints and proxies, by the name of the endpoint or proxy.
 pub type ZonesByName = BTreeMap<String, String>;
 
 /// The score of the 20 s after a restart of the controller.
@@ -33,7 +33,7 @@
     pub settled_s: f64,
 }
 
-/// Goodput, from 0 to 1, by class and by time.
+/// The goodput of a scenario, from 0 to 1, in total, by class and over time, with related figures.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Score {
     /// The number of completed requests.
@@ -92,7 +92,11 @@
         cross_zone_fraction: cross_zone_fraction(records, zones),
         changes: weight_changes(records),
         restarts: totals.restarts.iter().map(|(at, goodput)| restart_score(records, *at, goodput)).collect(),
-        class_goodput: totals.by_class.into_iter().map(|(class, of)| (class, of.fraction())).collect(),
+        class_goodput: totals
+            .by_class
+            .into_iter()
+            .map(|(class, goodput)| (class, goodput.fraction()))
+            .collect(),
     }
 }
 
--- a/crates/scenario/src/variants.rs
+++ b/crates/scenario/src/variants.rs
@@ -57,8 +57,11 @@
         variants = variants.iter().flat_map(|variant| with_each_weight(variant, space)).collect();
     }
     for variant in &mut variants {
-        let parts: Vec<String> =
-            variant.weights.iter().map(|of| format!("{}={}", of.machine_type, of.weight)).collect();
+        let parts: Vec<String> = variant
+            .weights
+            .iter()
+            .map(|weight| format!("{}={}", weight.machine_type, weight.weight))
+            .collect();
         variant.name = parts.join(" ");
     }
     variants
--- a/crates/scenario/tests/report_json.rs
+++ b/crates/scenario/tests/report_json.rs
@@ -126,7 +126,7 @@
         {"Visit": {"visit": 1, "class": "c", "asked": {"secs": 1, "nanos": 500_000_000}, "status": 200}},
     ]);
     let record = |event: &Value| json!({"at": {"secs": 2, "nanos": 500_000_000}, "what": event});
-    let records: Vec<Value> = events.as_array().expect("a list").iter().map(record).collect();
+    let records: Vec<Value> = events.as_array().expect("a JSON array").iter().map(record).collect();
     let expected = json!({
         "verdicts": [{"rule": "drains kept", "of": "s after told", "figure": 3.0, "limit": 2.0, "at": "r to e at 4.0 s"}],
         "score": score_json(),
@@ -135,16 +135,17 @@
         "exit": 0,
         "records": records,
     });
-    assert_eq!(serde_json::to_value(report()).expect("JSON"), expected);
+    assert_eq!(serde_json::to_value(report()).expect("the report can be serialized"), expected);
 }
 
 #[test]
 fn a_summary_has_fixed_json_and_can_be_parsed() {
     let summary = report().summary();
     let expected = json!({"score": score_json(), "broken": ["drains kept"]});
-    assert_eq!(serde_json::to_value(&summary).expect("JSON"), expected);
-    let parsed: lockcroft_scenario::Summary = serde_json::from_value(expected.clone()).expect("a summary");
-    assert_eq!(serde_json::to_value(parsed).expect("JSON"), expected);
+    assert_eq!(serde_json::to_value(&summary).expect("the summary can be serialized"), expected);
+    let parsed: lockcroft_scenario::Summary =
+        serde_json::from_value(expected.clone()).expect("a valid summary");
+    assert_eq!(serde_json::to_value(parsed).expect("the summary can be serialized"), expected);
 }
 
 #[test]
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -39,7 +39,8 @@
 
 struct State {
     mode: FaultMode,
-    /// When the process last restarted; `None` for the initial process, which is warm.
+    /// The time at which the process last restarted, since the start of the scenario; `None` for the initial process,
+    /// which is warm.
     started: Option<Duration>,
     /// The work that arrived within the overload window, while the process warms up.
     recent_work: VecDeque<WorkArrival>,
--- a/crates/testbed/src/traffic_event.rs
+++ b/crates/testbed/src/traffic_event.rs
@@ -126,7 +126,7 @@
     /// A new version of the endpoint list was written for the controllers.
     #[serde(rename = "Listed")]
     ListPublished {
-        /// All endpoints on the list.
+        /// All endpoints in the list.
         #[serde(rename = "servers")]
         endpoints: Vec<ListedEndpoint>,
     },
@@ -138,7 +138,7 @@
         request: u64,
         /// The request's class.
         class: String,
-        /// When the client sent its first attempt.
+        /// The time at which the client sent its first attempt, since the start of the scenario.
         #[serde(rename = "asked")]
         sent_at: Duration,
         /// The HTTP status of the last attempt; 0 if it got no response within the client's timeout.
@@ -192,9 +192,9 @@
 pub struct ListedEndpoint {
     /// The endpoint's name.
     pub name: String,
-    /// `ready`, `draining` or `gone`.
+    /// The state: `ready`, `draining` or `gone`.
     pub state: String,
-    /// When the process last restarted, since the start of the scenario; `None` for the initial process.
+    /// The time at which the process last restarted, since the start of the scenario; `None` for the initial process.
     pub started: Option<Duration>,
 }
 
--- a/crates/testbed/tests/fake_endpoint.rs
+++ b/crates/testbed/tests/fake_endpoint.rs
@@ -24,18 +24,24 @@
             overload_window: Duration::from_secs(1),
         },
     };
-    let endpoint = FakeEndpoint::start(config, TrafficRecorder::default()).await.expect("started");
-    let mut executing = TcpStream::connect(endpoint.address).await.expect("connected");
-    executing.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
+    let endpoint =
+        FakeEndpoint::start(config, TrafficRecorder::default()).await.expect("the endpoint starts");
+    let mut executing =
+        TcpStream::connect(endpoint.address).await.expect("the endpoint accepts the connection");
+    executing.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
     for _ in 0..4 {
-        let mut stream = TcpStream::connect(endpoint.address).await.expect("connected");
-        stream.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
+        let mut stream =
+            TcpStream::connect(endpoint.address).await.expect("the endpoint accepts the connection");
+        stream.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the request is sent");
         sleep(Duration::from_millis(10)).await;
     }
     sleep(Duration::from_millis(300)).await;
-    let mut stream = TcpStream::connect(endpoint.address).await.expect("connected");
-    stream.write_all(b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await.expect("sent");
+    let mut stream = TcpStream::connect(endpoint.address).await.expect("the endpoint accepts the connection");
+    stream
+        .write_all(b"GET /look HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+        .await
+        .expect("the request is sent");
     let mut response = String::new();
-    stream.read_to_string(&mut response).await.expect("answered");
+    stream.read_to_string(&mut response).await.expect("the response is complete");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
