--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -2,8 +2,8 @@
 //! injections at given times. The rules are checked on the traffic recorded at the sockets, never on what the
 //! controller reports about itself.
 //!
-//! [`Scenario`] is read from a file, [`run`] runs it, [`check_rules`] checks the rules on the recorded traffic, and
-//! [`score`] computes the goodput.
+//! [`Scenario`] is read from a file, [`run()`] runs it, [`check_rules`] checks the rules on the recorded traffic, and
+//! [`score()`] computes the goodput.
 
 #![warn(missing_docs)]
 
