--- a/crates/cli/src/solve.rs
+++ b/crates/cli/src/solve.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lockcroft_solver::{Answer, ProblemError};
-use lockcroft_solver_format::{NamedProblem, json, picture, text};
+use lockcroft_solver::{ProblemError, Solution};
+use lockcroft_solver_format::{NamedProblem, solution_json, solution_svg, solution_text};
 
 use crate::error::{CliError, report};
 use crate::serve::{EXIT_USAGE, config_errors_json};
@@ -42,26 +42,28 @@
             }
         };
         if self.json {
-            println!("{:#}", json(&problem, &answer));
+            println!("{:#}", solution_json(&problem, &answer));
         } else {
-            print!("{}", text(&problem, &answer));
+            print!("{}", solution_text(&problem, &answer));
         }
         let Some(path) = self.picture else { return ExitCode::SUCCESS };
         report(draw(&path, &problem, &answer).map(|()| ExitCode::SUCCESS))
     }
 }
 
-fn draw(path: &Path, problem: &NamedProblem, answer: &Answer) -> Result<(), CliError> {
-    let svg = picture(problem, answer).map_err(|error| CliError::at(path, error))?;
+fn draw(path: &Path, problem: &NamedProblem, answer: &Solution) -> Result<(), CliError> {
+    let svg = solution_svg(problem, answer).map_err(|error| CliError::at(path, error))?;
     std::fs::write(path, svg).map_err(|error| CliError::at(path, error))
 }
 
 /// The solver's error with the name that the file gives to the endpoint or class that it is about.
 fn describe(problem: &NamedProblem, error: &ProblemError) -> String {
     let name = match error {
-        ProblemError::Endpoint(index, ..) => problem.endpoints.get(*index),
-        ProblemError::Class(index, ..) | ProblemError::Place(index, ..) => problem.classes.get(*index),
-        ProblemError::CrossingCost(_) => None,
+        ProblemError::InvalidEndpoint(index, ..) => problem.endpoints.get(*index),
+        ProblemError::InvalidClass(index, ..) | ProblemError::IndexOutOfRange(index, ..) => {
+            problem.classes.get(*index)
+        }
+        ProblemError::InvalidCrossingCost(_) => None,
     };
     name.map_or_else(|| error.to_string(), |name| format!("{name} ({error})"))
 }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -5,7 +5,7 @@
 use lockcroft::{EndpointId, HealthCheckOutcome, ProxyId};
 use lockcroft_config::EndpointListConfig;
 use lockcroft_fleet::{AppliedReport, FleetController, PublishError, StateStoreStatus};
-use lockcroft_solver::Answer;
+use lockcroft_solver::Solution;
 use lockcroft_table_store::WrittenSnapshot;
 use tokio::sync::mpsc;
 
@@ -35,7 +35,7 @@
     },
     /// No answer means that there is no plan, and the last one stands.
     PlanSolved {
-        answer: Option<Answer>,
+        answer: Option<Solution>,
     },
     SnapshotWritten {
         result: Result<WrittenSnapshot, PublishError>,
--- a/crates/daemon/src/operator_commands.rs
+++ b/crates/daemon/src/operator_commands.rs
@@ -157,7 +157,7 @@
 fn write_problem(fleet: &FleetController) -> Result<String, CommandError> {
     let (problem, endpoints) = fleet.last_problem().ok_or(CommandError::NoPlan)?;
     let names = fleet.names();
-    Ok(lockcroft_solver_format::write(&NamedProblem {
+    Ok(lockcroft_solver_format::problem_xml(&NamedProblem {
         problem: problem.clone(),
         zones: names.zones.clone(),
         endpoints,
--- a/crates/fleet/src/capacity_model.rs
+++ b/crates/fleet/src/capacity_model.rs
@@ -114,7 +114,7 @@
             completed_work: succeeded * mix.work / self.interval.as_secs_f64(),
             is_late: latency > mix.latency_objective || totals.failed * 2.0 > totals.attempts,
             slowdown: latency / mix.work,
-            load: self.loads.get(&endpoint).copied(),
+            reported_utilization: self.loads.get(&endpoint).copied(),
         }
     }
 
@@ -155,12 +155,12 @@
     fn prior(&self, type_capacities: &TypeCapacities, state: &EndpointState) -> CapacityPrior {
         let machine_type = &state.record.machine_type;
         if let Some(stated) = self.stated_cores.get(machine_type) {
-            return CapacityPrior::stated(*stated);
+            return CapacityPrior::configured(*stated);
         }
         let learned =
             self.recovered.get(&state.record.endpoint).or_else(|| type_capacities.get(machine_type));
         learned.map_or_else(
-            || CapacityPrior::guessed(self.default_cores),
+            || CapacityPrior::assumed(self.default_cores),
             |cores| CapacityPrior::from_machine_type(*cores),
         )
     }
--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -5,7 +5,7 @@
 
 use lockcroft::{EndpointId, HealthCheckOutcome};
 use lockcroft_config::EndpointListConfig;
-use lockcroft_solver::Answer;
+use lockcroft_solver::Solution;
 use lockcroft_table_store::WrittenSnapshot;
 use tracing::{debug, info, warn};
 
@@ -63,7 +63,7 @@
 
     /// The answer to the task in flight; none if it was no sound problem. Weights that it changes are the list's
     /// from now on.
-    pub fn plan_solved(&mut self, now: Duration, answer: Option<Answer>) {
+    pub fn plan_solved(&mut self, now: Duration, answer: Option<Solution>) {
         self.now = now;
         let attached = self.attached_total();
         let Some(planner) = &mut self.planner else { return };
--- a/crates/fleet/src/planned_class.rs
+++ b/crates/fleet/src/planned_class.rs
@@ -22,8 +22,8 @@
             work: settings.work.map_or(default_work, |work| work.as_secs_f64()).max(MIN_SECONDS),
             latency_objective: latency_objective.max(MIN_SECONDS),
             value: settings.value,
-            zones: settings.only_zones.clone().unwrap_or_default(),
-            endpoints: None,
+            allowed_zones: settings.only_zones.clone().unwrap_or_default(),
+            allowed_endpoints: None,
             demand: Vec::new(),
         };
         PlannedClass { class, machine_types: settings.only_machine_types.clone() }
@@ -34,6 +34,6 @@
         let allowed = self.machine_types.as_ref().map(|only| {
             (0..machine_types.len()).filter(|position| only.contains(&machine_types[*position])).collect()
         });
-        ProblemClass { endpoints: allowed, demand: demand.to_vec(), ..self.class.clone() }
+        ProblemClass { allowed_endpoints: allowed, demand: demand.to_vec(), ..self.class.clone() }
     }
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -10,7 +10,7 @@
     ClassAdmission, ClassId, ControllerState, EndpointId, RoutingTable, Settings, TableId, ZoneId,
 };
 use lockcroft_solver::{
-    Answer, ChangePrice, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem,
+    ChangeCost, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem, Solution,
     TableScope, TableStabilizer, WeightFractions,
 };
 
@@ -43,7 +43,7 @@
 /// The last answer, for those who ask.
 pub struct SolvedPlan {
     pub task: Arc<SolverTask>,
-    pub answer: Answer,
+    pub answer: Solution,
     pub changed_entries: usize,
 }
 
@@ -181,11 +181,11 @@
                 zone: state.record.zone,
                 capacity: self.capacity.capacity(now, &type_capacities, state),
                 slow_start_factor: state.slow_start_factor(now, self.initial_weight_fraction),
-                unavailable: false,
+                is_unavailable: false,
             });
         }
         let rates = self.demand.rates();
-        task.problem.zones = rates.first().map_or(0, Vec::len);
+        task.problem.zone_count = rates.first().map_or(0, Vec::len);
         task.problem.crossing_cost = self.crossing_cost;
         let classes = self.classes.iter().zip(rates);
         task.problem.classes =
@@ -194,7 +194,12 @@
     }
 
     /// Takes the answer to the task in flight, and gives what changes by it.
-    pub fn take_answer(&mut self, answer: Option<Answer>, proxies: usize, snapshot: ControllerState) -> Plan {
+    pub fn take_answer(
+        &mut self,
+        answer: Option<Solution>,
+        proxies: usize,
+        snapshot: ControllerState,
+    ) -> Plan {
         let Some(task) = self.in_flight.take() else { return Plan::default() };
         let Some(mut answer) = answer else { return Plan::default() };
         // Where no endpoint is up that a class may use, to reject its requests would mend nothing: the decisions
@@ -206,7 +211,7 @@
         let SolverTask { problem, endpoints } = &*task;
         let weights = self.stabilizer.update(problem, endpoints, &answer, price);
         let scopes = match self.by_zone {
-            true => table_scopes(problem.zones, snapshot.tables, snapshot.admissions),
+            true => table_scopes(problem.zone_count, snapshot.tables, snapshot.admissions),
             false => Vec::new(),
         };
         let listed = self.stabilizer.weights();
@@ -216,12 +221,12 @@
     }
 
     /// What it costs to change an entry: while it goes out to all proxies, everything else waits.
-    fn change_price(&self, problem: &Problem, proxies: usize) -> ChangePrice {
+    fn change_price(&self, problem: &Problem, proxies: usize) -> ChangeCost {
         let proxies = proxies.max(1) as f64;
         let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.value;
         let total_value: f64 = problem.classes.iter().map(value).sum();
         let max_entries = self.max_queued_entries * MAX_QUEUE_FRACTION / proxies;
-        ChangePrice {
+        ChangeCost {
             per_entry: total_value * proxies / self.max_entries_per_second,
             max_entries: max_entries.clamp(1.0, MAX_CHANGED_ENTRIES) as usize,
             horizon_secs: self.interval.as_secs_f64(),
--- a/crates/fleet/src/views/plan.rs
+++ b/crates/fleet/src/views/plan.rs
@@ -51,12 +51,12 @@
 
     fn write_shed(&self, shed: &ShedReason, text: &mut String) {
         let before: Vec<&str> =
-            shed.preferred_classes.iter().map(|class| self.names.classes[*class].as_str()).collect();
+            shed.competing_classes.iter().map(|class| self.names.classes[*class].as_str()).collect();
         let _ = writeln!(
             text,
             "dropped {} visits_per_s {:.1} restored_by_cores {:.2} of {:.2} before_it {}",
             self.names.classes[shed.class],
-            shed.requests,
+            shed.request_rate,
             shed.missing_capacity,
             shed.capacity,
             before.join(",")
--- a/crates/fleet/tests/updates/solver_plans.rs
+++ b/crates/fleet/tests/updates/solver_plans.rs
@@ -81,6 +81,6 @@
     simulation.set_load(20, &[ms(110); 2], 1);
     simulation.run_to(15_000);
     let (problem, _) = FleetController::last_problem(&simulation.fleet).expect("a plan was made");
-    assert_eq!(problem.classes[0].endpoints, Some(vec![]), "none of its machine type is there");
+    assert_eq!(problem.classes[0].allowed_endpoints, Some(vec![]), "none of its machine type is there");
     assert!(simulation.fleet.show_plan().contains("let_in 1"), "{}", simulation.fleet.show_plan());
 }
--- a/crates/solver-format/src/json.rs
+++ b/crates/solver-format/src/json.rs
@@ -1,13 +1,13 @@
 //! An answer as JSON.
 
-use lockcroft_solver::{Answer, ShedReason};
+use lockcroft_solver::{ShedReason, Solution};
 use serde_json::{Value, json};
 
 use crate::read::NamedProblem;
 
 /// An answer for programs, with a table for each class and zone of the proxies.
 #[must_use]
-pub fn json(named: &NamedProblem, answer: &Answer) -> Value {
+pub fn solution_json(named: &NamedProblem, answer: &Solution) -> Value {
     let objective = answer.objective;
     let rates = named.classes.iter().zip(&answer.admission_rates);
     let tables = (0..named.classes.len())
@@ -22,7 +22,7 @@
     })
 }
 
-fn endpoint_json(named: &NamedProblem, answer: &Answer, endpoint: usize) -> Value {
+fn endpoint_json(named: &NamedProblem, answer: &Solution, endpoint: usize) -> Value {
     json!({
         "name": named.endpoints[endpoint],
         "cores": named.problem.endpoints[endpoint].available_capacity(),
@@ -33,19 +33,19 @@
 
 fn shed_json(named: &NamedProblem, shed: &ShedReason) -> Value {
     let competitors: Vec<&String> =
-        shed.preferred_classes.iter().map(|class| &named.classes[*class]).collect();
+        shed.competing_classes.iter().map(|class| &named.classes[*class]).collect();
     json!({
         "class": named.classes[shed.class],
-        "visits_per_s": shed.requests,
+        "visits_per_s": shed.request_rate,
         "restored_by_cores": shed.missing_capacity,
         "cores": shed.capacity,
         "before_it": competitors,
     })
 }
 
-fn table_json(named: &NamedProblem, answer: &Answer, class: usize, zone: usize) -> Value {
+fn table_json(named: &NamedProblem, answer: &Solution, class: usize, zone: usize) -> Value {
     let entry =
         |(endpoint, weight): (usize, u32)| json!({"server": named.endpoints[endpoint], "weight": weight});
-    let entries: Vec<Value> = answer.table(class, zone).into_iter().map(entry).collect();
+    let entries: Vec<Value> = answer.table_weights(class, zone).into_iter().map(entry).collect();
     json!({"class": named.classes[class], "zone": named.zones[zone], "lines": entries})
 }
--- a/crates/solver-format/src/lib.rs
+++ b/crates/solver-format/src/lib.rs
@@ -12,8 +12,8 @@
 mod text;
 mod write;
 
-pub use json::json;
-pub use picture::{PictureError, picture};
+pub use json::solution_json;
+pub use picture::{DrawingError, solution_svg};
 pub use read::{NamedProblem, SCHEMA};
-pub use text::text;
-pub use write::write;
+pub use text::solution_text;
+pub use write::problem_xml;
--- a/crates/solver-format/src/picture.rs
+++ b/crates/solver-format/src/picture.rs
@@ -1,6 +1,6 @@
 //! Load against capacity before and after solving: a bar for each endpoint, those of a zone side by side.
 
-use lockcroft_solver::{Answer, LoadDistribution};
+use lockcroft_solver::{LoadDistribution, Solution};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
@@ -16,7 +16,7 @@
 /// The drawing library failed.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
-pub struct PictureError(#[from] DrawingAreaErrorKind<std::io::Error>);
+pub struct DrawingError(#[from] DrawingAreaErrorKind<std::io::Error>);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The drawing library failed.
-pub fn picture(named: &NamedProblem, answer: &Answer) -> Result<String, PictureError> {
+pub fn solution_svg(named: &NamedProblem, answer: &Solution) -> Result<String, DrawingError> {
     let mut order: Vec<usize> = (0..named.endpoints.len()).collect();
     order.sort_by_key(|endpoint| (named.problem.endpoints[*endpoint].zone, *endpoint));
     let equal_weights = vec![1; named.endpoints.len()];
@@ -49,7 +49,7 @@
     named: &NamedProblem,
     order: &[usize],
     loads: &[f64],
-) -> Result<(), PictureError> {
+) -> Result<(), DrawingError> {
     let capacity = |endpoint: usize| named.problem.endpoints[endpoint].available_capacity();
     let tops = order.iter().map(|endpoint| capacity(*endpoint).max(loads[*endpoint]));
     let max_cores = tops.fold(0.0, f64::max).max(1e-9);
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -65,7 +65,7 @@
             let name = self.read_new_name(node, &mut known);
             self.named.zones.push(name);
         }
-        self.named.problem.zones = self.named.zones.len();
+        self.named.problem.zone_count = self.named.zones.len();
     }
 
     fn read_endpoints(&mut self, nodes: Vec<Node>) {
@@ -79,7 +79,7 @@
                 zone,
                 capacity: attribute_number(node, "cores").unwrap_or(0.0),
                 slow_start_factor: attribute_number(node, "warmth").unwrap_or(1.0),
-                unavailable: matches!(node.attribute("withdrawn"), Some("true" | "1")),
+                is_unavailable: matches!(node.attribute("withdrawn"), Some("true" | "1")),
             });
         }
     }
@@ -98,8 +98,8 @@
                 work: attribute_seconds(node, "work"),
                 latency_objective: attribute_seconds(node, "contract-time"),
                 value: attribute_number(node, "earnings").unwrap_or(0.0),
-                zones: only_zones,
-                endpoints: node.has_attribute("only-servers").then_some(only_endpoints),
+                allowed_zones: only_zones,
+                allowed_endpoints: node.has_attribute("only-servers").then_some(only_endpoints),
                 demand,
             });
         }
--- a/crates/solver-format/src/text.rs
+++ b/crates/solver-format/src/text.rs
@@ -2,18 +2,18 @@
 
 use std::fmt::{self, Display, Formatter};
 
-use lockcroft_solver::{Answer, LoadDistribution, ShedReason};
+use lockcroft_solver::{LoadDistribution, ShedReason, Solution};
 
 use crate::read::NamedProblem;
 
 /// An answer for people: the objective, what is shed and why, then a line for each endpoint.
-pub fn text<'a>(named: &'a NamedProblem, answer: &'a Answer) -> impl Display + 'a {
+pub fn solution_text<'a>(named: &'a NamedProblem, answer: &'a Solution) -> impl Display + 'a {
     AnswerText { named, answer }
 }
 
 struct AnswerText<'a> {
     named: &'a NamedProblem,
-    answer: &'a Answer,
+    answer: &'a Solution,
 }
 
 impl Display for AnswerText<'_> {
@@ -43,12 +43,17 @@
     }
 
     fn write_shed(&self, shed: &ShedReason, out: &mut Formatter) -> fmt::Result {
-        let ShedReason { class, requests, missing_capacity: missing, capacity, preferred_classes: before } =
-            shed;
+        let ShedReason {
+            class,
+            request_rate,
+            missing_capacity: missing,
+            capacity,
+            competing_classes: before,
+        } = shed;
         let classes = &self.named.classes;
         write!(
             out,
-            "dropped {}: {requests:.1} visits a second; {missing:.2} cores more than the {capacity:.2} that it may use would take them in",
+            "dropped {}: {request_rate:.1} visits a second; {missing:.2} cores more than the {capacity:.2} that it may use would take them in",
             classes[*class]
         )?;
         if !before.is_empty() {
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -11,7 +11,7 @@
 /// # Panics
 /// Never: writing to a string can't fail.
 #[must_use]
-pub fn write(named: &NamedProblem) -> String {
+pub fn problem_xml(named: &NamedProblem) -> String {
     let mut out = String::new();
     write_problem(&mut out, named).expect("writing to a string can't fail");
     out
@@ -38,7 +38,7 @@
         if endpoint.slow_start_factor < 1.0 {
             write!(out, " warmth=\"{}\"", endpoint.slow_start_factor)?;
         }
-        if endpoint.unavailable {
+        if endpoint.is_unavailable {
             out.write_str(" withdrawn=\"true\"")?;
         }
         out.write_str("/>\n")?;
@@ -52,10 +52,10 @@
         "    <class name=\"{name}\" work=\"{}s\" contract-time=\"{}s\" earnings=\"{}\"",
         class.work, class.latency_objective, class.value
     )?;
-    if !class.zones.is_empty() {
-        write_names(out, "only-zones", &class.zones, &named.zones)?;
+    if !class.allowed_zones.is_empty() {
+        write_names(out, "only-zones", &class.allowed_zones, &named.zones)?;
     }
-    if let Some(endpoints) = &class.endpoints {
+    if let Some(endpoints) = &class.allowed_endpoints {
         write_names(out, "only-servers", endpoints, &named.endpoints)?;
     }
     out.write_str(">\n")?;
--- a/crates/solver-format/tests/plans.rs
+++ b/crates/solver-format/tests/plans.rs
@@ -5,7 +5,9 @@
 use expect_test::expect;
 use lockcroft_config::Document;
 use lockcroft_solver::solve;
-use lockcroft_solver_format::{NamedProblem, SCHEMA, json, picture, text, write};
+use lockcroft_solver_format::{
+    NamedProblem, SCHEMA, problem_xml, solution_json, solution_svg, solution_text,
+};
 
 const PROBLEM: &str = include_str!("../../../examples/problem.xml");
 
@@ -32,8 +34,8 @@
         patra-1                        4.00    119   3.50        88%         178%
         patra-2                        8.00    256   7.50        94%          64%
         patra-3                        0.00      0   0.00          -            -
-    "#]].assert_eq(&text(&named, &answer).to_string());
-    let json = json(&named, &answer);
+    "#]].assert_eq(&solution_text(&named, &answer).to_string());
+    let json = solution_json(&named, &answer);
     assert_eq!(json["dropped"][0]["class"], "period-history");
     assert_eq!(json["tables"].as_array().map(Vec::len), Some(6));
     assert_eq!(json["servers"][4]["weight"], 256);
@@ -42,7 +44,7 @@
 #[test]
 fn a_written_problem_is_read_back_unchanged() {
     let named = read(PROBLEM).expect("sound");
-    assert_eq!(read(&write(&named)).expect("sound"), named);
+    assert_eq!(read(&problem_xml(&named)).expect("sound"), named);
 }
 
 #[test]
@@ -68,7 +70,7 @@
 fn the_picture_marks_overload_before_solving_and_none_after() {
     let named = read(PROBLEM).expect("sound");
     let answer = solve(&named.problem).expect("sound");
-    let svg = picture(&named, &answer).expect("drawn");
+    let svg = solution_svg(&named, &answer).expect("drawn");
     let (above, below) = svg.split_once("as solved").expect("two charts");
     let red = |chart: &str| chart.matches("#FF0000").count();
     assert!(red(above) > 0 && red(below) == 0, "{} above, {} below", red(above), red(below));
--- a/crates/solver/benches/solve.rs
+++ b/crates/solver/benches/solve.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use lockcroft_solver::{ChangePrice, Class, Endpoint, LoadDistribution, PlanStabilizer, Problem, solve};
+use lockcroft_solver::{ChangeCost, Class, Endpoint, LoadDistribution, PlanStabilizer, Problem, solve};
 
 /// Endpoints of four sizes, distributed without random numbers.
 fn problem(servers: usize, zones: usize, classes: usize) -> Problem {
@@ -14,7 +14,7 @@
         zone: i % zones,
         capacity: [1.0, 2.0, 4.0, 8.0][i / zones % 4],
         slow_start_factor: if i.is_multiple_of(17) { 0.25 } else { 1.0 },
-        unavailable: i.is_multiple_of(23),
+        is_unavailable: i.is_multiple_of(23),
     };
     let total_cores = servers as f64 * 3.75;
     let class = |k: usize| Class {
@@ -22,8 +22,8 @@
         latency_objective: 0.5 + 0.1 * k as f64,
         value: 1.0 + (k * 7 % classes) as f64,
         // Every third class has zones of its own.
-        zones: if k % 3 == 2 { vec![k % zones, (k + 1) % zones] } else { vec![] },
-        endpoints: None,
+        allowed_zones: if k % 3 == 2 { vec![k % zones, (k + 1) % zones] } else { vec![] },
+        allowed_endpoints: None,
         demand: (0..zones)
             .map(|zone| {
                 let skew = (zone + 1) as f64 / (zones + 1) as f64;
@@ -32,7 +32,7 @@
             .collect(),
     };
     Problem {
-        zones,
+        zone_count: zones,
         endpoints: (0..servers).map(endpoint).collect(),
         classes: (0..classes).map(class).collect(),
         crossing_cost: 0.2,
@@ -42,8 +42,8 @@
 /// Classes in the order of the value of their work, each in its own zone first and then in the others, without regard to
 /// latency.
 fn greedy(problem: &Problem) -> f64 {
-    let mut capacity: Vec<f64> = vec![0.0; problem.zones];
-    for endpoint in problem.endpoints.iter().filter(|endpoint| !endpoint.unavailable) {
+    let mut capacity: Vec<f64> = vec![0.0; problem.zone_count];
+    for endpoint in problem.endpoints.iter().filter(|endpoint| !endpoint.is_unavailable) {
         capacity[endpoint.zone] += endpoint.capacity * endpoint.slow_start_factor;
     }
     let mut order: Vec<&Class> = problem.classes.iter().collect();
@@ -52,8 +52,10 @@
     for class in order {
         for (zone, requests) in class.demand.iter().enumerate() {
             let mut remaining = requests * class.work;
-            let may = |to: &usize| class.zones.is_empty() || class.zones.contains(to);
-            for to in std::iter::once(zone).chain((0..problem.zones).filter(|to| *to != zone)).filter(may) {
+            let may = |to: &usize| class.allowed_zones.is_empty() || class.allowed_zones.contains(to);
+            for to in
+                std::iter::once(zone).chain((0..problem.zone_count).filter(|to| *to != zone)).filter(may)
+            {
                 let units = remaining.min(capacity[to]);
                 remaining -= units;
                 capacity[to] -= units;
@@ -90,8 +92,8 @@
         let problem = problem(servers, zones, classes);
         let (took, answer) = timed(|| solve(&problem).expect("sound"));
         let mut changed = problem.clone();
-        changed.endpoints[1].unavailable = true;
-        let price = ChangePrice { per_entry: 0.01, max_entries: 1000, horizon_secs: 10.0 };
+        changed.endpoints[1].is_unavailable = true;
+        let price = ChangeCost { per_entry: 0.01, max_entries: 1000, horizon_secs: 10.0 };
         let numbers: Vec<usize> = (0..servers).collect();
         let mut stabilizer = PlanStabilizer::default();
         stabilizer.update(&problem, &numbers, &answer, price);
--- a/crates/solver/src/capacity_estimator.rs
+++ b/crates/solver/src/capacity_estimator.rs
@@ -19,7 +19,7 @@
     /// Duration of a request over its work; 0 if none was successful.
     pub slowdown: f64,
     /// Its utilization, from 0 to 1, if it reports one.
-    pub load: Option<f64>,
+    pub reported_utilization: Option<f64>,
 }
 
 /// A capacity with its bounds, in cores.
@@ -60,7 +60,7 @@
 impl CapacityPrior {
     /// One assumption for machines of any type.
     #[must_use]
-    pub fn guessed(cores: f64) -> Self {
+    pub fn assumed(cores: f64) -> Self {
         CapacityPrior { cores, factor: GUESS_FACTOR }
     }
 
@@ -73,7 +73,7 @@
     /// What the configuration states of its machine type. An endpoint that does less is slow for a while, which is not
     /// a matter of planned weights: load-based weight reduction reacts within a report period.
     #[must_use]
-    pub fn stated(cores: f64) -> Self {
+    pub fn configured(cores: f64) -> Self {
         CapacityPrior { cores, factor: STATED_FACTOR }
     }
 
@@ -187,6 +187,6 @@
 
 /// The utilization that an endpoint reports, or else the one that its slowdown implies.
 fn utilization(sample: LoadSample) -> Option<f64> {
-    let reported = sample.load.filter(|load| (MIN_UTILIZATION..=1.0).contains(load));
+    let reported = sample.reported_utilization.filter(|load| (MIN_UTILIZATION..=1.0).contains(load));
     reported.or_else(|| utilization_from_slowdown(sample.completed_work, sample.slowdown, MIN_UTILIZATION))
 }
--- a/crates/solver/src/endpoint_group.rs
+++ b/crates/solver/src/endpoint_group.rs
@@ -66,11 +66,11 @@
 /// By endpoint, whether a class may use it.
 fn usable_endpoints(problem: &Problem, class: usize) -> Vec<bool> {
     let class = &problem.classes[class];
-    let mut is_listed = vec![class.endpoints.is_none(); problem.endpoints.len()];
-    for endpoint in class.endpoints.iter().flatten() {
+    let mut is_listed = vec![class.allowed_endpoints.is_none(); problem.endpoints.len()];
+    for endpoint in class.allowed_endpoints.iter().flatten() {
         is_listed[*endpoint] = true;
     }
-    let zone_allowed = |zone: usize| class.zones.is_empty() || class.zones.contains(&zone);
+    let zone_allowed = |zone: usize| class.allowed_zones.is_empty() || class.allowed_zones.contains(&zone);
     let endpoints = problem.endpoints.iter().zip(is_listed);
     endpoints.map(|(endpoint, is_listed)| is_listed && zone_allowed(endpoint.zone)).collect()
 }
--- a/crates/solver/src/latency.rs
+++ b/crates/solver/src/latency.rs
@@ -84,5 +84,5 @@
 
 /// The units of work that a class asks for in all zones.
 fn asked_by_class(problem: &Problem, class: usize) -> f64 {
-    (0..problem.zones).map(|zone| problem.asked_units(class, zone) as f64).sum()
+    (0..problem.zone_count).map(|zone| problem.asked_units(class, zone) as f64).sum()
 }
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -8,7 +8,6 @@
 
 #![warn(missing_docs)]
 
-mod answer;
 mod capacity_estimator;
 mod endpoint_group;
 mod flow;
@@ -17,14 +16,15 @@
 mod plan_stabilizer;
 mod problem;
 mod queueing;
+mod solution;
 mod solve;
 mod table_stabilizer;
 
-pub use answer::{Answer, Objective, PlannedWork, ShedReason, WEIGHT_STEPS};
 pub use capacity_estimator::{CapacityEstimate, CapacityEstimator, CapacityPrior, LoadSample};
 pub use flow::{FlowNetwork, max_gain_flow};
 pub use load_distribution::LoadDistribution;
-pub use plan_stabilizer::{ChangePrice, PlanStabilizer};
+pub use plan_stabilizer::{ChangeCost, PlanStabilizer};
 pub use problem::{Class, Endpoint, Problem, ProblemError};
+pub use solution::{MAX_WEIGHT, Objective, PlannedWork, ShedReason, Solution};
 pub use solve::solve;
 pub use table_stabilizer::{TableScope, TableStabilizer, WeightFractions};
--- a/crates/solver/src/load_distribution.rs
+++ b/crates/solver/src/load_distribution.rs
@@ -37,7 +37,7 @@
         let problem = self.problem;
         let mut loads = vec![0.0; problem.endpoints.len()];
         for class in 0..problem.classes.len() {
-            let asked: i64 = (0..problem.zones).map(|zone| problem.asked_units(class, zone)).sum();
+            let asked: i64 = (0..problem.zone_count).map(|zone| problem.asked_units(class, zone)).sum();
             let groups = self.groups.iter().map(|entry| &entry.group);
             let usable = groups.filter(|group| group.is_usable_by(class));
             let endpoints = usable.flat_map(|group| &group.endpoints);
--- a/crates/solver/src/plan_stabilizer.rs
+++ b/crates/solver/src/plan_stabilizer.rs
@@ -5,13 +5,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::answer::{Answer, WEIGHT_STEPS};
 use crate::load_distribution::LoadDistribution;
 use crate::problem::Problem;
+use crate::solution::{MAX_WEIGHT, Solution};
 
 /// What changes cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ChangePrice {
+pub struct ChangeCost {
     /// Value that a changed table entry costs, over all proxies that hold it.
     pub per_entry: f64,
     /// The most entries that may change at once.
@@ -58,8 +58,8 @@
         &mut self,
         problem: &Problem,
         numbers: &[usize],
-        answer: &Answer,
-        price: ChangePrice,
+        answer: &Solution,
+        price: ChangeCost,
     ) -> Vec<(usize, u32)> {
         self.update_admission_rates(&answer.admission_rates);
         let before: Vec<Option<u32>> =
@@ -98,7 +98,7 @@
 
     /// How many of the changes, from the first, gain most beyond their cost; 0 if none do. Tries one, two, four and so
     /// on, and all that may change at once.
-    fn most_valuable_changes(&self, candidate: &Candidate, price: ChangePrice) -> usize {
+    fn most_valuable_changes(&self, candidate: &Candidate, price: ChangeCost) -> usize {
         let max_changes = candidate.changes.len().min(price.max_entries);
         let value_now = candidate.distribution.value(&candidate.current, &self.admission_rates);
         let powers = (0..).map(|power| 1_usize << power).take_while(|count| *count < max_changes);
@@ -144,7 +144,7 @@
         ratios.sort_by(f64::total_cmp);
         let Some(median) = ratios.get(ratios.len() / 2) else { return planned.to_vec() };
         let max_planned = planned.iter().copied().max().unwrap_or(0);
-        let scale = median.min(f64::from(WEIGHT_STEPS) / f64::from(max_planned.max(1)));
+        let scale = median.min(f64::from(MAX_WEIGHT) / f64::from(max_planned.max(1)));
         planned.iter().map(|weight| (f64::from(*weight) * scale).round() as u32).collect()
     }
 }
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -10,14 +10,14 @@
     /// The fraction of its capacity that it has now; below 1 during slow start.
     pub slow_start_factor: f64,
     /// It takes no requests: ejected, draining or down.
-    pub unavailable: bool,
+    pub is_unavailable: bool,
 }
 
 impl Endpoint {
     /// The cores that it has now.
     #[must_use]
     pub fn available_capacity(&self) -> f64 {
-        if self.unavailable { 0.0 } else { self.capacity * self.slow_start_factor }
+        if self.is_unavailable { 0.0 } else { self.capacity * self.slow_start_factor }
     }
 }
 
@@ -31,9 +31,9 @@
     /// Value of a request that is answered within the latency objective.
     pub value: f64,
     /// Zones whose endpoints it may use; empty for all.
-    pub zones: Vec<usize>,
+    pub allowed_zones: Vec<usize>,
     /// Endpoints that it may use; `None` for all of its zones. An empty list stands for none.
-    pub endpoints: Option<Vec<usize>>,
+    pub allowed_endpoints: Option<Vec<usize>>,
     /// Requests a second, by zone of the proxies that receive them.
     pub demand: Vec<f64>,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Problem {
     /// Number of zones.
-    pub zones: usize,
+    pub zone_count: usize,
     /// The endpoints.
     pub endpoints: Vec<Endpoint>,
     /// The classes.
@@ -56,16 +56,16 @@
 pub enum ProblemError {
     /// An endpoint's value is out of its range: index of the endpoint, name of the value, value.
     #[error("server {0}: {1} {2}")]
-    Endpoint(usize, &'static str, f64),
+    InvalidEndpoint(usize, &'static str, f64),
     /// A class's value is out of its range: index of the class, name of the value, value.
     #[error("class {0}: {1} {2}")]
-    Class(usize, &'static str, f64),
+    InvalidClass(usize, &'static str, f64),
     /// A class refers to something that does not exist: index of the class, what it is, the index in question.
     #[error("class {0}: no such {1}: {2}")]
-    Place(usize, &'static str, usize),
+    IndexOutOfRange(usize, &'static str, usize),
     /// The cost of crossing zones is out of its range.
     #[error("crossing {0}")]
-    CrossingCost(f64),
+    InvalidCrossingCost(f64),
 }
 
 /// The greatest value that is accepted. Sums of all work in whole units stay far below what is exact.
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// The first value that is out of its range.
-    pub fn check(&self) -> Result<(), ProblemError> {
+    pub fn validate(&self) -> Result<(), ProblemError> {
         for index in 0..self.endpoints.len() {
             self.check_endpoint(index)?;
         }
@@ -100,20 +100,20 @@
         if is_valid(self.crossing_cost) {
             Ok(())
         } else {
-            Err(ProblemError::CrossingCost(self.crossing_cost))
+            Err(ProblemError::InvalidCrossingCost(self.crossing_cost))
         }
     }
 
     fn check_endpoint(&self, index: usize) -> Result<(), ProblemError> {
         let endpoint = &self.endpoints[index];
-        if endpoint.zone >= self.zones {
-            return Err(ProblemError::Endpoint(index, "zone", endpoint.zone as f64));
+        if endpoint.zone >= self.zone_count {
+            return Err(ProblemError::InvalidEndpoint(index, "zone", endpoint.zone as f64));
         }
         if !is_valid(endpoint.capacity) {
-            return Err(ProblemError::Endpoint(index, "capacity", endpoint.capacity));
+            return Err(ProblemError::InvalidEndpoint(index, "capacity", endpoint.capacity));
         }
         if !(0.0..=1.0).contains(&endpoint.slow_start_factor) {
-            return Err(ProblemError::Endpoint(index, "warmth", endpoint.slow_start_factor));
+            return Err(ProblemError::InvalidEndpoint(index, "warmth", endpoint.slow_start_factor));
         }
         Ok(())
     }
@@ -122,24 +122,24 @@
         let class = &self.classes[index];
         for (name, value) in [("work", class.work), ("contract time", class.latency_objective)] {
             if !is_valid(value) || value < MIN_DIVISOR {
-                return Err(ProblemError::Class(index, name, value));
+                return Err(ProblemError::InvalidClass(index, name, value));
             }
         }
         if !is_valid(class.value) {
-            return Err(ProblemError::Class(index, "earnings", class.value));
+            return Err(ProblemError::InvalidClass(index, "earnings", class.value));
         }
-        if class.demand.len() != self.zones {
-            return Err(ProblemError::Class(index, "zones of demand", class.demand.len() as f64));
+        if class.demand.len() != self.zone_count {
+            return Err(ProblemError::InvalidClass(index, "zones of demand", class.demand.len() as f64));
         }
         if let Some(demand) = class.demand.iter().find(|demand| !is_valid(**demand * class.work)) {
-            return Err(ProblemError::Class(index, "demand", *demand));
+            return Err(ProblemError::InvalidClass(index, "demand", *demand));
         }
-        if let Some(zone) = class.zones.iter().find(|zone| **zone >= self.zones) {
-            return Err(ProblemError::Place(index, "zone", *zone));
+        if let Some(zone) = class.allowed_zones.iter().find(|zone| **zone >= self.zone_count) {
+            return Err(ProblemError::IndexOutOfRange(index, "zone", *zone));
         }
-        let mut endpoints = class.endpoints.iter().flatten();
+        let mut endpoints = class.allowed_endpoints.iter().flatten();
         if let Some(endpoint) = endpoints.find(|endpoint| **endpoint >= self.endpoints.len()) {
-            return Err(ProblemError::Place(index, "server", *endpoint));
+            return Err(ProblemError::IndexOutOfRange(index, "server", *endpoint));
         }
         Ok(())
     }
--- a/crates/solver/src/answer.rs
+++ b/crates/solver/src/solution.rs
@@ -1,15 +1,15 @@
 //! What the solver returns.
 
 /// A weight is a number of steps, of which the greatest weight has this many.
-pub const WEIGHT_STEPS: u32 = 256;
+pub const MAX_WEIGHT: u32 = 256;
 
 /// Weights, and the plan that they follow from. Work is in seconds of one core in a second, that is, in cores.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct Solution {
     /// Weight by endpoint, in steps.
     pub weights: Vec<u32>,
     /// By class and then by zone of the proxies: the endpoints that are planned to do work of it, in their order.
-    pub placed: Vec<Vec<Vec<PlannedWork>>>,
+    pub planned_work: Vec<Vec<Vec<PlannedWork>>>,
     /// Planned work of each endpoint.
     pub loads: Vec<f64>,
     /// Admission rate of each class, from 0 to 1.
@@ -29,11 +29,11 @@
     pub work: f64,
 }
 
-impl Answer {
+impl Solution {
     /// The table for one class and one zone of proxies alone: endpoints and their weights in steps.
     #[must_use]
-    pub fn table(&self, class: usize, zone: usize) -> Vec<(usize, u32)> {
-        let planned = &self.placed[class][zone];
+    pub fn table_weights(&self, class: usize, zone: usize) -> Vec<(usize, u32)> {
+        let planned = &self.planned_work[class][zone];
         let work: Vec<f64> = planned.iter().map(|planned| planned.work).collect();
         let endpoints = planned.iter().map(|planned| planned.endpoint);
         endpoints.zip(to_weight_steps(&work)).filter(|(_, weight)| *weight > 0).collect()
@@ -46,13 +46,13 @@
     /// Index of the class.
     pub class: usize,
     /// Shed requests a second.
-    pub requests: f64,
+    pub request_rate: f64,
     /// Cores that would take them, among the endpoints of the class and as utilized as the present ones.
     pub missing_capacity: f64,
     /// Cores of the endpoints that the class may use.
     pub capacity: f64,
     /// Other classes that use these endpoints.
-    pub preferred_classes: Vec<usize>,
+    pub competing_classes: Vec<usize>,
 }
 
 /// The objective by its parts, in value a second.
@@ -74,11 +74,11 @@
     }
 }
 
-/// Rounds parts to weights, the greatest to [`WEIGHT_STEPS`]. A part that is far smaller than the greatest gets 0.
+/// Rounds parts to weights, the greatest to [`MAX_WEIGHT`]. A part that is far smaller than the greatest gets 0.
 pub(crate) fn to_weight_steps(parts: &[f64]) -> Vec<u32> {
     let max = parts.iter().copied().fold(0.0, f64::max);
     if max <= 0.0 {
         return vec![0; parts.len()];
     }
-    parts.iter().map(|part| (part / max * f64::from(WEIGHT_STEPS)).round() as u32).collect()
+    parts.iter().map(|part| (part / max * f64::from(MAX_WEIGHT)).round() as u32).collect()
 }
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -1,11 +1,11 @@
 //! Turns a problem into a flow network and its flow into an answer. Sources are a class in a zone of proxies, sinks a
 //! segment of a group's capacity.
 
-use crate::answer::{Answer, Objective, PlannedWork, ShedReason, to_weight_steps};
 use crate::endpoint_group::{EndpointGroup, group_endpoints};
 use crate::flow::{FlowNetwork, max_gain_flow};
 use crate::latency::latency_segments;
 use crate::problem::{Problem, ProblemError, UNITS_PER_CORE};
+use crate::solution::{Objective, PlannedWork, ShedReason, Solution, to_weight_steps};
 
 /// Gains are rounded to whole numbers of which the greatest has this many.
 const GAIN_STEPS: f64 = 1e9;
@@ -14,8 +14,8 @@
 ///
 /// # Errors
 /// A value of the problem is out of its range.
-pub fn solve(problem: &Problem) -> Result<Answer, ProblemError> {
-    problem.check()?;
+pub fn solve(problem: &Problem) -> Result<Solution, ProblemError> {
+    problem.validate()?;
     let groups = group_endpoints(problem);
     let model = FlowModel::new(problem, &groups);
     let flow = max_gain_flow(&model.network());
@@ -47,7 +47,8 @@
 impl<'a> FlowModel<'a> {
     fn new(problem: &'a Problem, groups: &'a [EndpointGroup]) -> Self {
         let classes = 0..problem.classes.len();
-        let sources = classes.flat_map(|class| (0..problem.zones).map(move |zone| Source { class, zone }));
+        let sources =
+            classes.flat_map(|class| (0..problem.zone_count).map(move |zone| Source { class, zone }));
         let sources = sources.filter(|source| problem.asked_units(source.class, source.zone) > 0).collect();
         let mut sinks = Vec::new();
         for (index, group) in groups.iter().enumerate() {
@@ -88,7 +89,7 @@
     }
 
     fn plan(&self, flow: &[Vec<i64>]) -> Plan<'a> {
-        let zones = vec![vec![0_i64; self.groups.len()]; self.problem.zones];
+        let zones = vec![vec![0_i64; self.groups.len()]; self.problem.zone_count];
         let mut units = vec![zones; self.problem.classes.len()];
         let mut latency_cost = 0.0;
         for (source, row) in self.sources.iter().zip(flow) {
@@ -111,21 +112,22 @@
 }
 
 impl Plan<'_> {
-    fn answer(&self) -> Answer {
+    fn answer(&self) -> Solution {
         let loads = self.loads();
         let mut admission_rates = Vec::new();
         let mut shed = Vec::new();
         for class in 0..self.units.len() {
-            let asked: i64 = (0..self.problem.zones).map(|zone| self.problem.asked_units(class, zone)).sum();
+            let asked: i64 =
+                (0..self.problem.zone_count).map(|zone| self.problem.asked_units(class, zone)).sum();
             let admitted = self.admitted_units(class);
             admission_rates.push(if asked > 0 { admitted as f64 / asked as f64 } else { 1.0 });
             if admitted < asked {
                 shed.push(self.shed_reason(class, asked - admitted));
             }
         }
-        Answer {
+        Solution {
             weights: self.weights(&loads),
-            placed: self
+            planned_work: self
                 .units
                 .iter()
                 .map(|zones| zones.iter().map(|zone| self.planned_work(zone)).collect())
@@ -180,10 +182,10 @@
         let shed_work = shed_units as f64 / UNITS_PER_CORE;
         ShedReason {
             class,
-            requests: shed_work / self.problem.classes[class].work,
+            request_rate: shed_work / self.problem.classes[class].work,
             missing_capacity: shed_work / utilization,
             capacity: capacity as f64 / UNITS_PER_CORE,
-            preferred_classes: (0..self.units.len()).filter(is_competitor).collect(),
+            competing_classes: (0..self.units.len()).filter(is_competitor).collect(),
         }
     }
 
--- a/crates/solver/src/table_stabilizer.rs
+++ b/crates/solver/src/table_stabilizer.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::answer::Answer;
 use crate::plan_stabilizer::FLUCTUATION;
 use crate::problem::Problem;
+use crate::solution::Solution;
 
 /// A table that proxies of one zone use for some classes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
         &mut self,
         problem: &Problem,
         numbers: &[usize],
-        answer: &Answer,
+        answer: &Solution,
         scopes: &[TableScope],
         weights: &BTreeMap<usize, u32>,
         weights_changed: bool,
@@ -69,12 +69,12 @@
 fn planned_fractions(
     problem: &Problem,
     numbers: &[usize],
-    answer: &Answer,
+    answer: &Solution,
     scope: &TableScope,
     weights: &BTreeMap<usize, u32>,
 ) -> WeightFractions {
     let mut parts: BTreeMap<usize, f64> = BTreeMap::new();
-    for planned in scope.classes.iter().flat_map(|class| &answer.placed[*class][scope.zone]) {
+    for planned in scope.classes.iter().flat_map(|class| &answer.planned_work[*class][scope.zone]) {
         let number = numbers[planned.endpoint];
         let warmth = problem.endpoints[planned.endpoint].slow_start_factor;
         let weight = weights.get(&number).copied().unwrap_or(0);
--- a/crates/solver/tests/answers.rs
+++ b/crates/solver/tests/answers.rs
@@ -7,22 +7,29 @@
 use proptest::prelude::*;
 
 fn endpoint(zone: usize, capacity: f64) -> Endpoint {
-    Endpoint { zone, capacity, slow_start_factor: 1.0, unavailable: false }
+    Endpoint { zone, capacity, slow_start_factor: 1.0, is_unavailable: false }
 }
 
 fn class(work: f64, earnings: f64, demand: &[f64]) -> Class {
     let demand = demand.to_vec();
-    Class { work, latency_objective: 10.0 * work, value: earnings, zones: vec![], endpoints: None, demand }
+    Class {
+        work,
+        latency_objective: 10.0 * work,
+        value: earnings,
+        allowed_zones: vec![],
+        allowed_endpoints: None,
+        demand,
+    }
 }
 
 fn problem(zones: usize, servers: Vec<Endpoint>, classes: Vec<Class>) -> Problem {
-    Problem { zones, endpoints: servers, classes, crossing_cost: 0.1 }
+    Problem { zone_count: zones, endpoints: servers, classes, crossing_cost: 0.1 }
 }
 
 prop_compose! {
     fn any_endpoint()(zone in 0..3_usize, capacity in 1..9_u32, warmth in 0..5_u32, withdrawn in 0..8) -> Endpoint {
         let warmth = if warmth == 0 { 0.25 } else { 1.0 };
-        Endpoint { zone, capacity: f64::from(capacity) / 2.0, slow_start_factor: warmth, unavailable: withdrawn == 0 }
+        Endpoint { zone, capacity: f64::from(capacity) / 2.0, slow_start_factor: warmth, is_unavailable: withdrawn == 0 }
     }
 }
 
@@ -31,7 +38,7 @@
                    only in 0..6_usize) -> Class {
         let demand = demand.into_iter().map(f64::from).collect();
         let zones = if only < 3 { vec![only] } else { vec![] };
-        Class { zones, ..Class { demand, ..class(f64::from(work) / 100.0, f64::from(earnings), &[]) } }
+        Class { allowed_zones: zones, ..Class { demand, ..class(f64::from(work) / 100.0, f64::from(earnings), &[]) } }
     }
 }
 
@@ -60,7 +67,7 @@
     fn loads_stay_within_capacity_and_rates_within_0_and_1(problem in any_problem()) {
         let answer = solve(&problem).expect("sound");
         for (endpoint, load) in problem.endpoints.iter().zip(&answer.loads) {
-            let capacity = if endpoint.unavailable { 0.0 } else { endpoint.capacity * endpoint.slow_start_factor };
+            let capacity = if endpoint.is_unavailable { 0.0 } else { endpoint.capacity * endpoint.slow_start_factor };
             prop_assert!(*load <= capacity + 1e-9, "{load} of {capacity}");
         }
         for (class, rate) in problem.classes.iter().zip(&answer.admission_rates) {
@@ -119,8 +126,8 @@
             answer.admission_rates
         );
         let dropped = answer.shed.last().expect("the class of lower value");
-        assert_eq!((dropped.class, &dropped.preferred_classes[..]), (1, &[0][..]));
-        let work = dropped.requests * 0.1;
+        assert_eq!((dropped.class, &dropped.competing_classes[..]), (1, &[0][..]));
+        let work = dropped.request_rate * 0.1;
         assert!(dropped.missing_capacity >= work && dropped.missing_capacity < 1.5 * work, "{dropped:?}");
     }
 }
@@ -128,16 +135,16 @@
 #[test]
 fn a_lost_zone_is_served_by_others_and_a_class_keeps_to_its_endpoint() {
     let mut servers: Vec<Endpoint> = (0..6).map(|i| endpoint(i / 2, 2.0)).collect();
-    servers[..2].iter_mut().for_each(|server| server.unavailable = true);
+    servers[..2].iter_mut().for_each(|server| server.is_unavailable = true);
     let mut restricted = class(0.05, 2.0, &[4.0, 0.0, 0.0]);
-    restricted.endpoints = Some(vec![4]);
+    restricted.allowed_endpoints = Some(vec![4]);
     let answer =
         solve(&problem(3, servers.clone(), vec![class(0.1, 1.0, &[20.0, 5.0, 5.0]), restricted.clone()]))
             .expect("sound");
     assert_eq!(answer.admission_rates, [1.0, 1.0]);
     assert_eq!(answer.weights[..2], [0, 0]);
-    assert_eq!(answer.table(1, 0), [(4, 256)]);
-    restricted.endpoints = Some(vec![0]);
+    assert_eq!(answer.table_weights(1, 0), [(4, 256)]);
+    restricted.allowed_endpoints = Some(vec![0]);
     let answer = solve(&problem(3, servers, vec![restricted])).expect("sound");
     assert_eq!((answer.admission_rates[0], answer.shed[0].capacity), (0.0, 0.0));
 }
@@ -169,8 +176,11 @@
     assert_eq!(check(&|p| p.endpoints[0].zone = 7), "server 0: zone 7");
     assert_eq!(check(&|p| p.classes[0].work = 0.0), "class 0: work 0");
     assert_eq!(check(&|p| p.classes[0].demand = vec![]), "class 0: zones of demand 0");
-    assert_eq!(check(&|p| p.classes[0].endpoints = Some(vec![3])), "class 0: no such server: 3");
-    assert_eq!(solve(&Problem { crossing_cost: -1.0, ..sound }), Err(ProblemError::CrossingCost(-1.0)));
+    assert_eq!(check(&|p| p.classes[0].allowed_endpoints = Some(vec![3])), "class 0: no such server: 3");
+    assert_eq!(
+        solve(&Problem { crossing_cost: -1.0, ..sound }),
+        Err(ProblemError::InvalidCrossingCost(-1.0))
+    );
 }
 
 /// No update is sent while all endpoints are in slow start, as their weights stay.
@@ -189,9 +199,11 @@
 #[test]
 fn returning_endpoints_get_their_weights_and_load_by_slow_start() {
     let mut servers = vec![endpoint(0, 2.0); 8];
-    servers[4..].iter_mut().for_each(|server| server.unavailable = true);
+    servers[4..].iter_mut().for_each(|server| server.is_unavailable = true);
     let gone = problem(1, servers.clone(), vec![class(0.1, 1.0, &[100.0])]);
-    servers[4..].iter_mut().for_each(|server| (server.unavailable, server.slow_start_factor) = (false, 0.25));
+    servers[4..]
+        .iter_mut()
+        .for_each(|server| (server.is_unavailable, server.slow_start_factor) = (false, 0.25));
     let back = Problem { endpoints: servers, ..gone.clone() };
     let (gone, back) = (solve(&gone).expect("sound"), solve(&back).expect("sound"));
     assert_eq!(gone.weights[4..], [0; 4]);
--- a/crates/solver/tests/linear_program/mod.rs
+++ b/crates/solver/tests/linear_program/mod.rs
@@ -8,8 +8,9 @@
 const SEGMENTS: usize = 16;
 
 fn may_use(class: &Class, problem: &Problem, endpoint: usize) -> bool {
-    let zone = class.zones.is_empty() || class.zones.contains(&problem.endpoints[endpoint].zone);
-    zone && class.endpoints.as_ref().is_none_or(|endpoints| endpoints.contains(&endpoint))
+    let zone =
+        class.allowed_zones.is_empty() || class.allowed_zones.contains(&problem.endpoints[endpoint].zone);
+    zone && class.allowed_endpoints.as_ref().is_none_or(|endpoints| endpoints.contains(&endpoint))
 }
 
 /// Latency objective over work of the classes that may use an endpoint, weighted by the work that they ask for, times the
@@ -22,7 +23,7 @@
             problem.classes.iter().map(|class| may_use(class, problem, endpoint)).collect(),
         )
     };
-    let is_available = |endpoint: usize| !problem.endpoints[endpoint].unavailable;
+    let is_available = |endpoint: usize| !problem.endpoints[endpoint].is_unavailable;
     let group: Vec<f64> = (0..problem.endpoints.len())
         .filter(|other| is_available(*other) && group_of(*other) == group_of(endpoint))
         .map(|other| problem.endpoints[other].capacity)
@@ -52,7 +53,7 @@
     }
     let unit_value = if work > 0.0 { value / work } else { 0.0 };
     for (place, endpoint) in
-        problem.endpoints.iter().enumerate().filter(|(_, endpoint)| !endpoint.unavailable)
+        problem.endpoints.iter().enumerate().filter(|(_, endpoint)| !endpoint.is_unavailable)
     {
         let steepness = steepness(problem, place);
         let penalized_work = |share: f64| share * share * ((-(1.0 - share) * steepness).exp() + 1.0 / 1024.0);
@@ -60,7 +61,7 @@
             let (from, to) = (segment as f64 / SEGMENTS as f64, (segment + 1) as f64 / SEGMENTS as f64);
             let cost = (penalized_work(to) - penalized_work(from)) * SEGMENTS as f64 * unit_value;
             for (number, class) in problem.classes.iter().enumerate() {
-                for zone in (0..problem.zones).filter(|_| may_use(class, problem, place)) {
+                for zone in (0..problem.zone_count).filter(|_| may_use(class, problem, place)) {
                     let crossing = if zone == endpoint.zone { 0.0 } else { problem.crossing_cost };
                     let gain = (class.value - crossing) / class.work - cost;
                     let part = program.add_var(gain, (0.0, f64::INFINITY));
--- a/crates/solver/tests/stabilizers.rs
+++ b/crates/solver/tests/stabilizers.rs
@@ -3,37 +3,37 @@
 use std::time::Duration;
 
 use lockcroft_solver::{
-    CapacityEstimator, CapacityPrior, ChangePrice, Class, Endpoint, LoadSample, PlanStabilizer, Problem,
+    CapacityEstimator, CapacityPrior, ChangeCost, Class, Endpoint, LoadSample, PlanStabilizer, Problem,
     TableScope, TableStabilizer, WeightFractions, solve,
 };
 use proptest::prelude::*;
 
-const PRICE: ChangePrice = ChangePrice { per_entry: 0.5, max_entries: 100, horizon_secs: 30.0 };
+const PRICE: ChangeCost = ChangeCost { per_entry: 0.5, max_entries: 100, horizon_secs: 30.0 };
 
 fn problem(capacities: &[f64], demand: f64) -> Problem {
     let endpoint = |capacity: &f64| Endpoint {
         zone: 0,
         capacity: *capacity,
         slow_start_factor: 1.0,
-        unavailable: false,
+        is_unavailable: false,
     };
     let class = Class {
         work: 0.1,
         latency_objective: 1.0,
         value: 1.0,
-        zones: vec![],
-        endpoints: None,
+        allowed_zones: vec![],
+        allowed_endpoints: None,
         demand: vec![demand],
     };
     Problem {
-        zones: 1,
+        zone_count: 1,
         endpoints: capacities.iter().map(endpoint).collect(),
         classes: vec![class],
         crossing_cost: 0.0,
     }
 }
 
-fn update(stabilizer: &mut PlanStabilizer, problem: &Problem, price: ChangePrice) -> Vec<(usize, u32)> {
+fn update(stabilizer: &mut PlanStabilizer, problem: &Problem, price: ChangeCost) -> Vec<(usize, u32)> {
     let numbers: Vec<usize> = (0..problem.endpoints.len()).collect();
     stabilizer.update(problem, &numbers, &solve(problem).expect("sound"), price)
 }
@@ -60,7 +60,7 @@
     update(&mut stabilizer, &problem(&[2.0; 6], 90.0), PRICE);
     // One endpoint turns out to be half as large: late requests cost more than an entry.
     let halved = problem(&[2.0, 2.0, 2.0, 2.0, 2.0, 1.0], 90.0);
-    let expensive = ChangePrice { per_entry: 1e6, ..PRICE };
+    let expensive = ChangeCost { per_entry: 1e6, ..PRICE };
     assert_eq!(update(&mut stabilizer.clone(), &halved, expensive), []);
     assert_eq!(update(&mut stabilizer, &halved, PRICE), [(5, 128)]);
     assert_eq!(update(&mut stabilizer, &halved, PRICE), [], "and it stays so");
@@ -73,7 +73,7 @@
     update(&mut stabilizer, &problem(&[2.0; 40], 600.0), PRICE);
     let capacities: Vec<f64> = (0..40).map(|i| if i < 12 { 0.5 } else { 2.0 }).collect();
     let halved = problem(&capacities, 500.0);
-    let limited = ChangePrice { max_entries: 5, ..PRICE };
+    let limited = ChangeCost { max_entries: 5, ..PRICE };
     let changes: Vec<usize> = (0..4).map(|_| update(&mut stabilizer, &halved, limited).len()).collect();
     assert_eq!(changes, [5, 5, 2, 0]);
 }
@@ -81,7 +81,7 @@
 #[test]
 fn a_new_endpoint_gets_a_weight_at_any_price() {
     let mut stabilizer = PlanStabilizer::default();
-    let expensive = ChangePrice { per_entry: 1e6, ..PRICE };
+    let expensive = ChangeCost { per_entry: 1e6, ..PRICE };
     update(&mut stabilizer, &problem(&[2.0; 3], 30.0), expensive);
     assert_eq!(update(&mut stabilizer, &problem(&[2.0; 4], 30.0), expensive), [(3, 256)]);
     update(&mut stabilizer, &problem(&[2.0; 2], 30.0), expensive);
@@ -108,7 +108,7 @@
     observe(
         &mut estimator,
         0..60,
-        LoadSample { completed_work: 1.0, is_late: false, slowdown: 0.0, load: Some(0.25) },
+        LoadSample { completed_work: 1.0, is_late: false, slowdown: 0.0, reported_utilization: Some(0.25) },
     );
     let known = estimator.estimate(secs(60), 0, PRIOR);
     assert!((known.capacity - 4.0).abs() < 0.1, "{known:?}");
@@ -126,7 +126,7 @@
         observe(
             &mut estimator,
             0..60,
-            LoadSample { completed_work: done, is_late: false, slowdown, load: None },
+            LoadSample { completed_work: done, is_late: false, slowdown, reported_utilization: None },
         );
         estimator.estimate(secs(60), 0, PRIOR).capacity
     };
@@ -142,14 +142,14 @@
     observe(
         &mut estimator,
         0..60,
-        LoadSample { completed_work: 1.2, is_late: true, slowdown: 0.0, load: Some(0.0) },
+        LoadSample { completed_work: 1.2, is_late: true, slowdown: 0.0, reported_utilization: Some(0.0) },
     );
     let false_load = estimator.estimate(secs(60), 0, PRIOR);
     assert!(false_load.capacity <= 1.3, "late at 1.2, whatever it reports: {false_load:?}");
     observe(
         &mut estimator,
         60..120,
-        LoadSample { completed_work: 0.9, is_late: false, slowdown: 0.0, load: Some(1e-9) },
+        LoadSample { completed_work: 0.9, is_late: false, slowdown: 0.0, reported_utilization: Some(1e-9) },
     );
     let idle = estimator.estimate(secs(120), 0, PRIOR);
     assert!(idle.capacity <= 8.0, "{idle:?}");
@@ -157,7 +157,7 @@
         secs(121),
         1,
         PRIOR,
-        LoadSample { completed_work: 0.01, is_late: false, slowdown: 0.0, load: None },
+        LoadSample { completed_work: 0.01, is_late: false, slowdown: 0.0, reported_utilization: None },
     );
     assert_eq!(estimator.estimate(secs(121), 1, PRIOR).capacity, 2.0, "an idle one keeps the prior");
 }
@@ -168,19 +168,19 @@
     observe(
         &mut estimator,
         0..30,
-        LoadSample { completed_work: 1.8, is_late: false, slowdown: 0.0, load: None },
+        LoadSample { completed_work: 1.8, is_late: false, slowdown: 0.0, reported_utilization: None },
     );
     observe(
         &mut estimator,
         30..40,
-        LoadSample { completed_work: 0.2, is_late: true, slowdown: 0.0, load: None },
+        LoadSample { completed_work: 0.2, is_late: true, slowdown: 0.0, reported_utilization: None },
     );
     let overloaded = estimator.estimate(secs(40), 0, PRIOR);
     assert!((1.4..1.9).contains(&overloaded.capacity), "it did 1.8 a while ago: {overloaded:?}");
     observe(
         &mut estimator,
         40..140,
-        LoadSample { completed_work: 0.0, is_late: true, slowdown: 0.0, load: None },
+        LoadSample { completed_work: 0.0, is_late: true, slowdown: 0.0, reported_utilization: None },
     );
     assert!(estimator.estimate(secs(140), 0, PRIOR).capacity >= 0.5, "at least a quarter of the prior");
     let later = estimator.estimate(secs(340), 0, PRIOR);
@@ -194,26 +194,31 @@
 #[test]
 fn the_machine_type_bounds_what_one_endpoint_shows() {
     let mut estimator = estimator();
-    let stated = CapacityPrior::stated(4.0);
+    let stated = CapacityPrior::configured(4.0);
     for at in 0..60 {
         estimator.observe(
             secs(at),
             0,
             stated,
-            LoadSample { completed_work: 0.5, is_late: true, slowdown: 9.0, load: None },
+            LoadSample { completed_work: 0.5, is_late: true, slowdown: 9.0, reported_utilization: None },
         );
         estimator.observe(
             secs(at),
             1,
             stated,
-            LoadSample { completed_work: 3.9, is_late: false, slowdown: 1.0, load: None },
+            LoadSample { completed_work: 3.9, is_late: false, slowdown: 1.0, reported_utilization: None },
         );
     }
     let capacity = |endpoint| estimator.estimate(secs(60), endpoint, stated).capacity;
     assert!(capacity(0) >= 3.5 && capacity(1) <= 4.5, "{} and {}", capacity(0), capacity(1));
     for endpoint in 2..6 {
         let load = if endpoint == 5 { 0.9 } else { 0.5 };
-        let sample = LoadSample { completed_work: 1.0, is_late: false, slowdown: 0.0, load: Some(load) };
+        let sample = LoadSample {
+            completed_work: 1.0,
+            is_late: false,
+            slowdown: 0.0,
+            reported_utilization: Some(load),
+        };
         (0..60).for_each(|at| estimator.observe(secs(at), endpoint, PRIOR, sample));
     }
     assert_eq!(estimator.machine_type_capacity(secs(60), 2..4), None, "two are too few");
@@ -226,10 +231,10 @@
 
 /// Two zones of two endpoints each.
 fn two_zones(requests_per_s: f64) -> Problem {
-    let endpoint = |zone| Endpoint { zone, capacity: 2.0, slow_start_factor: 1.0, unavailable: false };
+    let endpoint = |zone| Endpoint { zone, capacity: 2.0, slow_start_factor: 1.0, is_unavailable: false };
     let class = Class { demand: vec![requests_per_s, 5.0], ..problem(&[], 0.0).classes.remove(0) };
     Problem {
-        zones: 2,
+        zone_count: 2,
         endpoints: [0, 0, 1, 1].map(endpoint).into(),
         classes: vec![class],
         crossing_cost: 0.2,
@@ -269,7 +274,7 @@
     assert_eq!(changed.iter().map(|(place, _)| *place).collect::<Vec<_>>(), [0], "{changed:?}");
     // The decisions handle a lost endpoint until a new one or a larger change asks for another table.
     let mut lost = two_zones(20.0);
-    lost.endpoints[0].unavailable = true;
+    lost.endpoints[0].is_unavailable = true;
     let changed = update_tables(&mut tables, &lost, false);
     assert!(changed.iter().all(|(_, shares)| !shares.contains_key(&0)), "{changed:?}");
 }
