--- a/crates/cli/tests/daemon/files.rs
+++ b/crates/cli/tests/daemon/files.rs
@@ -100,7 +100,11 @@
     std::fs::write(&file, wrong).expect("written");
     let output = run(&["solve", &file.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(text(&output.stderr).contains("recent-calls (class 0: work 0)"), "{}", text(&output.stderr));
+    assert!(
+        text(&output.stderr).contains("recent-calls (class 0: work is out of range: 0)"),
+        "{}",
+        text(&output.stderr)
+    );
 }
 
 /// A folder of three generations with its key file.
--- a/crates/solver/src/capacity_estimator.rs
+++ b/crates/solver/src/capacity_estimator.rs
@@ -1,102 +1,108 @@
-//! Estimates capacities from load reports.
+//! Estimates the capacities of endpoints from load reports.
 //!
-//! Reports bound a capacity from below (work done in time) and from above (work done while late). Evidence decays, so that
-//! an endpoint that was overloaded once does not look small for ever. What was never shown is not believed: an idle
-//! endpoint does not look large, nor one that reports a low load while it is late.
+//! Work that is completed within the latency objective is a lower bound of an endpoint's capacity, and work that is
+//! completed while requests are late is an upper bound. Both bounds decay exponentially, so that one overload does not
+//! lower an estimate permanently. Without evidence the prior applies: an idle endpoint does not get a high estimate,
+//! and neither does one that reports a low utilization while its requests are late.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::queueing::utilization_from_slowdown;
 
-/// One endpoint over one report period.
+/// Measurements of one endpoint over one report period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadSample {
     /// Work of its successful requests, in cores.
     pub completed_work: f64,
-    /// Its attempts missed their latency objective or failed.
+    /// True if its attempts missed their latency objective or failed.
     pub is_late: bool,
-    /// Duration of a request over its work; 0 if none was successful.
+    /// Mean duration of a request divided by its work; 0 if no request succeeded.
     pub slowdown: f64,
-    /// Its utilization, from 0 to 1, if it reports one.
+    /// The fraction of its capacity in use, from 0 to 1, if the endpoint reports it.
     pub reported_utilization: Option<f64>,
 }
 
-/// A capacity with its bounds, in cores.
+/// An estimated capacity with its bounds, in cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityEstimate {
-    /// The estimate.
+    /// Estimated capacity, from `min` to `max`.
     pub capacity: f64,
-    /// It has at least this much.
+    /// Lower bound of the capacity.
     pub min: f64,
-    /// It has at most this much.
+    /// Upper bound of the capacity.
     pub max: f64,
-    /// Age of the last sample.
+    /// Time since the last sample; `None` if there was none.
     pub age: Option<Duration>,
 }
 
-/// The capacity that an endpoint is assumed to have before any sample, and how far samples may lead from it.
+/// The capacity that an endpoint is assumed to have without samples, and the greatest deviation of estimates from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityPrior {
-    /// In cores.
+    /// Assumed capacity, in cores.
     pub cores: f64,
-    /// Estimates stay within this factor of it.
+    /// Estimates stay between `cores` divided by and multiplied by this factor.
     pub factor: f64,
 }
 
-/// The factor of an assumption for machines of any type.
-const GUESS_FACTOR: f64 = 4.0;
-/// The factor of what other endpoints of the machine type showed.
+/// The factor of a default for all machine types.
+const ASSUMED_FACTOR: f64 = 4.0;
+/// The factor of a capacity that was estimated from other endpoints of the machine type.
 const MACHINE_TYPE_FACTOR: f64 = 4.0 / 3.0;
-/// The factor of a configured capacity: two of the sixteen segments by which a plan tells loads apart.
-const STATED_FACTOR: f64 = 9.0 / 8.0;
-/// The fewest endpoints of a machine type that show what the type has.
-const MIN_MACHINE_TYPE_SAMPLES: usize = 3;
-/// Below this utilization, work over utilization says too little of the capacity.
+/// The factor of a configured capacity. The deviation equals two of the sixteen segments by which a plan divides a
+/// capacity.
+const CONFIGURED_FACTOR: f64 = 9.0 / 8.0;
+/// A machine type has a capacity estimate only with at least this many measured endpoints.
+const MIN_MEASURED_ENDPOINTS: usize = 3;
+/// Below this utilization, dividing work by utilization is too imprecise to estimate a capacity.
 const MIN_UTILIZATION: f64 = 1.0 / 8.0;
 /// The weight of a new measurement in the exponential moving average.
 const SMOOTHING: f64 = 1.0 / 8.0;
 
 impl CapacityPrior {
-    /// One assumption for machines of any type.
+    /// Returns the prior for a default capacity, in cores, that applies to all machine types.
     #[must_use]
     pub fn assumed(cores: f64) -> Self {
-        CapacityPrior { cores, factor: GUESS_FACTOR }
+        CapacityPrior { cores, factor: ASSUMED_FACTOR }
     }
 
-    /// What other endpoints of its machine type turned out to have.
+    /// Returns the prior for a capacity, in cores, that was estimated from other endpoints of the machine type.
     #[must_use]
     pub fn from_machine_type(cores: f64) -> Self {
         CapacityPrior { cores, factor: MACHINE_TYPE_FACTOR }
     }
 
-    /// What the configuration states of its machine type. An endpoint that does less is slow for a while, which is not
-    /// a matter of planned weights: load-based weight reduction reacts within a report period.
+    /// Returns the prior for the capacity, in cores, that the configuration states for the machine type. It allows only
+    /// small deviations: an endpoint that completes less is temporarily slow, which is handled by load-based weight
+    /// reduction within a report period and not by planned weights.
     #[must_use]
     pub fn configured(cores: f64) -> Self {
-        CapacityPrior { cores, factor: STATED_FACTOR }
+        CapacityPrior { cores, factor: CONFIGURED_FACTOR }
     }
 
+    /// Returns the least estimate, in cores.
     fn min(self) -> f64 {
         self.cores / self.factor
     }
 
+    /// Returns the greatest estimate, in cores.
     fn max(self) -> f64 {
         self.cores * self.factor
     }
 }
 
-/// What the samples of an endpoint show, in cores.
+/// Bounds and average derived from the samples of an endpoint, in cores, as of the last sample.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     min: f64,
     max: f64,
-    /// Moving average of work over utilization, while not late.
+    /// Exponential moving average of work divided by utilization over samples that were not late; `None` if no sample
+    /// had a usable utilization.
     measured: Option<f64>,
     last_sample_at: Duration,
 }
 
-/// The evidence of all endpoints, by the host's own numbers.
+/// Estimates the capacities of endpoints, which are identified by numbers that the caller chooses.
 #[derive(Clone, Debug)]
 pub struct CapacityEstimator {
     half_life: Duration,
@@ -104,18 +110,20 @@
 }
 
 impl CapacityEstimator {
-    /// An estimator whose evidence loses half of its force in this time, which should be some report periods.
+    /// Returns an estimator without samples. Evidence decays with this half-life, which should be several report
+    /// periods.
     #[must_use]
     pub fn new(half_life: Duration) -> Self {
         CapacityEstimator { half_life, evidence: BTreeMap::new() }
     }
 
-    /// Adds a sample of an endpoint.
+    /// Adds a sample of an endpoint. `now` is the time of the caller's clock.
     pub fn observe(&mut self, now: Duration, endpoint: usize, prior: CapacityPrior, sample: LoadSample) {
         let mut evidence = self.decayed(now, endpoint, prior);
         if sample.is_late {
-            // It could do no more than this. What it did lately still counts, and failures for other reasons, with ever
-            // fewer requests admitted, must not make it small without end.
+            // The completed work is an upper bound. The decayed lower bound and the least capacity by the prior limit
+            // it: if attempts fail for reasons other than load, and ever fewer requests are admitted, the bound would
+            // otherwise fall without limit.
             let max = sample.completed_work.max(evidence.min).max(prior.min());
             evidence.max = evidence.max.min(max);
         } else {
@@ -123,30 +131,33 @@
             evidence.max = evidence.max.max(evidence.min);
             if let Some(utilization) = utilization(sample) {
                 let capacity = (sample.completed_work / utilization).clamp(prior.min(), prior.max());
-                // A measurement that is repeated counts from the average before its decay.
-                let last = self.evidence.get(&endpoint).and_then(|evidence| evidence.measured);
-                let average = last.unwrap_or(capacity);
+                // The average is updated from its value before decay, so that decay does not pull repeated measurements
+                // toward the prior.
+                let previous = self.evidence.get(&endpoint).and_then(|evidence| evidence.measured);
+                let average = previous.unwrap_or(capacity);
                 evidence.measured = Some(average + (capacity - average) * SMOOTHING);
             }
         }
         self.evidence.insert(endpoint, Evidence { last_sample_at: now, ..evidence });
     }
 
-    /// The estimate for an endpoint now.
+    /// Returns the capacity estimate of an endpoint at the time `now`. Without samples it is the prior, with `age`
+    /// `None`.
     #[must_use]
     pub fn estimate(&self, now: Duration, endpoint: usize, prior: CapacityPrior) -> CapacityEstimate {
         let evidence = self.decayed(now, endpoint, prior);
-        let known = self.evidence.get(&endpoint);
+        let stored = self.evidence.get(&endpoint);
         CapacityEstimate {
             capacity: evidence.measured.unwrap_or(prior.cores).clamp(evidence.min, evidence.max),
             min: evidence.min,
             max: evidence.max,
-            age: known.map(|known| now.saturating_sub(known.last_sample_at)),
+            age: stored.map(|stored| now.saturating_sub(stored.last_sample_at)),
         }
     }
 
-    /// The median of what endpoints of one machine type showed within the half-life; `None` if they are too few. The
-    /// median keeps one that is overloaded from misleading the estimates of the others.
+    /// Returns the median of the measured capacities, in cores, of the given endpoints, which should have one machine
+    /// type. Counts only endpoints with a sample within the half-life, and returns `None` if there are fewer than
+    /// three. The median is insensitive to a single overloaded endpoint.
     pub fn machine_type_capacity(
         &self,
         now: Duration,
@@ -156,37 +167,38 @@
         let recent = endpoints.filter_map(|endpoint| self.evidence.get(&endpoint).filter(is_recent));
         let mut measured: Vec<f64> = recent.filter_map(|evidence| evidence.measured).collect();
         measured.sort_by(f64::total_cmp);
-        (measured.len() >= MIN_MACHINE_TYPE_SAMPLES).then(|| measured[measured.len() / 2])
+        (measured.len() >= MIN_MEASURED_ENDPOINTS).then(|| measured[measured.len() / 2])
     }
 
-    /// Forgets the endpoints that are no longer listed.
+    /// Removes the evidence of endpoints for which `is_listed` returns false.
     pub fn retain(&mut self, is_listed: impl Fn(usize) -> bool) {
         self.evidence.retain(|endpoint, _| is_listed(*endpoint));
     }
 
-    /// An endpoint's evidence with the force that is left of it. Its bounds move to those of no evidence.
+    /// Returns an endpoint's evidence after decay: its bounds move to 0 and the maximum by the prior, and its average
+    /// to the prior.
     fn decayed(&self, now: Duration, endpoint: usize, prior: CapacityPrior) -> Evidence {
-        let max_without_evidence = prior.max();
+        let prior_max = prior.max();
         let Some(evidence) = self.evidence.get(&endpoint) else {
-            return Evidence { min: 0.0, max: max_without_evidence, measured: None, last_sample_at: now };
+            return Evidence { min: 0.0, max: prior_max, measured: None, last_sample_at: now };
         };
         let half_life = self.half_life.as_secs_f64().max(f64::MIN_POSITIVE);
         let age = now.saturating_sub(evidence.last_sample_at).as_secs_f64();
-        let force = 0.5_f64.powf(age / half_life);
-        let min = (evidence.min * force).min(max_without_evidence);
-        let max =
-            if force > 0.0 { (evidence.max / force).min(max_without_evidence) } else { max_without_evidence };
+        let decay = 0.5_f64.powf(age / half_life);
+        let min = (evidence.min * decay).min(prior_max);
+        let max = if decay > 0.0 { (evidence.max / decay).min(prior_max) } else { prior_max };
         Evidence {
             min,
             max: max.max(min),
-            measured: evidence.measured.map(|measured| prior.cores + (measured - prior.cores) * force),
+            measured: evidence.measured.map(|measured| prior.cores + (measured - prior.cores) * decay),
             last_sample_at: evidence.last_sample_at,
         }
     }
 }
 
-/// The utilization that an endpoint reports, or else the one that its slowdown implies.
+/// Returns the reported utilization if it is from [`MIN_UTILIZATION`] to 1, or else an estimate from the slowdown.
 fn utilization(sample: LoadSample) -> Option<f64> {
-    let reported = sample.reported_utilization.filter(|load| (MIN_UTILIZATION..=1.0).contains(load));
+    let reported =
+        sample.reported_utilization.filter(|utilization| (MIN_UTILIZATION..=1.0).contains(utilization));
     reported.or_else(|| utilization_from_slowdown(sample.completed_work, sample.slowdown, MIN_UTILIZATION))
 }
--- a/crates/solver/src/endpoint_group.rs
+++ b/crates/solver/src/endpoint_group.rs
@@ -1,30 +1,32 @@
-//! Groups of endpoints that differ in nothing but their capacity.
+//! Groups of endpoints that differ only in their capacity.
 //!
-//! Gains depend on the zone and on the classes that may use an endpoint, not on the single endpoint. A fleet of thousands
-//! is therefore a problem of some dozen groups, which is what makes it quick to solve.
+//! The gain of work at an endpoint depends only on the endpoint's zone and on the classes that may use it. Grouping
+//! endpoints by these reduces a fleet of thousands to some dozen groups, which keeps solving fast.
 
 use std::collections::BTreeMap;
 
 use crate::problem::Problem;
 
-/// Endpoints of one zone, or of all zones where crossing costs nothing, that the same classes may use.
+/// Endpoints of one zone that the same classes may use. If crossing zones is free, all zones count as zone 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointGroup {
     pub zone: usize,
-    /// The classes that may use it, in ascending order.
+    /// Indices of the classes that may use its endpoints, in ascending order.
     pub classes: Vec<usize>,
+    /// Indices of its endpoints, in ascending order.
     pub endpoints: Vec<usize>,
-    /// Present capacity in whole units.
+    /// Sum of the available capacities, in whole units of work per second.
     pub capacity: i64,
 }
 
 impl EndpointGroup {
+    /// Returns true if a class may use the endpoints of this group.
     pub fn is_usable_by(&self, class: usize) -> bool {
         self.classes.binary_search(&class).is_ok()
     }
 }
 
-/// What makes endpoints alike.
+/// The properties that all endpoints of a group share.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GroupKey {
     zone: usize,
@@ -37,7 +39,8 @@
     capacity: i64,
 }
 
-/// The groups of a problem, ordered by zone and then by classes. Endpoints without capacity are in none.
+/// Returns the groups of a problem, ordered by zone and then by classes. Endpoints without available capacity are in no
+/// group.
 pub(crate) fn group_endpoints(problem: &Problem) -> Vec<EndpointGroup> {
     let usability: Vec<Vec<bool>> =
         (0..problem.classes.len()).map(|class| usable_endpoints(problem, class)).collect();
@@ -48,7 +51,7 @@
             continue;
         }
         let classes = (0..problem.classes.len()).filter(|class| usability[*class][index]).collect();
-        // Where crossing costs nothing, zones make no difference either.
+        // If crossing zones is free, the zone does not affect any gain.
         let zone = if problem.crossing_cost > 0.0 { endpoint.zone } else { 0 };
         let members = groups.entry(GroupKey { zone, classes }).or_default();
         members.endpoints.push(index);
@@ -63,7 +66,7 @@
     groups.into_iter().map(group).collect()
 }
 
-/// By endpoint, whether a class may use it.
+/// Returns, for each endpoint, true if a class may use it.
 fn usable_endpoints(problem: &Problem, class: usize) -> Vec<bool> {
     let class = &problem.classes[class];
     let mut is_listed = vec![class.allowed_endpoints.is_none(); problem.endpoints.len()];
--- a/crates/solver/src/flow.rs
+++ b/crates/solver/src/flow.rs
@@ -1,48 +1,52 @@
-//! The flow of greatest gain from sources to sinks.
+//! Maximum-gain flow from sources to sinks.
 //!
-//! This is the successive shortest path method for minimum-cost flow with node potentials, which keep all reduced costs
-//! non-negative so that Dijkstra's search applies (Edmonds and Karp, 1972), on a small dense graph. All numbers are whole,
-//! so the result is exact. Of equal paths the one with the lowest indices is taken, so the result is also deterministic.
+//! Uses the successive shortest path method for minimum-cost flow on a small dense graph. Node potentials keep all
+//! reduced costs non-negative, so that Dijkstra's algorithm applies (Edmonds and Karp, 1972). All numbers are integers,
+//! so the result is exact. Ties between paths are broken by the lowest index, so the result is also deterministic.
 
-/// Sources with supply, sinks with capacity, and the gain of each unit that goes from one to the other.
+/// A bipartite network: sources with supply, sinks with capacity, and the gain per unit of flow between them.
 #[derive(Clone, Debug, Default)]
 pub struct FlowNetwork {
-    /// Units by source.
+    /// Available units of each source.
     pub supply: Vec<i64>,
-    /// Units by sink.
+    /// Capacity of each sink, in units.
     pub capacity: Vec<i64>,
-    /// Gain of a unit by source and then by sink; `None` where it may not go.
+    /// Gain per unit, by source and then by sink; `None` if flow between them is not allowed.
     pub gain: Vec<Vec<Option<i64>>>,
 }
 
-/// The units from each source to each sink with the greatest total gain. Supply that would gain nothing stays.
+/// Returns the flow with the greatest total gain, in units by source and then by sink. Supply whose flow would not
+/// increase the total gain is left unused.
 #[must_use]
 pub fn max_gain_flow(network: &FlowNetwork) -> Vec<Vec<i64>> {
     let mut search = FlowSearch::new(network);
     while let Some(path) = search.next_path() {
-        search.send_along(&path);
+        search.augment_along(&path);
     }
     search.flow
 }
 
-/// The distance of a node that can't be reached.
+/// The distance of a node that cannot be reached.
 const UNREACHABLE: i64 = i64::MAX;
 
-/// The flow so far. Nodes are numbered: sources, sinks, then the start of all supply and the end of all capacity.
+/// The flow found so far. Node indices are in the order: sources, sinks, the super source (`start`), which feeds all
+/// sources, and the super sink (`end`), which drains all sinks.
 struct FlowSearch<'a> {
     network: &'a FlowNetwork,
     flow: Vec<Vec<i64>>,
     remaining_supply: Vec<i64>,
     remaining_capacity: Vec<i64>,
-    /// Potential by node.
+    /// Potential of each node.
     potential: Vec<i64>,
-    /// The greatest gain of an arc. The cost of a unit is how much less it gains.
+    /// The greatest gain of an arc. The cost of an arc is this less its gain, which is never negative.
     best_gain: i64,
 }
 
-/// The cheapest path to each node by reduced cost.
+/// The shortest paths from the super source by reduced cost.
 struct ShortestPaths {
+    /// Distance of each node, or [`UNREACHABLE`].
     distance: Vec<i64>,
+    /// The node before each node on its path.
     previous: Vec<usize>,
 }
 
@@ -72,8 +76,8 @@
         self.start() + 1
     }
 
-    /// The cheapest path from a source with supply to a sink with capacity, without start and end; `None` if there is
-    /// none that gains anything.
+    /// Returns the cheapest path from a source with remaining supply to a sink with remaining capacity, without super
+    /// source and super sink; `None` if no path has a positive gain.
     fn next_path(&mut self) -> Option<Vec<usize>> {
         let paths = self.shortest_paths();
         let (start, end) = (self.start(), self.end());
@@ -85,7 +89,7 @@
             *potential += (*distance).min(end_distance);
         }
         let cost = self.potential[end] - self.potential[start];
-        debug_assert!(cost >= 0, "a path that gains more than the best arc");
+        debug_assert!(cost >= 0, "a path has a greater gain than the best arc");
         if cost >= self.best_gain {
             return None;
         }
@@ -99,7 +103,7 @@
         Some(path)
     }
 
-    /// Dijkstra's search from the start, with a scan for the nearest node.
+    /// Runs Dijkstra's algorithm from the super source. Finds the nearest node by a linear scan.
     fn shortest_paths(&self) -> ShortestPaths {
         let node_count = self.potential.len();
         let start = self.start();
@@ -113,7 +117,7 @@
             is_settled[node] = true;
             self.for_each_arc(node, |to, cost| {
                 let through_node = distance[node] + cost + self.potential[node] - self.potential[to];
-                debug_assert!(through_node >= distance[node], "an arc of negative reduced cost");
+                debug_assert!(through_node >= distance[node], "an arc has a negative reduced cost");
                 if through_node < distance[to] {
                     distance[to] = through_node;
                     previous[to] = node;
@@ -123,41 +127,41 @@
         ShortestPaths { distance, previous }
     }
 
-    /// Calls back with the head and cost of each arc out of a node that can take more flow.
-    fn for_each_arc(&self, node: usize, mut handle: impl FnMut(usize, i64)) {
+    /// Calls `visit` with the head and the cost of each arc out of a node that has residual capacity.
+    fn for_each_arc(&self, node: usize, mut visit: impl FnMut(usize, i64)) {
         let source_count = self.source_count();
         if node == self.start() {
             for source in (0..source_count).filter(|source| self.remaining_supply[*source] > 0) {
-                handle(source, 0);
+                visit(source, 0);
             }
         } else if node < source_count {
             for (sink, gain) in self.network.gain[node].iter().enumerate() {
                 if let Some(gain) = gain {
-                    handle(source_count + sink, self.best_gain - gain);
+                    visit(source_count + sink, self.best_gain - gain);
                 }
             }
         } else if node < self.start() {
             let sink = node - source_count;
             if self.remaining_capacity[sink] > 0 {
-                handle(self.end(), 0);
+                visit(self.end(), 0);
             }
-            // Flow that a source sends here can be taken back.
+            // Residual arcs: flow from a source to this sink can be reduced.
             for source in (0..source_count).filter(|source| self.flow[*source][sink] > 0) {
                 let gain = self.network.gain[source][sink].unwrap_or(0);
-                handle(source, gain - self.best_gain);
+                visit(source, gain - self.best_gain);
             }
         }
     }
 
-    /// Sends as many units as possible along sources and sinks in turn: forward to a sink, back to a source that gives
-    /// up flow to this sink.
-    fn send_along(&mut self, path: &[usize]) {
+    /// Adds as much flow as possible along an augmenting path, which alternates between sources and sinks: a step from
+    /// a source to a sink adds flow, and a step from a sink back to a source removes flow.
+    fn augment_along(&mut self, path: &[usize]) {
         let source_count = self.source_count();
         let first_source = path[0];
         let last_sink = path[path.len() - 1] - source_count;
         let backward = path.windows(2).filter(|step| step[0] >= source_count);
-        let returnable = backward.map(|step| self.flow[step[1]][step[0] - source_count]).min();
-        let units = returnable
+        let reducible = backward.map(|step| self.flow[step[1]][step[0] - source_count]).min();
+        let units = reducible
             .unwrap_or(UNREACHABLE)
             .min(self.remaining_supply[first_source])
             .min(self.remaining_capacity[last_sink]);
--- a/crates/solver/src/latency.rs
+++ b/crates/solver/src/latency.rs
@@ -1,32 +1,33 @@
-//! The cost of latency at a load, by a queueing estimate.
+//! The cost of latency as a function of load, by a queueing model.
 //!
-//! At an endpoint with `c` cores that are utilized by the fraction `u`, the fraction of requests that miss their latency
-//! objective is that of requests which wait longer in a queue with exponential times (M/M/1 at `c` times the speed):
-//! `u * exp(-(1 - u) * c * latency_objective / work)`. The late work grows ever faster with the load, so linear segments
-//! of the curve can be filled one after the other.
+//! At an endpoint with `c` cores and the utilization `u`, the fraction of requests that miss their latency objective is
+//! estimated as the fraction that waits longer than the objective in an M/M/1 queue whose service rate is `c` times
+//! that of one core: `u * exp(-(1 - u) * c * latency_objective / work)`. Late work is a convex function of the load, so
+//! a flow fills the linear segments that approximate it in the right order.
 
 use crate::endpoint_group::EndpointGroup;
 use crate::problem::Problem;
 
-/// The number of segments of the curve. Demand is not known precisely enough for finer ones.
+/// The number of linear segments that approximate the cost. Demand is not known precisely enough for finer ones.
 const SEGMENTS: i64 = 16;
 
-/// The cost of uneven loads where nothing is late, as a fraction of the value of work. It is too small to outweigh a
-/// crossing, and enough to keep an idle fleet from filling one zone before it uses the next.
+/// The cost of uneven loads where no request is late, as a fraction of the value of work. It is too small to outweigh
+/// the cost of crossing zones, and large enough to prevent that an idle fleet fills one zone before it uses the next.
 const UNEVEN_LOAD_COST: f64 = 1.0 / 1024.0;
 
-/// A part of a group's capacity, and the cost of each unit of work in it.
+/// A segment of a group's capacity with a constant cost per unit of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LinearSegment {
-    /// In whole units.
+    /// In whole units of work per second.
     pub capacity: i64,
+    /// Cost of latency of a second of work on one core.
     pub cost: f64,
 }
 
-/// The segments of a group, from idle to fully utilized. A late unit of work costs what a unit is worth on average.
+/// Returns the segments of a group, from idle to fully utilized. Late work costs the mean value of work.
 pub(crate) fn latency_segments(problem: &Problem, group: &EndpointGroup) -> Vec<LinearSegment> {
     let steepness = steepness(problem, group);
-    let unit_value = mean_unit_value(problem);
+    let work_value = mean_work_value(problem);
     let capacity_up_to =
         |segment: i64| group.capacity / SEGMENTS * segment + group.capacity % SEGMENTS * segment / SEGMENTS;
     let segment = |index: i64| {
@@ -35,13 +36,14 @@
         let slope = (penalized_work(to, steepness) - penalized_work(from, steepness)) / (to - from);
         LinearSegment {
             capacity: capacity_up_to(index + 1) - capacity_up_to(index),
-            cost: slope * unit_value,
+            cost: slope * work_value,
         }
     };
     (0..SEGMENTS).map(segment).filter(|segment| segment.capacity > 0).collect()
 }
 
-/// The fraction of requests that miss their latency objective at a utilization.
+/// Returns the estimated fraction of requests that miss their latency objective at a utilization. The steepness is the
+/// result of [`steepness`].
 pub(crate) fn late_fraction(utilization: f64, steepness: f64) -> f64 {
     if utilization >= 1.0 {
         return 1.0;
@@ -49,20 +51,21 @@
     utilization.max(0.0) * (-(1.0 - utilization) * steepness).exp()
 }
 
-/// Late work, and the cost of uneven loads in the same unit.
+/// Returns late work plus the cost of uneven loads, both as a fraction of the capacity.
 fn penalized_work(utilization: f64, steepness: f64) -> f64 {
     utilization * (late_fraction(utilization, steepness) + UNEVEN_LOAD_COST * utilization)
 }
 
-/// How quickly lateness falls with spare capacity: latency objective over work of the classes that may use the group,
-/// weighted by the work that they ask for, times the mean cores of its endpoints.
+/// Returns the rate at which the late fraction falls exponentially with spare capacity: the mean ratio of latency
+/// objective to work over the classes that may use the group, weighted by their demand in work, times the mean cores of
+/// its endpoints.
 pub(crate) fn steepness(problem: &Problem, group: &EndpointGroup) -> f64 {
     let total_cores: f64 = group.endpoints.iter().map(|endpoint| problem.endpoints[*endpoint].capacity).sum();
     let mean_cores = total_cores / group.endpoints.len().max(1) as f64;
     let mut total_work = 0.0;
     let mut weighted_ratios = 0.0;
     for class in &group.classes {
-        let work = asked_by_class(problem, *class);
+        let work = class_demand(problem, *class);
         let class = &problem.classes[*class];
         weighted_ratios += work * class.latency_objective / class.work;
         total_work += work;
@@ -70,19 +73,19 @@
     if total_work > 0.0 { mean_cores.max(1.0) * weighted_ratios / total_work } else { 0.0 }
 }
 
-/// The mean value of a unit of the work that is asked for.
-pub(crate) fn mean_unit_value(problem: &Problem) -> f64 {
+/// Returns the mean value of a second of work on one core over all demand; 0 without demand.
+pub(crate) fn mean_work_value(problem: &Problem) -> f64 {
     let mut total_work = 0.0;
     let mut total_value = 0.0;
     for class in 0..problem.classes.len() {
-        let work = asked_by_class(problem, class);
+        let work = class_demand(problem, class);
         total_work += work;
-        total_value += work * problem.unit_gain(class, false);
+        total_value += work * problem.work_gain(class, false);
     }
     if total_work > 0.0 { total_value / total_work } else { 0.0 }
 }
 
-/// The units of work that a class asks for in all zones.
-fn asked_by_class(problem: &Problem, class: usize) -> f64 {
-    (0..problem.zone_count).map(|zone| problem.asked_units(class, zone) as f64).sum()
+/// Returns the demand of a class over all zones, in units of work per second.
+fn class_demand(problem: &Problem, class: usize) -> f64 {
+    (0..problem.zone_count).map(|zone| problem.demand_units(class, zone) as f64).sum()
 }
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -1,10 +1,11 @@
-//! Plans weights ahead of time. Free of I/O and clock.
+//! Plans endpoint weights and admission rates from capacities and demand. Has no I/O and reads no clock.
 //!
-//! A [`Problem`] states what endpoints can do, what is asked of them and what it is worth. [`solve`] returns how much of
-//! each class to admit, where its work goes and the weights for that, as a flow of greatest gain. [`PlanStabilizer`] and
-//! [`TableStabilizer`] keep the weights and the table fractions in force until another plan gains more than its changes cost.
-//! [`CapacityEstimator`] estimates the capacities that a problem needs from load reports. The same input gives the same
-//! answer to the bit, as the flow is computed in whole numbers. `docs/solver.md` has the objective and its reasons.
+//! A [`Problem`] states the capacity of the endpoints, and the demand and the value of each class. [`solve`] computes a
+//! maximum-gain flow and returns the admission rate of each class, the endpoints that do its work, and the weights.
+//! [`PlanStabilizer`] keeps the current weights until a new plan gains more than its changes cost; [`TableStabilizer`]
+//! keeps the fractions of a table until they change by more than a fluctuation of demand. [`CapacityEstimator`]
+//! estimates the capacities from load reports. The same input always gives a bit-identical solution, as the flow is
+//! computed in integers. `docs/solver.md` explains the objective.
 
 #![warn(missing_docs)]
 
--- a/crates/solver/src/plan_stabilizer.rs
+++ b/crates/solver/src/plan_stabilizer.rs
@@ -1,7 +1,8 @@
-//! Keeps the weights in force until another plan gains more than its changes cost.
+//! Keeps the current weights until a new plan gains more than its changes cost.
 //!
-//! This guards against weights that follow every fluctuation of demand, each time with a batch of updates to all proxies.
-//! A new plan is applied only as far as it pays, starting with the endpoints that move most work.
+//! This prevents that weights follow every fluctuation of demand, each time with a batch of updates to all proxies. Of
+//! a new plan only as many changes are applied as are worth their cost, starting with the endpoints that move most
+//! work.
 
 use std::collections::BTreeMap;
 
@@ -9,63 +10,68 @@
 use crate::problem::Problem;
 use crate::solution::{MAX_WEIGHT, Solution};
 
-/// What changes cost.
+/// The cost of changing weights, and the limit on changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeCost {
-    /// Value that a changed table entry costs, over all proxies that hold it.
+    /// Cost of changing the weight of one endpoint in all tables of all proxies, in units of value.
     pub per_entry: f64,
-    /// The most entries that may change at once.
+    /// The most weights that one update may change.
     pub max_entries: usize,
-    /// Seconds for which a plan is expected to stay in force: what it gains, it gains for this long.
+    /// Expected time in seconds until the next plan, over which a change yields its gain.
     pub horizon_secs: f64,
 }
 
-/// A relative change below this is within the precision of demand and changes nothing.
+/// Relative changes up to this are within the precision of demand and are ignored.
 pub(crate) const FLUCTUATION: f64 = 1.0 / 16.0;
 
-/// The weights and admission rates in force. Endpoints have the host's own numbers.
+/// The current weights and admission rates. Endpoints are identified by numbers that the caller chooses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanStabilizer {
     weights: BTreeMap<usize, u32>,
     admission_rates: Vec<f64>,
 }
 
-/// A plan beside the weights in force, by index of the endpoint.
+/// Planned and current weights, by index of the endpoint.
 struct Candidate<'a> {
     distribution: LoadDistribution<'a>,
     current: Vec<u32>,
     planned: Vec<u32>,
-    /// The endpoints whose weights differ, those that move most work first.
+    /// Indices of the endpoints whose weights differ by more than a fluctuation, in descending order of the work that
+    /// their change moves.
     changes: Vec<usize>,
 }
 
 impl PlanStabilizer {
-    /// Weights by number of the endpoint, in steps.
+    /// Returns the current weights by number of the endpoint, from 0 to [`MAX_WEIGHT`].
     #[must_use]
     pub fn weights(&self) -> &BTreeMap<usize, u32> {
         &self.weights
     }
 
-    /// Admission rate by class.
+    /// Returns the current admission rate of each class, from 0 to 1; empty before the first update.
     #[must_use]
     pub fn admission_rates(&self) -> &[f64] {
         &self.admission_rates
     }
 
-    /// Applies an answer as far as it pays, and returns the numbers and weights of the endpoints that change. `numbers`
-    /// are the numbers of the problem's endpoints.
+    /// Applies those changes of a solution that gain more than they cost, and returns the numbers and new weights of
+    /// the changed endpoints. New endpoints always get their planned weight. `numbers` are the numbers of the problem's
+    /// endpoints by index; other endpoints are removed.
+    ///
+    /// # Panics
+    /// Panics if `numbers` or the solution do not belong to the problem.
     pub fn update(
         &mut self,
         problem: &Problem,
         numbers: &[usize],
-        answer: &Solution,
-        price: ChangeCost,
+        solution: &Solution,
+        cost: ChangeCost,
     ) -> Vec<(usize, u32)> {
-        self.update_admission_rates(&answer.admission_rates);
+        self.update_admission_rates(&solution.admission_rates);
         let before: Vec<Option<u32>> =
             numbers.iter().map(|number| self.weights.get(number).copied()).collect();
-        let candidate = self.candidate(problem, &before, self.rescale(numbers, &answer.weights));
-        let applied = self.most_valuable_changes(&candidate, price);
+        let candidate = self.candidate(problem, &before, self.rescale(numbers, &solution.weights));
+        let applied = self.most_valuable_changes(&candidate, cost);
         let mut weights = candidate.current;
         for endpoint in &candidate.changes[..applied] {
             weights[*endpoint] = candidate.planned[*endpoint];
@@ -77,7 +83,8 @@
         changed
     }
 
-    /// A new endpoint needs some weight at any price, so it counts as having its planned one already.
+    /// Compares planned with current weights. `before` has `None` for new endpoints, which count as already having
+    /// their planned weight, as they need one whatever the change costs.
     fn candidate<'a>(
         &self,
         problem: &'a Problem,
@@ -90,16 +97,16 @@
         let current_loads = distribution.loads(&current, &self.admission_rates);
         let planned_loads = distribution.loads(&planned, &self.admission_rates);
         let moved_work = |endpoint: &usize| (planned_loads[*endpoint] - current_loads[*endpoint]).abs();
-        let differs = |endpoint: &usize| is_worth_a_change(current[*endpoint], planned[*endpoint]);
+        let differs = |endpoint: &usize| is_significant_change(current[*endpoint], planned[*endpoint]);
         let mut changes: Vec<usize> = (0..current.len()).filter(differs).collect();
         changes.sort_by(|a, b| moved_work(b).total_cmp(&moved_work(a)).then(a.cmp(b)));
         Candidate { distribution, current, planned, changes }
     }
 
-    /// How many of the changes, from the first, gain most beyond their cost; 0 if none do. Tries one, two, four and so
-    /// on, and all that may change at once.
-    fn most_valuable_changes(&self, candidate: &Candidate, price: ChangeCost) -> usize {
-        let max_changes = candidate.changes.len().min(price.max_entries);
+    /// Returns the number of changes, from the first, with the greatest gain less cost; 0 if no number gains more than
+    /// it costs. To limit the computation, tries only powers of two and the greatest number that is allowed.
+    fn most_valuable_changes(&self, candidate: &Candidate, cost: ChangeCost) -> usize {
+        let max_changes = candidate.changes.len().min(cost.max_entries);
         let value_now = candidate.distribution.value(&candidate.current, &self.admission_rates);
         let powers = (0..).map(|power| 1_usize << power).take_while(|count| *count < max_changes);
         let mut best_gain = 0.0;
@@ -110,7 +117,7 @@
                 weights[*endpoint] = candidate.planned[*endpoint];
             }
             let value = candidate.distribution.value(&weights, &self.admission_rates);
-            let gain = (value - value_now) * price.horizon_secs - price.per_entry * count as f64;
+            let gain = (value - value_now) * cost.horizon_secs - cost.per_entry * count as f64;
             if gain > best_gain {
                 best_gain = gain;
                 best_count = count;
@@ -119,7 +126,7 @@
         best_count
     }
 
-    /// Takes over admission rates that changed by more than a fluctuation. Rates of 0 and 1 are taken over at once.
+    /// Replaces admission rates that changed by more than a fluctuation. Rates of 0 and 1 are always applied.
     fn update_admission_rates(&mut self, planned: &[f64]) {
         if self.admission_rates.len() != planned.len() {
             self.admission_rates = planned.to_vec();
@@ -132,8 +139,8 @@
         }
     }
 
-    /// Planned weights on the scale of those in force, by the median ratio: demand that grows everywhere alike then
-    /// changes no weight. The greatest weight stays within the scale.
+    /// Scales planned weights by the median ratio of current to planned weight, so that demand that grows uniformly
+    /// changes no weight. The result does not exceed [`MAX_WEIGHT`].
     fn rescale(&self, numbers: &[usize], planned: &[u32]) -> Vec<u32> {
         let ratio = |endpoint: usize| {
             let current = self.weights.get(&numbers[endpoint]).copied().filter(|weight| *weight > 0)?;
@@ -149,8 +156,8 @@
     }
 }
 
-/// Whether weights differ by more than a fluctuation and by more than a step, or one of them is 0.
-fn is_worth_a_change(current: u32, planned: u32) -> bool {
+/// Returns true if weights differ by more than a fluctuation and by more than 1, or if exactly one of them is 0.
+fn is_significant_change(current: u32, planned: u32) -> bool {
     let difference = f64::from(current.abs_diff(planned));
     let max_fluctuation = (FLUCTUATION * f64::from(current.max(planned))).max(1.0);
     difference > max_fluctuation || (current == 0) != (planned == 0)
--- a/crates/solver/src/queueing.rs
+++ b/crates/solver/src/queueing.rs
@@ -1,16 +1,17 @@
-//! Estimates an endpoint's load from how much longer requests take than their work.
+//! Estimates an endpoint's utilization from its slowdown: the duration of requests divided by their work.
 
-/// Requests of equal length wait half as long as ones of exponential length. How much lengths differ is not known; the
-/// shorter wait is assumed, which rather underestimates a capacity than overestimates it.
+/// Waiting time with equal service times, relative to that with exponential service times. The distribution of service
+/// times is unknown. Assuming the shorter wait makes the estimate of the capacity too low rather than too high.
 const EQUAL_LENGTH_WAIT_FACTOR: f64 = 0.5;
 
-/// The steps of the bisection, which is finer than loads are known.
+/// The number of bisection steps. The result is more precise than measured loads.
 const BISECTION_STEPS: usize = 20;
 
-/// The utilization of an endpoint that did this work, in cores, and slowed requests by this factor.
+/// Returns the utilization, from `min_utilization` to 1, of an endpoint that completed this work, in cores, with this
+/// slowdown. Returns `None` if the work or the slowdown is not positive.
 ///
-/// Each utilization implies a number of cores, with which a queue slows requests by some factor; the one is found whose
-/// factor is as observed. It is at least `min_utilization`. `None` if there is no work or no factor.
+/// A utilization and the completed work imply a number of cores, and these an expected slowdown. Bisection finds the
+/// utilization whose expected slowdown equals the observed one.
 pub(crate) fn utilization_from_slowdown(
     completed_work: f64,
     observed_slowdown: f64,
@@ -32,8 +33,8 @@
     Some(low)
 }
 
-/// How many times longer than their work requests take at this many cores with this utilization: Sakasegawa's estimate
-/// for queues with several servers (1977). Less than one core is one slow core.
+/// Returns the expected duration of requests divided by their work, by Sakasegawa's approximation for multi-server
+/// queues (1977). Fewer than one core counts as one core of lower speed.
 fn expected_slowdown(cores: f64, utilization: f64) -> f64 {
     if cores < 1.0 {
         return (1.0 + EQUAL_LENGTH_WAIT_FACTOR * utilization / (1.0 - utilization)) / cores;
--- a/crates/solver/src/table_stabilizer.rs
+++ b/crates/solver/src/table_stabilizer.rs
@@ -1,7 +1,8 @@
-//! Tables of their own for classes and zones, as fractions of the planned weights.
+//! Derives tables for classes and zones from a plan, as fractions of the planned weights.
 //!
-//! A plan places the work of each class in each zone. Classes that share a table share the sum of their work. A table
-//! stays in force until its fractions change by more than a fluctuation of demand.
+//! A plan assigns the work of each class and zone to endpoints. Classes that share a table are planned by the sum of
+//! their work. A table is kept until a new plan moves more of its requests than a fluctuation of demand would, the
+//! weights change, or the plan has a new endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +10,7 @@
 use crate::problem::Problem;
 use crate::solution::Solution;
 
-/// A table that proxies of one zone use for some classes.
+/// The proxies and classes that a table serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableScope {
     /// Index of the proxies' zone.
@@ -18,28 +19,35 @@
     pub classes: Vec<usize>,
 }
 
-/// The fraction of its weight that each endpoint has in a table, above 0 and up to 1. Others are not in the table.
+/// The fractions of their planned weights that endpoints have in a table, above 0 and up to 1, by number of the
+/// endpoint. Endpoints that are missing have no entry in the table.
 pub type WeightFractions = BTreeMap<usize, f64>;
 
-/// A smaller fraction rounds to nothing in a table, whose fractions have steps of a twentieth.
+/// The least fraction in a table. Fractions are later rounded to multiples of 1/20, where smaller ones become 0.
 const MIN_FRACTION: f64 = 1.0 / 40.0;
 
-/// The tables in force. Endpoints have the host's own numbers.
+/// The current tables. Endpoints are identified by numbers that the caller chooses.
 #[derive(Clone, Debug, Default)]
 pub struct TableStabilizer {
+    /// By index of the scope.
     current: Vec<WeightFractions>,
+    /// The endpoints of the last problem.
     known_endpoints: BTreeSet<usize>,
 }
 
 impl TableStabilizer {
-    /// Applies an answer to the tables of these scopes, and returns the changed ones by index of the scope. `numbers` are
-    /// the numbers of the problem's endpoints and `weights` the weights in force by number. With `weights_changed` every
-    /// table is computed anew, as its fractions rest on the weights.
+    /// Applies a solution to the tables of these scopes, and returns the changed tables by index of the scope.
+    /// `numbers` are the numbers of the problem's endpoints by index, and `weights` the current weights by number. If
+    /// `weights_changed`, replaces every table whose fractions differ, however little, because fractions are relative
+    /// to the weights.
+    ///
+    /// # Panics
+    /// Panics if `numbers`, the solution or the scopes do not belong to the problem.
     pub fn update(
         &mut self,
         problem: &Problem,
         numbers: &[usize],
-        answer: &Solution,
+        solution: &Solution,
         scopes: &[TableScope],
         weights: &BTreeMap<usize, u32>,
         weights_changed: bool,
@@ -48,7 +56,7 @@
         let endpoints: BTreeSet<usize> = numbers.iter().copied().collect();
         let mut changed = Vec::new();
         for (index, scope) in scopes.iter().enumerate() {
-            let planned = planned_fractions(problem, numbers, answer, scope, weights);
+            let planned = planned_fractions(problem, numbers, solution, scope, weights);
             let current = &mut self.current[index];
             let has_new_endpoint = planned.keys().any(|endpoint| !self.known_endpoints.contains(endpoint));
             let must_change = weights_changed
@@ -64,30 +72,30 @@
     }
 }
 
-/// The fractions of a table by its planned work. Endpoints in slow start get what they would have after it: the decisions
-/// reduce their weight themselves.
+/// Returns the fractions of a table, proportional to planned work divided by weight. Endpoints in slow start get the
+/// fraction that they would have after it, because the controller reduces weights during slow start itself.
 fn planned_fractions(
     problem: &Problem,
     numbers: &[usize],
-    answer: &Solution,
+    solution: &Solution,
     scope: &TableScope,
     weights: &BTreeMap<usize, u32>,
 ) -> WeightFractions {
-    let mut parts: BTreeMap<usize, f64> = BTreeMap::new();
-    for planned in scope.classes.iter().flat_map(|class| &answer.planned_work[*class][scope.zone]) {
+    let mut shares: BTreeMap<usize, f64> = BTreeMap::new();
+    for planned in scope.classes.iter().flat_map(|class| &solution.planned_work[*class][scope.zone]) {
         let number = numbers[planned.endpoint];
-        let warmth = problem.endpoints[planned.endpoint].slow_start_factor;
+        let slow_start_factor = problem.endpoints[planned.endpoint].slow_start_factor;
         let weight = weights.get(&number).copied().unwrap_or(0);
-        if warmth > 0.0 && weight > 0 {
-            *parts.entry(number).or_default() += planned.work / warmth / f64::from(weight);
+        if slow_start_factor > 0.0 && weight > 0 {
+            *shares.entry(number).or_default() += planned.work / slow_start_factor / f64::from(weight);
         }
     }
-    let max = parts.values().copied().fold(0.0, f64::max);
-    let fractions = parts.into_iter().map(|(number, part)| (number, part / max));
+    let max = shares.values().copied().fold(0.0, f64::max);
+    let fractions = shares.into_iter().map(|(number, share)| (number, share / max));
     fractions.filter(|(_, fraction)| *fraction >= MIN_FRACTION).collect()
 }
 
-/// The fraction of a table's requests that would go to other endpoints.
+/// Returns the fraction of a table's requests that would move to other endpoints.
 fn moved_fraction(
     current: &WeightFractions,
     planned: &WeightFractions,
@@ -104,7 +112,7 @@
     differences.sum::<f64>() / 2.0
 }
 
-/// The fraction of a table's requests that each endpoint gets.
+/// Returns the fraction of a table's requests that each endpoint gets, by number.
 fn request_fractions(fractions: &WeightFractions, weights: &BTreeMap<usize, u32>) -> WeightFractions {
     let weight = |endpoint: &usize| f64::from(weights.get(endpoint).copied().unwrap_or(0));
     let total: f64 = fractions.iter().map(|(endpoint, fraction)| weight(endpoint) * fraction).sum();
