--- a/crates/solver-format/src/json.rs
+++ b/crates/solver-format/src/json.rs
@@ -1,33 +1,38 @@
-//! An answer as JSON.
+//! Writes a solution as JSON.
 
 use lockcroft_solver::{ShedReason, Solution};
 use serde_json::{Value, json};
 
 use crate::read::NamedProblem;
 
-/// An answer for programs, with a table for each class and zone of the proxies.
+/// Returns a solution as JSON for programs, with a table for each class and zone of the proxies.
+///
+/// # Panics
+/// Panics if the solution does not belong to the problem.
 #[must_use]
-pub fn solution_json(named: &NamedProblem, answer: &Solution) -> Value {
-    let objective = answer.objective;
-    let rates = named.classes.iter().zip(&answer.admission_rates);
+pub fn solution_json(named: &NamedProblem, solution: &Solution) -> Value {
+    let objective = solution.objective;
+    let rates = named.classes.iter().zip(&solution.admission_rates);
     let tables = (0..named.classes.len())
-        .flat_map(|class| (0..named.zones.len()).map(move |zone| table_json(named, answer, class, zone)));
+        .flat_map(|class| (0..named.zones.len()).map(move |zone| table_json(named, solution, class, zone)));
     json!({
         "objective": {"total": objective.total(), "earned": objective.value, "crossing": objective.crossing_cost,
             "lateness": objective.latency_cost},
         "classes": rates.map(|(name, rate)| json!({"name": name, "let_in": rate})).collect::<Vec<_>>(),
-        "dropped": answer.shed.iter().map(|shed| shed_json(named, shed)).collect::<Vec<_>>(),
-        "servers": (0..named.endpoints.len()).map(|endpoint| endpoint_json(named, answer, endpoint)).collect::<Vec<_>>(),
+        "dropped": solution.shed.iter().map(|shed| shed_json(named, shed)).collect::<Vec<_>>(),
+        "servers": (0..named.endpoints.len())
+            .map(|endpoint| endpoint_json(named, solution, endpoint))
+            .collect::<Vec<_>>(),
         "tables": tables.collect::<Vec<_>>(),
     })
 }
 
-fn endpoint_json(named: &NamedProblem, answer: &Solution, endpoint: usize) -> Value {
+fn endpoint_json(named: &NamedProblem, solution: &Solution, endpoint: usize) -> Value {
     json!({
         "name": named.endpoints[endpoint],
         "cores": named.problem.endpoints[endpoint].available_capacity(),
-        "weight": answer.weights[endpoint],
-        "load": answer.loads[endpoint],
+        "weight": solution.weights[endpoint],
+        "load": solution.loads[endpoint],
     })
 }
 
@@ -43,9 +48,9 @@
     })
 }
 
-fn table_json(named: &NamedProblem, answer: &Solution, class: usize, zone: usize) -> Value {
+fn table_json(named: &NamedProblem, solution: &Solution, class: usize, zone: usize) -> Value {
     let entry =
         |(endpoint, weight): (usize, u32)| json!({"server": named.endpoints[endpoint], "weight": weight});
-    let entries: Vec<Value> = answer.table_weights(class, zone).into_iter().map(entry).collect();
+    let entries: Vec<Value> = solution.table_weights(class, zone).into_iter().map(entry).collect();
     json!({"class": named.classes[class], "zone": named.zones[zone], "lines": entries})
 }
--- a/crates/solver-format/src/lib.rs
+++ b/crates/solver-format/src/lib.rs
@@ -1,8 +1,8 @@
-//! Solver problems as files, and answers for people and programs.
+//! File formats of solver problems, and output formats of solutions.
 //!
-//! A problem is an XML file with a schema; an answer becomes text, JSON or a picture. A running controller can write its
-//! last problem as such a file, which can then be solved again elsewhere. Names of elements, attributes and JSON keys are
-//! part of the interface; `read`, `write`, `text` and `json` map them.
+//! A problem is an XML file with a schema. A solution is written as text, JSON or an SVG chart. A running controller
+//! can write its last problem as an XML file, to be solved again elsewhere. Names of elements, attributes and JSON keys
+//! are part of the interface; the modules `read`, `write` and `json` map them to the names of the solver.
 
 #![warn(missing_docs)]
 
--- a/crates/solver-format/src/picture.rs
+++ b/crates/solver-format/src/picture.rs
@@ -1,4 +1,4 @@
-//! Load against capacity before and after solving: a bar for each endpoint, those of a zone side by side.
+//! Draws the load and the capacity of each endpoint before and after solving, as a bar chart ordered by zone.
 
 use lockcroft_solver::{LoadDistribution, Solution};
 use plotters::coord::Shift;
@@ -8,24 +8,30 @@
 
 /// Height of each of the two charts, in pixels.
 const CHART_HEIGHT: u32 = 420;
-/// Width of a bar, in pixels, as long as the picture stays within its limits.
+/// Width of each bar, in pixels, unless the image would be narrower than [`MIN_WIDTH`] or wider than [`MAX_WIDTH`].
 const BAR_WIDTH: u32 = 14;
+/// Least width of the image, in pixels.
 const MIN_WIDTH: u32 = 640;
+/// Greatest width of the image, in pixels.
 const MAX_WIDTH: u32 = 4000;
 
-/// The drawing library failed.
+/// An error of the drawing library.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct DrawingError(#[from] DrawingAreaErrorKind<std::io::Error>);
 
+/// A part of the image.
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A picture in SVG. The chart above has the loads by equal weights with everything admitted, the one below those of the
-/// answer. Outlines are capacities and filled bars are loads, red where the load exceeds the capacity.
+/// Returns two bar charts as SVG: above, the loads with equal weights and full admission; below, those of the solution.
+/// Outlines show available capacities. Filled bars show loads, in red where the load exceeds the capacity.
 ///
 /// # Errors
-/// The drawing library failed.
-pub fn solution_svg(named: &NamedProblem, answer: &Solution) -> Result<String, DrawingError> {
+/// Returns an error if the drawing library fails.
+///
+/// # Panics
+/// Panics if the solution does not belong to the problem.
+pub fn solution_svg(named: &NamedProblem, solution: &Solution) -> Result<String, DrawingError> {
     let mut order: Vec<usize> = (0..named.endpoints.len()).collect();
     order.sort_by_key(|endpoint| (named.problem.endpoints[*endpoint].zone, *endpoint));
     let equal_weights = vec![1; named.endpoints.len()];
@@ -36,13 +42,14 @@
         let area = SVGBackend::with_string(&mut svg, (width, 2 * CHART_HEIGHT)).into_drawing_area();
         area.fill(&WHITE)?;
         let (above, below) = area.split_vertically(CHART_HEIGHT);
-        draw_chart(&above, "equal weights, all let in", named, &order, &equal_loads)?;
-        draw_chart(&below, "as solved", named, &order, &answer.loads)?;
+        draw_chart(&above, "equal weights, all requests admitted", named, &order, &equal_loads)?;
+        draw_chart(&below, "as solved", named, &order, &solution.loads)?;
         area.present()?;
     }
     Ok(svg)
 }
 
+/// Draws a bar for each endpoint, in the given order of indices.
 fn draw_chart(
     area: &Area,
     title: &str,
@@ -51,8 +58,8 @@
     loads: &[f64],
 ) -> Result<(), DrawingError> {
     let capacity = |endpoint: usize| named.problem.endpoints[endpoint].available_capacity();
-    let tops = order.iter().map(|endpoint| capacity(*endpoint).max(loads[*endpoint]));
-    let max_cores = tops.fold(0.0, f64::max).max(1e-9);
+    let bar_heights = order.iter().map(|endpoint| capacity(*endpoint).max(loads[*endpoint]));
+    let max_cores = bar_heights.fold(0.0, f64::max).max(1e-9);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(8)
--- a/crates/solver-format/src/read.rs
+++ b/crates/solver-format/src/read.rs
@@ -7,38 +7,39 @@
 use lockcroft_solver::{Class, Endpoint, Problem};
 use roxmltree::Node;
 
-/// The schema of problem files, as published with the program.
+/// The XML schema of problem files.
 pub const SCHEMA: &str = include_str!("../problem.xsd");
 
-/// How many of the known names an error lists.
+/// The greatest number of known names that an error lists.
 const MAX_NAMES_IN_ERROR: usize = 8;
 
-/// A problem with the names behind its indices.
+/// A problem with the names of its zones, endpoints and classes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedProblem {
     /// The problem.
     pub problem: Problem,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Names of the endpoints.
+    /// Names of the endpoints, by index.
     pub endpoints: Vec<String>,
-    /// Names of the classes.
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
 }
 
 impl NamedProblem {
-    /// Reads and checks a file.
+    /// Reads a file and validates it against the schema. Blocks while it reads the file.
     ///
     /// # Errors
-    /// All errors in the file.
+    /// Returns an error if the file can't be read, or all errors in the file otherwise.
     pub fn open(file: &Path) -> Result<Self, ConfigErrors> {
         NamedProblem::read(&Document::open(file, SCHEMA)?)
     }
 
-    /// Reads a problem that was checked against the schema.
+    /// Reads a problem from a document that was validated against the schema. Does not check what
+    /// [`Problem::validate`] checks.
     ///
     /// # Errors
-    /// All errors that no schema can express: names that are unknown or listed twice.
+    /// Returns all errors that the schema cannot express: names that are unknown or listed twice.
     pub fn read(document: &Document) -> Result<Self, ConfigErrors> {
         let tree = document.tree();
         let root = tree.root_element();
@@ -52,6 +53,7 @@
     }
 }
 
+/// The part of a problem that was read so far, and the errors found in it.
 struct ProblemReader<'a> {
     document: &'a Document,
     named: NamedProblem,
@@ -60,9 +62,9 @@
 
 impl ProblemReader<'_> {
     fn read_zones(&mut self, nodes: Vec<Node>) {
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for node in nodes {
-            let name = self.read_new_name(node, &mut known);
+            let name = self.read_unique_name(node, &mut seen);
             self.named.zones.push(name);
         }
         self.named.problem.zone_count = self.named.zones.len();
@@ -70,9 +72,9 @@
 
     fn read_endpoints(&mut self, nodes: Vec<Node>) {
         let zones = self.named.zones.clone();
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for node in nodes {
-            let name = self.read_new_name(node, &mut known);
+            let name = self.read_unique_name(node, &mut seen);
             let zone = self.index_of(node, attribute_text(node, "zone"), "zone", &zones);
             self.named.endpoints.push(name);
             self.named.problem.endpoints.push(Endpoint {
@@ -87,9 +89,9 @@
     fn read_classes(&mut self, nodes: Vec<Node>) {
         let zones = self.named.zones.clone();
         let endpoints = self.named.endpoints.clone();
-        let mut known = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for node in nodes {
-            let name = self.read_new_name(node, &mut known);
+            let name = self.read_unique_name(node, &mut seen);
             self.named.classes.push(name);
             let only_zones = self.read_indices(node, "only-zones", "zone", &zones);
             let only_endpoints = self.read_indices(node, "only-servers", "server", &endpoints);
@@ -105,34 +107,34 @@
         }
     }
 
-    /// The demand of a class by zone; a zone may be listed several times.
+    /// Returns the demand of a class by zone. Demand of a zone that is listed several times is summed.
     fn read_demand(&mut self, class: Node, zones: &[String]) -> Vec<f64> {
         let mut demand = vec![0.0; zones.len()];
         for node in child_elements(Some(class)) {
             let zone = self.index_of(node, attribute_text(node, "zone"), "zone", zones);
-            if let Some(sum) = demand.get_mut(zone) {
-                *sum += attribute_number(node, "visits-per-s").unwrap_or(0.0);
+            if let Some(zone_demand) = demand.get_mut(zone) {
+                *zone_demand += attribute_number(node, "visits-per-s").unwrap_or(0.0);
             }
         }
         demand
     }
 
-    /// The name of an element, which must not be in its list already.
-    fn read_new_name(&mut self, node: Node, known: &mut BTreeSet<String>) -> String {
+    /// Returns the name of an element. Records an error if an earlier element of its list has the same name.
+    fn read_unique_name(&mut self, node: Node, seen: &mut BTreeSet<String>) -> String {
         let name = attribute_text(node, "name").to_string();
-        if !known.insert(name.clone()) {
-            self.report(node, format!("{name} is listed twice"), "each name once");
+        if !seen.insert(name.clone()) {
+            self.record_error(node, format!("{name} is listed twice"), "each name once");
         }
         name
     }
 
-    /// The indices of the names in an attribute.
+    /// Returns the indices of the names in an attribute; none if the attribute is missing.
     fn read_indices(&mut self, node: Node, attribute: &str, kind: &str, known: &[String]) -> Vec<usize> {
         let names = attribute_text(node, attribute).split_whitespace();
         names.map(|name| self.index_of(node, name, kind, known)).collect()
     }
 
-    /// The index of a name; 0, with an error reported, if it is unknown.
+    /// Returns the index of a name. Records an error and returns 0 if the name is unknown.
     fn index_of(&mut self, node: Node, name: &str, kind: &str, known: &[String]) -> usize {
         if let Some(index) = known.iter().position(|other| other == name) {
             return index;
@@ -141,19 +143,22 @@
         if known.len() > MAX_NAMES_IN_ERROR {
             expected += ", …";
         }
-        self.report(node, format!("{kind} {name:?} is not listed"), &expected);
+        self.record_error(node, format!("{kind} {name:?} is not listed"), &expected);
         0
     }
 
-    fn report(&mut self, node: Node, message: String, expected: &str) {
+    /// Records an error at an element.
+    fn record_error(&mut self, node: Node, message: String, expected: &str) {
         self.errors.push(self.document.error(node, message, Some(expected)));
     }
 }
 
+/// Returns the number in an attribute; `None` if the attribute is missing or no number.
 fn attribute_number(node: Node, name: &str) -> Option<f64> {
     node.attribute(name)?.trim().parse().ok()
 }
 
+/// Returns the duration in an attribute, in seconds; 0 if it is missing or invalid.
 fn attribute_seconds(node: Node, name: &str) -> f64 {
     parse_duration(attribute_text(node, name)).unwrap_or_default().as_secs_f64()
 }
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes a problem as the file that it could be read from.
+//! Writes a problem as an XML file.
 
 use std::fmt::{self, Write};
 
@@ -6,14 +6,15 @@
 
 use crate::read::NamedProblem;
 
-/// The text of the file. Numbers are written so that they are read back exactly.
+/// Returns a problem as XML that [`NamedProblem::read`] accepts. Numbers are written with full precision, but times are
+/// rounded to microseconds when they are read.
 ///
 /// # Panics
-/// Never: writing to a string can't fail.
+/// Panics if an index of the problem has no name.
 #[must_use]
 pub fn problem_xml(named: &NamedProblem) -> String {
     let mut out = String::new();
-    write_problem(&mut out, named).expect("writing to a string can't fail");
+    write_problem(&mut out, named).expect("writing to a string does not fail");
     out
 }
 
@@ -65,8 +66,8 @@
     out.write_str("    </class>\n")
 }
 
-/// Writes an attribute with the names behind some indices.
+/// Writes an attribute with the names of the given indices, separated by spaces.
 fn write_names(out: &mut String, attribute: &str, indices: &[usize], names: &[String]) -> fmt::Result {
-    let listed: Vec<&str> = indices.iter().map(|index| names[*index].as_str()).collect();
-    write!(out, " {attribute}=\"{}\"", listed.join(" "))
+    let selected: Vec<&str> = indices.iter().map(|index| names[*index].as_str()).collect();
+    write!(out, " {attribute}=\"{}\"", selected.join(" "))
 }
