--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,81 +1,81 @@
-//! Why the adapter ends: the simulator's input can't be used, or the reply can't be written.
+//! Errors that end the adapter: invalid input from the simulator, or failures to read or write.
 
 use std::io;
 
 use lockcroft_host::{SettingsError, UnknownName};
 use thiserror::Error;
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input can't be read.
-    #[error("line {line}: {source}")]
+    #[error("line {line}: failed to read the input: {source}")]
     Read { line: usize, source: io::Error },
     /// The input ends inside a line.
     #[error("line {0}: input cut off inside the line")]
-    CutInsideLine(usize),
+    TruncatedLine(usize),
     /// The input ends inside a batch.
     #[error("line {0}: input cut off inside a batch")]
-    CutInsideBatch(usize),
-    /// A line can't be used.
+    TruncatedBatch(usize),
+    /// A line is invalid.
     #[error("line {line}: {tag:?}: {source}")]
     Event { line: usize, tag: String, source: EventError },
     /// The reply can't be written.
-    #[error("writing: {0}")]
+    #[error("failed to write the reply: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Why one line can't be used.
+/// The reason why a line is invalid.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The first line of a batch is another.
-    #[error("a batch begins with CLOCK")]
-    NoClock,
-    /// The wire has no such message.
+    /// The first line of a batch is not CLOCK.
+    #[error("expected CLOCK as the first line of a batch")]
+    MissingClock,
+    /// The protocol has no message with this tag.
     #[error("unknown message")]
-    UnknownKind,
-    /// The instance does not run.
-    #[error("pilot {0} was not born")]
+    UnknownTag,
+    /// The line is for an instance that is not running.
+    #[error("instance {0} is not running")]
     UnknownInstance(u32),
-    /// Another line came where an entry of a list was due.
-    #[error("{0} more entries of the list were due")]
-    EntriesMissing(usize),
-    /// A field can't be used.
+    /// A line that is not a list entry was received before the endpoint list was complete.
+    #[error("expected {0} more entries of the endpoint list")]
+    MissingEntries(usize),
+    /// A field is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The settings do not state this name.
+    /// The settings do not define a name in the line.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// Why a field of a line can't be used.
+/// The reason why a field of a line is invalid.
 #[derive(Debug, Error)]
 pub enum FieldError {
     /// The line ends before the field.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// Nothing stands between two spaces.
+    /// The field has no characters.
     #[error("{0} is empty")]
     Empty(&'static str),
-    /// The field is no number, or one out of the range of its type.
-    #[error("{field} is not a number of its kind: {found:?}")]
-    NotANumber { field: &'static str, found: String },
-    /// The number is below 0 or not finite.
+    /// The field is not a number, or out of the range of its type.
+    #[error("{field} is not a valid number: {found:?}")]
+    InvalidNumber { field: &'static str, found: String },
+    /// The number is negative or not finite.
     #[error("{field} is out of range: {found}")]
     OutOfRange { field: &'static str, found: f64 },
-    /// The flag is neither 1 nor 0.
+    /// The field is not a flag, 1 or 0.
     #[error("{field} is neither 1 nor 0: {found:?}")]
-    NotAFlag { field: &'static str, found: String },
-    /// A load report has a load that is no number.
+    InvalidFlag { field: &'static str, found: String },
+    /// The load in a load report is not a number.
     #[error("{field} is malformed: {found:?}")]
     MalformedLoad { field: &'static str, found: String },
-    /// The field has none of the words that it may have.
+    /// The field has none of its defined values.
     #[error("unknown {field} {found:?}")]
-    UnknownWord { field: &'static str, found: String },
-    /// The line goes on after its last field.
-    #[error("too many parts, from {0:?}")]
-    TooManyParts(String),
+    UnknownValue { field: &'static str, found: String },
+    /// The line continues after its last field.
+    #[error("unexpected text after the last field: {0:?}")]
+    TrailingText(String),
 }
--- a/crates/sim-adapter/src/event_reader.rs
+++ b/crates/sim-adapter/src/event_reader.rs
@@ -1,17 +1,19 @@
-//! The fields of one line of the wire, read one after the other.
+//! Parses the fields of a line of the simulator's protocol, which are separated by single spaces.
 
 use std::str::FromStr;
 use std::time::Duration;
 
 use crate::error::FieldError;
 
-/// Reads the fields of a line. Each method takes the next field; its argument names that field in errors.
+/// Reads the fields of a line in order. Each method reads the next field, and returns an error if it is missing or
+/// invalid. Its argument is the name of the field in errors.
 pub struct EventReader<'a> {
     tag: &'a str,
+    /// The unread part of the line; `None` after the last field.
     rest: Option<&'a str>,
 }
 
-/// Splits the first word off.
+/// Returns the first word of a text and the rest after the space; `None` if there is no space.
 fn split_word(text: &str) -> (&str, Option<&str>) {
     match text.split_once(' ') {
         Some((word, rest)) => (word, Some(rest)),
@@ -20,36 +22,36 @@
 }
 
 impl<'a> EventReader<'a> {
-    /// The fields of this line, given without its end.
+    /// Returns a reader of a line, which is given without its line feed.
     pub fn new(line: &'a str) -> Self {
         let (tag, rest) = split_word(line);
         EventReader { tag, rest }
     }
 
-    /// The first word of the line, which names its kind.
+    /// Returns the first word of the line, which identifies the kind of message.
     pub fn tag(&self) -> &'a str {
         self.tag
     }
 
-    /// A field without spaces.
+    /// Reads a field as text.
     pub fn word(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         let (word, rest) = split_word(self.rest.ok_or(FieldError::Missing(field))?);
         self.rest = rest;
         if word.is_empty() { Err(FieldError::Empty(field)) } else { Ok(word) }
     }
 
-    /// A field that runs to the end of the line.
+    /// Reads the rest of the line, with its spaces, as one field.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         self.rest.take().ok_or(FieldError::Missing(field))
     }
 
-    /// A number of this type.
+    /// Reads a number.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, FieldError> {
         let word = self.word(field)?;
-        word.parse().map_err(|_| FieldError::NotANumber { field, found: word.into() })
+        word.parse().map_err(|_| FieldError::InvalidNumber { field, found: word.into() })
     }
 
-    /// A finite number of 0 or more, with a fraction.
+    /// Reads a finite number of 0 or more, which may have decimals.
     pub fn amount(&mut self, field: &'static str) -> Result<f64, FieldError> {
         let amount: f64 = self.number(field)?;
         if amount.is_finite() && amount >= 0.0 {
@@ -59,21 +61,21 @@
         }
     }
 
-    /// A flag, 1 or 0 on the wire.
+    /// Reads a flag, which is 1 or 0 in the protocol.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, FieldError> {
         match self.word(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(FieldError::NotAFlag { field, found: other.into() }),
+            other => Err(FieldError::InvalidFlag { field, found: other.into() }),
         }
     }
 
-    /// A time, in microseconds on the wire.
+    /// Reads a time, which is in microseconds in the protocol.
     pub fn time(&mut self, field: &'static str) -> Result<Duration, FieldError> {
         Ok(Duration::from_micros(self.number(field)?))
     }
 
-    /// A time that may be absent.
+    /// Reads a time, or `-` as `None`.
     pub fn optional_time(&mut self, field: &'static str) -> Result<Option<Duration>, FieldError> {
         if self.rest.is_some_and(|rest| split_word(rest).0 == "-") {
             self.word(field)?;
@@ -82,7 +84,7 @@
         self.time(field).map(Some)
     }
 
-    /// The fraction of cores in use out of a load report, if it has one.
+    /// Reads a load report, and returns the fraction of cores in use if the report has it.
     pub fn load(&mut self, field: &'static str) -> Result<Option<f64>, FieldError> {
         let Some(load) = self.word(field)?.split(',').find_map(|pair| pair.strip_prefix("busy:")) else {
             return Ok(None);
@@ -91,10 +93,10 @@
         parsed.map(Some)
     }
 
-    /// Checks that no field is left.
+    /// Checks that the line has no further fields.
     pub fn end(&self) -> Result<(), FieldError> {
         match self.rest {
-            Some(rest) => Err(FieldError::TooManyParts(rest.into())),
+            Some(rest) => Err(FieldError::TrailingText(rest.into())),
             None => Ok(()),
         }
     }
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One instance of the controller: a function for each kind of event that it takes, and the actions that it answers
-//! with. Times on the wire are those of the simulator's clock; the controller counts from the instance's start.
+//! One instance of the controller, with a function for each kind of event and one that writes its actions. Times in the
+//! protocol are of the simulator's clock; the times of the controller are relative to the start of the instance.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -11,32 +11,34 @@
 use crate::event_reader::EventReader;
 use crate::wire;
 
-/// Said once by an instance whose settings ask for key ranges.
-const KEY_RANGES_UNSUPPORTED: &str = "the keys are in slices, for which lockcroft lays no tables yet: idle";
+/// The event that an instance raises once if its settings require key ranges.
+const KEY_RANGES_UNSUPPORTED: &str = "key ranges are not supported, the instance stays idle";
 
-/// One controller and what belongs to the wire alone: names, the clock at its start, its timer.
+/// A controller with its state in the protocol: names, the clock at its start, and the timer.
 pub struct Instance {
     controller: Controller,
     /// The simulator's clock at the start of the instance.
     started_at: Duration,
-    /// When the earliest timer that is set comes due, by the simulator's clock.
+    /// The time when the earliest timer that is set expires, by the simulator's clock.
     timer: Option<Duration>,
+    /// Names of endpoints by the numbers that the controller uses.
     endpoints: NameInterner,
+    /// Names of zones, machine types and classes.
     names: NameIndex,
-    /// Why the instance does nothing any more.
+    /// The reason why the instance writes no actions; `None` while it works.
     idle: Option<Idle>,
 }
 
-/// Why an instance is idle; it says so once.
+/// The reason why an instance is idle, and the message about it.
 struct Idle {
     reason: IdleReason,
-    /// What is still to be said.
-    unreported: Option<String>,
+    /// The message, until it is written.
+    unreported_message: Option<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum IdleReason {
-    /// Its settings ask for what the controller does not support.
+    /// The settings require a feature that the controller does not support.
     Unsupported,
     /// The controller has panicked.
     Failed,
@@ -44,15 +46,15 @@
 
 impl Idle {
     fn new(reason: IdleReason, message: String) -> Self {
-        Idle { reason, unreported: Some(message).filter(|message| !message.is_empty()) }
+        Idle { reason, unreported_message: Some(message).filter(|message| !message.is_empty()) }
     }
 }
 
 impl Instance {
-    /// Starts an instance from the rest of its first event.
+    /// Starts an instance with the seed and the settings in the remaining fields of its first event.
     ///
     /// # Errors
-    /// The seed or the settings can't be read.
+    /// Returns an error if the seed or the settings are invalid.
     pub fn start(event: &mut EventReader, clock: Duration) -> Result<Self, EventError> {
         let seed = event.number("seed")?;
         let settings = parse_settings(event.text("settings")?)?;
@@ -68,8 +70,15 @@
         })
     }
 
-    /// What proxies met at an endpoint.
-    pub fn attempt_report(&mut self, clock: Duration, event: &mut EventReader) -> Result<(), EventError> {
+    /// Handles a report of the attempts of proxies at an endpoint.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_attempt_report(
+        &mut self,
+        clock: Duration,
+        event: &mut EventReader,
+    ) -> Result<(), EventError> {
         let attempts = event.number("tries")?;
         let mean_latency = event.time("mean time")?;
         let failed = event.number("failed tries")?;
@@ -78,23 +87,31 @@
         let endpoint = self.endpoints.intern(event.word("server")?);
         event.word("load report")?;
         let now = self.now(clock);
-        self.guard(|controller| controller.record_attempts(now, endpoint, attempts, failed, mean_latency));
+        self.call_controller(|controller| {
+            controller.record_attempts(now, endpoint, attempts, failed, mean_latency)
+        });
         Ok(())
     }
 
-    /// How many requests of a class came to a proxy.
-    pub fn request_report(&mut self, event: &mut EventReader) -> Result<(), EventError> {
+    /// Handles a report of the requests of a class that a proxy received.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_request_report(&mut self, event: &mut EventReader) -> Result<(), EventError> {
         event.number::<u64>("unanswered")?;
         event.time("period")?;
         let class = self.names.class(event.word("class")?)?;
         let proxy = event.number("proxy")?;
         let requests = event.number("visits")?;
-        self.guard(|controller| controller.record_requests(proxy, class, requests));
+        self.call_controller(|controller| controller.record_requests(proxy, class, requests));
         Ok(())
     }
 
-    /// A health check ended.
-    pub fn health_check_result(
+    /// Handles the result of a health check.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_health_check_result(
         &mut self,
         clock: Duration,
         event: &mut EventReader,
@@ -105,30 +122,46 @@
         let load = event.load("load report")?;
         let outcome = wire::health_check_outcome(verdict, load)?;
         let now = self.now(clock);
-        self.guard(|controller| controller.health_check_finished(now, endpoint, outcome, duration));
+        self.call_controller(|controller| controller.health_check_finished(now, endpoint, outcome, duration));
         Ok(())
     }
 
-    /// A proxy attached.
-    pub fn proxy_attached(&mut self, clock: Duration, event: &mut EventReader) -> Result<(), EventError> {
+    /// Handles the attachment of a proxy.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_proxy_attached(
+        &mut self,
+        clock: Duration,
+        event: &mut EventReader,
+    ) -> Result<(), EventError> {
         let without_table = event.flag("fresh")?;
         let proxy = event.number("proxy")?;
         let request_rate = event.amount("rate")?;
         let zone = self.names.zone(event.word("zone")?)?;
         let now = self.now(clock);
-        self.guard(|controller| controller.attach_proxy(now, proxy, zone, request_rate, without_table));
+        self.call_controller(|controller| {
+            controller.attach_proxy(now, proxy, zone, request_rate, without_table)
+        });
         Ok(())
     }
 
-    /// A proxy detached.
-    pub fn proxy_detached(&mut self, event: &mut EventReader) -> Result<(), EventError> {
+    /// Handles the detachment of a proxy.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_proxy_detached(&mut self, event: &mut EventReader) -> Result<(), EventError> {
         let proxy = event.number("proxy")?;
-        self.guard(|controller| controller.detach_proxy(proxy));
+        self.call_controller(|controller| controller.detach_proxy(proxy));
         Ok(())
     }
 
-    /// A timer came due. There may be several, as each decision that is due earlier sets one more.
-    pub fn timer_due(&mut self, clock: Duration, event: &mut EventReader) -> Result<(), EventError> {
+    /// Handles the expiry of a timer. Several timers may be set, because a decision that is due before the set timer
+    /// sets another one.
+    ///
+    /// # Errors
+    /// Returns an error if a field is invalid.
+    pub fn handle_timer(&mut self, clock: Duration, event: &mut EventReader) -> Result<(), EventError> {
         event.number::<u64>("tag")?;
         self.timer = self.timer.filter(|timer| *timer > clock);
         Ok(())
@@ -137,8 +170,8 @@
     /// Reads one entry of an endpoint list.
     ///
     /// # Errors
-    /// The entry can't be used.
-    pub fn list_entry(
+    /// Returns an error if a field is invalid.
+    pub fn read_list_entry(
         &mut self,
         clock: Duration,
         event: &mut EventReader,
@@ -155,7 +188,8 @@
         Ok(EndpointRecord { endpoint, zone, machine_type, status, weight, age })
     }
 
-    /// Hands a list on whose entries were read.
+    /// Passes an endpoint list to the controller. If `is_complete`, the list has all endpoints, otherwise only changed
+    /// ones.
     pub fn update_endpoints(
         &mut self,
         clock: Duration,
@@ -164,21 +198,24 @@
         records: &[EndpointRecord],
     ) {
         let now = self.now(clock);
-        self.guard(|controller| controller.update_endpoints(now, is_complete, version, records));
+        self.call_controller(|controller| controller.update_endpoints(now, is_complete, version, records));
     }
 
-    /// Writes all actions that the controller has by now, and sets a timer for the next.
+    /// Writes all actions of the controller that are due, and sets a timer for the next decision unless an earlier one
+    /// is set. An idle instance writes only the reason, once.
     pub fn write_actions(&mut self, number: u32, clock: Duration, reply: &mut String) {
         let now = self.now(clock);
         while self.idle.is_none() {
-            let Some(Some(action)) = self.guard(|controller| controller.next_action(now)) else { break };
+            let Some(Some(action)) = self.call_controller(|controller| controller.next_action(now)) else {
+                break;
+            };
             wire::write_action(reply, number, &action, &self.endpoints);
         }
         if let Some(idle) = &mut self.idle {
             idle.report(number, reply);
             return;
         }
-        let Some(due) = self.guard(|controller| controller.next_due()) else { return };
+        let Some(due) = self.call_controller(|controller| controller.next_due()) else { return };
         let due = (due + self.started_at).max(clock);
         if self.timer.is_none_or(|timer| due < timer) {
             self.timer = Some(due);
@@ -186,17 +223,18 @@
         }
     }
 
-    /// The time since the start of the instance.
+    /// Returns the time since the start of the instance.
     fn now(&self, clock: Duration) -> Duration {
         clock.saturating_sub(self.started_at)
     }
 
-    /// Calls the controller; if that panics, this instance has failed and no other.
-    fn guard<T>(&mut self, call: impl FnOnce(&mut Controller) -> T) -> Option<T> {
+    /// Calls the controller. If it panics, marks this instance as failed and returns `None`, so that other instances
+    /// continue.
+    fn call_controller<T>(&mut self, call: impl FnOnce(&mut Controller) -> T) -> Option<T> {
         let result = catch_unwind(AssertUnwindSafe(|| call(&mut self.controller)));
         if let Err(panic) = &result {
             let message = panic.downcast_ref::<String>().map(String::as_str);
-            let message = message.or(panic.downcast_ref::<&str>().copied()).unwrap_or("no reason given");
+            let message = message.or(panic.downcast_ref::<&str>().copied()).unwrap_or("no panic message");
             self.idle = Some(Idle::new(IdleReason::Failed, message.replace('\n', " ")));
         }
         result.ok()
@@ -204,9 +242,9 @@
 }
 
 impl Idle {
-    /// Says why the instance is idle, the first time.
+    /// Writes the reason why the instance is idle, unless it was already written.
     fn report(&mut self, number: u32, reply: &mut String) {
-        let Some(message) = self.unreported.take() else { return };
+        let Some(message) = self.unreported_message.take() else { return };
         match self.reason {
             IdleReason::Unsupported => wire::write_event(reply, number, &message),
             IdleReason::Failed => wire::write_failure(reply, number, &message),
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Runs controllers on the simulator's wire: events on standard input become calls of [`lockcroft::Controller`], and its
-//! actions become lines on standard output. Nothing is decided here.
+//! Connects controllers to the simulator's line protocol. Translates events on standard input to calls of
+//! [`lockcroft::Controller`], and its actions to lines on standard output. Makes no decisions of its own.
 //!
-//! `batch_input` reads lines, `event_reader` the fields of one, `wire` has all names of the wire, `instance` handles
-//! one kind of event in a function each, and `adapter` runs batches over all instances.
+//! `batch_input` reads lines, and `event_reader` the fields of a line. `wire` maps the names of the protocol.
+//! `instance` has a function for each kind of event, and `adapter` runs batches over all instances.
 
 #![warn(missing_docs)]
 
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,5 +1,4 @@
-//! All names of the simulator's wire: which word of it stands for which event, status or outcome, and how an action is
-//! written.
+//! Names of the simulator's protocol: maps its words to events, statuses and outcomes, and writes actions.
 
 use std::fmt::{Arguments, Write as _};
 use std::time::Duration;
@@ -9,20 +8,20 @@
 
 use crate::error::FieldError;
 
-/// The first line of a batch.
+/// The tag of the first line of a batch.
 pub const CLOCK: &str = "CLOCK";
-/// The last line of a batch.
+/// The tag of the last line of a batch.
 pub const END_OF_BATCH: &str = "EOF_BATCH";
-/// One entry of an endpoint list.
+/// The tag of an entry of an endpoint list.
 pub const LIST_ENTRY: &str = "ITEM";
-/// The last line of a reply.
+/// The tag of the last line of a reply.
 pub const END_OF_REPLY: &str = "YIELD";
-/// A message for people on call.
-const EVENT: &str = "NOTE_DOWN";
-/// The instance has failed.
+/// The tag of an event for operators.
+const OPERATOR_EVENT: &str = "NOTE_DOWN";
+/// The tag of the message that an instance has failed.
 const FATAL: &str = "FATAL";
 
-/// The kinds of events.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     Started,
@@ -42,7 +41,7 @@
 }
 
 impl EventKind {
-    /// The kind of the event with this tag.
+    /// Returns the kind of the event with this tag; `None` if the tag is unknown.
     pub fn from_tag(tag: &str) -> Option<Self> {
         Some(match tag {
             "BORN" => EventKind::Started,
@@ -64,33 +63,42 @@
     }
 }
 
-/// Whether a list of this form is the whole list; else it has changes.
+/// Returns true if a list of this form has all endpoints, and false if it has only changed ones.
+///
+/// # Errors
+/// Returns an error if the form is unknown.
 pub fn is_complete_list(form: &str) -> Result<bool, FieldError> {
     match form {
         "snapshot" | "disk" => Ok(true),
         "diff" | "error" => Ok(false),
-        other => Err(FieldError::UnknownWord { field: "form", found: other.into() }),
+        other => Err(FieldError::UnknownValue { field: "form", found: other.into() }),
     }
 }
 
-/// The status of an entry of the list.
+/// Returns the status of an entry of an endpoint list.
+///
+/// # Errors
+/// Returns an error if the state is unknown.
 pub fn endpoint_status(state: &str) -> Result<EndpointStatus, FieldError> {
     match state {
         "U" => Ok(EndpointStatus::Ready),
         "L" => Ok(EndpointStatus::Draining),
         "D" => Ok(EndpointStatus::Removed),
-        other => Err(FieldError::UnknownWord { field: "state", found: other.into() }),
+        other => Err(FieldError::UnknownValue { field: "state", found: other.into() }),
     }
 }
 
-/// The outcome of a health check, with the load that the endpoint reported.
+/// Returns the outcome of a health check, with the load that the endpoint reported if it passed.
+///
+/// # Errors
+/// Returns an error if the verdict is unknown.
 pub fn health_check_outcome(verdict: &str, load: Option<f64>) -> Result<HealthCheckOutcome, FieldError> {
     match verdict {
         "done" => Ok(HealthCheckOutcome::Passed(load)),
         "err" | "etimedout" => Ok(HealthCheckOutcome::Failed),
         "econnrefused" | "econnreset" => Ok(HealthCheckOutcome::Refused),
         "busy" | "ecanceled" | "skipped" => Ok(HealthCheckOutcome::Rejected),
-        other => Err(FieldError::UnknownWord { field: "verdict", found: other.into() }),
+        other => Err(FieldError::UnknownValue { field: "verdict", found: other.into() }),
     }
 }
 
@@ -105,8 +113,8 @@
             write_line(reply, format_args!("SET_LINE {instance} {weight} {table} {}", name(*endpoint)));
         }
         Action::AssignTable { table, classes, proxy } => {
-            let bits = classes.iter().fold(0, |bits, class| bits | class_bit(*class));
-            write_line(reply, format_args!("HAND_TABLE {instance} {proxy} {table} {bits}"));
+            let class_bits = classes.iter().fold(0, |bits, class| bits | class_bit(*class));
+            write_line(reply, format_args!("HAND_TABLE {instance} {proxy} {table} {class_bits}"));
         }
         Action::Eject { endpoint } => {
             write_line(reply, format_args!("BENCH {instance} 1 {}", name(*endpoint)));
@@ -120,38 +128,39 @@
             write_line(reply, format_args!("GATE_CLASS {instance} {table} {class} {fraction} {retry}"));
         }
         Action::RaiseEvent { endpoint: Some(endpoint), text } => {
-            write_line(reply, format_args!("{EVENT} {instance} {} {text}", name(*endpoint)));
+            write_line(reply, format_args!("{OPERATOR_EVENT} {instance} {} {text}", name(*endpoint)));
         }
         Action::RaiseEvent { endpoint: None, text } => write_event(reply, instance, text),
     }
 }
 
-/// Writes a message for people on call.
+/// Writes an event for operators that concerns no single endpoint.
 pub fn write_event(reply: &mut String, instance: u32, text: &str) {
-    write_line(reply, format_args!("{EVENT} {instance} {text}"));
+    write_line(reply, format_args!("{OPERATOR_EVENT} {instance} {text}"));
 }
 
-/// Says that an instance has failed.
+/// Writes the message that an instance has failed.
 pub fn write_failure(reply: &mut String, instance: u32, text: &str) {
     write_line(reply, format_args!("{FATAL} {instance} {text}"));
 }
 
-/// Sets a timer of an instance. The tag that comes back with it is not used.
+/// Writes the command that sets a timer of an instance. The simulator returns the tag 0 when the timer expires; the tag
+/// is not used.
 pub fn write_timer(reply: &mut String, instance: u32, delay: Duration) {
     write_line(reply, format_args!("SLEEP {instance} {} 0", delay.as_micros()));
 }
 
-/// Ends a reply.
+/// Writes the last line of a reply.
 pub fn write_end_of_reply(reply: &mut String) {
     write_line(reply, format_args!("{END_OF_REPLY}"));
 }
 
-/// Sets of classes are bits on the wire.
+/// Returns the bit of a class in the protocol, where a set of classes is a sum of bits.
 fn class_bit(class: ClassId) -> u64 {
     1 << class
 }
 
 fn write_line(reply: &mut String, line: Arguments) {
-    // Writing to a String cannot fail.
+    // Writing to a String does not fail.
     let _ = writeln!(reply, "{line}");
 }
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: what goes in, what comes out, and how it ends.
+//! Runs the adapter as a process and checks its replies, errors and exit status.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -8,7 +8,7 @@
 const SETTINGS: &str = r#"{"classes":[{"name":"look","target_us":1000000,"worth":3.0,"new_key":null}],"kinds":["big"],
 "policy_limits":{"probes":true},"rules":{"cold_from":0.2},"specifics":{"overhead":4.0},"zones":["north"]}"#;
 
-/// Feeds the lines to an adapter and compares replies, exit status and errors.
+/// Sends lines to an adapter, and compares its replies, errors and exit status with the expected text.
 fn assert_session(lines: &str, expected: Expect) {
     let settings = SETTINGS.replace('\n', "");
     let with_key_ranges = settings.replace("\"overhead\"", "\"partitions_n\":8,\"overhead\"");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_instance_that_is_killed_starts_anew() {
+fn a_killed_instance_restarts_without_its_state() {
     assert_session(
         "CLOCK 5000000\nEOF_BATCH\n\
          CLOCK 6000000\nBORN 3 77 {SETTINGS}\nREGISTRY 3 disk 0 1\nITEM endpoint-a north big 0 U 1 -\nEOF_BATCH\n\
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn key_ranges_are_declined_with_an_event() {
+fn an_instance_with_key_ranges_raises_an_event_and_stays_idle() {
     assert_session(
         "CLOCK 1\nBORN 0 1 {WITH_KEY_RANGES}\nREGISTRY 0 disk 0 0\nEOF_BATCH\nCLOCK 2\nHANDED 0 1 4\nRECORDED 0 1 4 endpoint-a\n\
          WEIGHT_SEEN 0 4 look 1 0 1000\nEOF_BATCH\n",
         expect![[r#"
-            NOTE_DOWN 0 the keys are in slices, for which lockcroft lays no tables yet: idle
+            NOTE_DOWN 0 key ranges are not supported, the instance stays idle
             YIELD
             YIELD
             exit 0
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_a_plain_message_and_no_reply() {
+fn malformed_input_ends_the_adapter_with_an_error_and_no_reply() {
     let start = "CLOCK 1\nBORN 0 1 {SETTINGS}\n";
     for (lines, expected) in [
         (
@@ -80,7 +80,7 @@
         (
             "CLOCK 1\nKILLED 4\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-sim-adapter: line 2: "KILLED": pilot 4 was not born
+            lockcroft-sim-adapter: line 2: "KILLED": instance 4 is not running
             exit 1
         "#]],
         ),
@@ -101,14 +101,14 @@
         (
             "ROUNDUP 0 many 48250 1 north 1000000 endpoint-a -\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-sim-adapter: line 3: "ROUNDUP": tries is not a number of its kind: "many"
+            lockcroft-sim-adapter: line 3: "ROUNDUP": tries is not a valid number: "many"
             exit 1
         "#]],
         ),
         (
             "REGISTRY 0 diff 1 2\nITEM endpoint-a north big 0 U 1 -\nEOF_BATCH\n",
             expect![[r#"
-            lockcroft-sim-adapter: line 5: "EOF_BATCH": 1 more entries of the list were due
+            lockcroft-sim-adapter: line 5: "EOF_BATCH": expected 1 more entries of the endpoint list
             exit 1
         "#]],
         ),
