--- a/crates/solver/src/latency.rs
+++ b/crates/solver/src/latency.rs
@@ -12,7 +12,7 @@
 const SEGMENTS: i64 = 16;
 
 /// The cost of uneven loads where no request is late, as a fraction of the value of work. It is too small to outweigh
-/// the cost of crossing zones, and large enough to prevent that an idle fleet fills one zone before it uses the next.
+/// the cost of crossing zones, and large enough to keep an idle fleet from filling one zone before it uses the next.
 const UNEVEN_LOAD_COST: f64 = 1.0 / 1024.0;
 
 /// A segment of a group's capacity with a constant cost per unit of work.
--- a/crates/solver/src/plan_stabilizer.rs
+++ b/crates/solver/src/plan_stabilizer.rs
@@ -1,7 +1,7 @@
 //! Keeps the current weights until a new plan gains more than its changes cost.
 //!
-//! This prevents that weights follow every fluctuation of demand, each time with a batch of updates to all proxies. Of
-//! a new plan only as many changes are applied as are worth their cost, starting with the endpoints that move most
+//! This prevents weights from following every fluctuation of demand, each time with a batch of updates to all proxies.
+//! Of a new plan only as many changes are applied as are worth their cost, starting with the endpoints that move most
 //! work.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 /// The cost of changing weights, and the limit on changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeCost {
-    /// Cost of changing the weight of one endpoint in all tables of all proxies, in units of value.
+    /// Cost of changing a table entry at all proxies that have it, in units of value.
     pub per_entry: f64,
     /// The most weights that one update may change.
     pub max_entries: usize,
