--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -10,7 +10,7 @@
     ClassAdmission, ClassId, ControllerState, EndpointId, RoutingTable, Settings, TableId, ZoneId,
 };
 use lockcroft_solver::{
-    Answer, ChangePrice, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem,
+    ChangeCost, Class as ProblemClass, Endpoint as ProblemEndpoint, PlanStabilizer, Problem, Solution,
     TableScope, TableStabilizer, WeightFractions,
 };
 
@@ -44,7 +44,7 @@
 /// A task with the solver's answer, kept for `show plan`.
 pub struct SolvedPlan {
     pub task: Arc<SolverTask>,
-    pub answer: Answer,
+    pub answer: Solution,
     /// The number of endpoints whose weight the plan changed.
     pub changed_entries: usize,
 }
@@ -186,11 +186,11 @@
                 zone: state.record.zone,
                 capacity: self.capacity.capacity(now, &type_capacities, state),
                 slow_start_factor: state.slow_start_factor(now, self.initial_weight_fraction),
-                unavailable: false,
+                is_unavailable: false,
             });
         }
         let rates = self.demand.rates();
-        task.problem.zones = rates.first().map_or(0, Vec::len);
+        task.problem.zone_count = rates.first().map_or(0, Vec::len);
         task.problem.crossing_cost = self.crossing_cost;
         let classes = self.classes.iter().zip(rates);
         task.problem.classes =
@@ -202,7 +202,7 @@
     /// answer or no task in flight.
     pub fn take_answer(
         &mut self,
-        answer: Option<Answer>,
+        answer: Option<Solution>,
         proxies: usize,
         controller_state: ControllerState,
     ) -> Plan {
@@ -217,7 +217,7 @@
         let SolverTask { problem, endpoints } = &*task;
         let weights = self.stabilizer.update(problem, endpoints, &answer, price);
         let scopes = match self.by_zone {
-            true => table_scopes(problem.zones, controller_state.tables, controller_state.admissions),
+            true => table_scopes(problem.zone_count, controller_state.tables, controller_state.admissions),
             false => Vec::new(),
         };
         let listed = self.stabilizer.weights();
@@ -228,12 +228,12 @@
 
     /// Returns the cost of changing an entry. While a changed entry is sent to all proxies, other updates wait; the
     /// cost is the value of the requests that arrive during that time.
-    fn change_price(&self, problem: &Problem, proxies: usize) -> ChangePrice {
+    fn change_price(&self, problem: &Problem, proxies: usize) -> ChangeCost {
         let proxies = proxies.max(1) as f64;
         let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.value;
         let total_value: f64 = problem.classes.iter().map(value).sum();
         let max_entries = self.max_queued_entries * MAX_QUEUE_FRACTION / proxies;
-        ChangePrice {
+        ChangeCost {
             per_entry: total_value * proxies / self.max_entries_per_second,
             max_entries: max_entries.clamp(1.0, MAX_CHANGED_ENTRIES) as usize,
             horizon_secs: self.interval.as_secs_f64(),
--- a/crates/solver-format/src/write.rs
+++ b/crates/solver-format/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes a problem as the file that it could be read from.
+//! Writes a problem as an XML file.
 
 use std::fmt::{self, Write};
 
@@ -6,14 +6,15 @@
 
 use crate::read::NamedProblem;
 
-/// The text of the file. Numbers are written so that they are read back exactly.
+/// Returns a problem as XML that [`NamedProblem::read`] accepts. Numbers are written with full precision, but times are
+/// rounded to microseconds when they are read.
 ///
 /// # Panics
-/// Never: writing to a string can't fail.
+/// Panics if an index of the problem has no name.
 #[must_use]
-pub fn write(named: &NamedProblem) -> String {
+pub fn problem_xml(named: &NamedProblem) -> String {
     let mut out = String::new();
-    write_problem(&mut out, named).expect("writing to a string can't fail");
+    write_problem(&mut out, named).expect("writing to a string does not fail");
     out
 }
 
@@ -38,7 +39,7 @@
         if endpoint.slow_start_factor < 1.0 {
             write!(out, " warmth=\"{}\"", endpoint.slow_start_factor)?;
         }
-        if endpoint.unavailable {
+        if endpoint.is_unavailable {
             out.write_str(" withdrawn=\"true\"")?;
         }
         out.write_str("/>\n")?;
@@ -52,10 +53,10 @@
         "    <class name=\"{name}\" work=\"{}s\" contract-time=\"{}s\" earnings=\"{}\"",
         class.work, class.latency_objective, class.value
     )?;
-    if !class.zones.is_empty() {
-        write_names(out, "only-zones", &class.zones, &named.zones)?;
+    if !class.allowed_zones.is_empty() {
+        write_names(out, "only-zones", &class.allowed_zones, &named.zones)?;
     }
-    if let Some(endpoints) = &class.endpoints {
+    if let Some(endpoints) = &class.allowed_endpoints {
         write_names(out, "only-servers", endpoints, &named.endpoints)?;
     }
     out.write_str(">\n")?;
@@ -65,8 +66,8 @@
     out.write_str("    </class>\n")
 }
 
-/// Writes an attribute with the names behind some indices.
+/// Writes an attribute with the names of the given indices, separated by spaces.
 fn write_names(out: &mut String, attribute: &str, indices: &[usize], names: &[String]) -> fmt::Result {
-    let listed: Vec<&str> = indices.iter().map(|index| names[*index].as_str()).collect();
-    write!(out, " {attribute}=\"{}\"", listed.join(" "))
+    let selected: Vec<&str> = indices.iter().map(|index| names[*index].as_str()).collect();
+    write!(out, " {attribute}=\"{}\"", selected.join(" "))
 }
