--- a/crates/runtime-api/src/address.rs
+++ b/crates/runtime-api/src/address.rs
@@ -1,4 +1,4 @@
-//! Stream sockets by address, of the Unix or the TCP family.
+//! Addresses of Unix and TCP stream sockets, and connecting to and listening on them.
 
 use std::fmt;
 use std::io;
@@ -10,16 +10,16 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 
-/// Where a socket listens.
+/// The address of a listening socket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Address {
-    /// A path of the file system; `unix:PATH`, or the path alone if it is absolute.
+    /// The path of a Unix socket, written as `unix:PATH`, or as the path alone if it is absolute.
     Unix(PathBuf),
-    /// IP address and port; `IP:PORT`.
+    /// An IP address and port, written as `IP:PORT`.
     Tcp(SocketAddr),
 }
 
-/// Text that is no [`Address`].
+/// The error for a text that is not an [`Address`]. It holds the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0:?} is neither unix:PATH nor IP:PORT")]
 pub struct InvalidAddress(pub String);
@@ -47,40 +47,40 @@
     }
 }
 
-/// A stream of either family.
+/// A Unix or TCP stream.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
 
-/// Connects to an address.
+/// Connects to an address. TCP streams have Nagle's algorithm disabled. There is no timeout.
 ///
 /// # Errors
-/// The connection can't be made.
+/// The operating system could not establish the connection.
 pub async fn connect(address: &Address) -> io::Result<Box<dyn Stream>> {
     Ok(match address {
         Address::Unix(path) => Box::new(UnixStream::connect(path).await?),
         Address::Tcp(address) => {
             let stream = TcpStream::connect(address).await?;
-            // Commands are small and wait for their answers: Nagle's algorithm would delay them.
+            // Nagle's algorithm would delay the small commands until earlier ones are acknowledged.
             stream.set_nodelay(true)?;
             Box::new(stream)
         }
     })
 }
 
-/// A listening socket of either family.
+/// A listening Unix or TCP socket.
 pub enum Listener {
-    /// On a path.
+    /// A Unix socket.
     Unix(UnixListener),
-    /// On an IP address.
+    /// A TCP socket.
     Tcp(TcpListener),
 }
 
 impl Listener {
-    /// Listens on an address. A socket file on which nobody listens any more is replaced.
+    /// Listens on an address. Replaces the socket file of a process that no longer listens on it.
     ///
     /// # Errors
-    /// The socket can't be bound; a path on which someone still listens is in use.
+    /// The socket could not be bound. [`io::ErrorKind::AddrInUse`] if a process listens on the path.
     pub async fn bind(address: &Address) -> io::Result<Self> {
         Ok(match address {
             Address::Unix(path) => {
@@ -96,10 +96,10 @@
         })
     }
 
-    /// Waits for the next connection.
+    /// Waits for the next connection and returns its stream.
     ///
     /// # Errors
-    /// The connection can't be accepted.
+    /// The connection could not be accepted, or an option of its socket could not be set.
     pub async fn accept(&self) -> io::Result<Box<dyn Stream>> {
         Ok(match self {
             Listener::Unix(listener) => Box::new(listener.accept().await?.0),
--- a/crates/runtime-api/src/client.rs
+++ b/crates/runtime-api/src/client.rs
@@ -1,4 +1,4 @@
-//! A client for one line of commands.
+//! A client that sends a single line of commands.
 
 use std::io;
 use std::time::Duration;
@@ -10,27 +10,29 @@
 use crate::address::{Address, connect};
 use crate::server::MAX_RESPONSE_BYTES;
 
-/// Why a line of commands got no answer.
+/// The reason why a line of commands got no complete response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection can't be made.
+    /// The connection could not be established.
     #[error("cannot be reached: {0}")]
     Unreachable(#[source] io::Error),
-    /// The connection broke.
+    /// Reading or writing failed.
     #[error("the connection broke: {0}")]
     Broken(#[source] io::Error),
-    /// The answer did not end in time.
+    /// The server did not close the connection within the time limit.
     #[error("no whole answer in time")]
     TimedOut,
-    /// The answer is longer than [`MAX_RESPONSE_BYTES`].
+    /// The response is longer than [`MAX_RESPONSE_BYTES`].
     #[error("the answer is longer than {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
 }
 
-/// Sends one line of commands and reads until the other end closes.
+/// Sends a line of commands on a new connection, and returns everything that the server sends until it closes the
+/// connection. `time_limit` covers the whole exchange. Invalid UTF-8 is replaced.
 ///
 /// # Errors
-/// The connection can't be made or breaks, or all is not over within the time limit.
+/// The connection could not be established, reading or writing failed, the time limit expired, or the response is too
+/// long.
 pub async fn request(address: &Address, line: &str, time_limit: Duration) -> Result<String, RequestError> {
     timeout(time_limit, exchange(address, line)).await.unwrap_or(Err(RequestError::TimedOut))
 }
@@ -38,11 +40,11 @@
 async fn exchange(address: &Address, line: &str) -> Result<String, RequestError> {
     let mut stream = connect(address).await.map_err(RequestError::Unreachable)?;
     stream.write_all(format!("{line}\n").as_bytes()).await.map_err(RequestError::Broken)?;
-    let mut text = Vec::new();
-    while stream.read_buf(&mut text).await.map_err(RequestError::Broken)? > 0 {
-        if text.len() > MAX_RESPONSE_BYTES {
+    let mut response = Vec::new();
+    while stream.read_buf(&mut response).await.map_err(RequestError::Broken)? > 0 {
+        if response.len() > MAX_RESPONSE_BYTES {
             return Err(RequestError::TooLong);
         }
     }
-    Ok(String::from_utf8_lossy(&text).into_owned())
+    Ok(String::from_utf8_lossy(&response).into_owned())
 }
--- a/crates/runtime-api/src/command_handler.rs
+++ b/crates/runtime-api/src/command_handler.rs
@@ -1,25 +1,25 @@
-//! What carries commands out behind a session.
+//! The interface between a session and the program that executes its commands.
 
 use crate::level::AccessLevel;
 use crate::tokenizer::Command;
 
-/// A command that a handler knows.
+/// The specification of a command that a handler supports.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandSpec {
-    /// The command as `help` shows it: plain words first, then arguments that begin with `<`, `[` or `@`.
+    /// The syntax as `help` shows it: literal words, followed by arguments that begin with `<`, `[` or `@`.
     pub words: &'static str,
-    /// The level that the command needs.
+    /// The access level that the command needs.
     pub level: AccessLevel,
-    /// One line of help.
+    /// The help text, a single line.
     pub help: &'static str,
 }
 
 impl CommandSpec {
-    /// How many plain words the command begins with, if these words begin with all of them; else 0.
+    /// Returns the number of literal words if the given words begin with all of them, otherwise 0.
     fn matching_words(&self, words: &[&str]) -> usize {
-        let plain = self.words.split(' ').take_while(|word| !word.starts_with(['<', '[', '@']));
+        let literals = self.words.split(' ').take_while(|word| !word.starts_with(['<', '[', '@']));
         let mut count = 0;
-        for expected in plain {
+        for expected in literals {
             if words.get(count) != Some(&expected) {
                 return 0;
             }
@@ -28,36 +28,38 @@
         count
     }
 
-    /// The entry that a command's words begin with; of several the longest.
-    pub(crate) fn find<'a>(entries: &'a [CommandSpec], words: &[&str]) -> Option<&'a CommandSpec> {
-        let (_, entry) = entries
+    /// Returns the specification that matches the words of a command. If several match, returns the one with the most
+    /// literal words.
+    pub(crate) fn find<'a>(specs: &'a [CommandSpec], words: &[&str]) -> Option<&'a CommandSpec> {
+        let (_, spec) = specs
             .iter()
-            .map(|entry| (entry.matching_words(words), entry))
+            .map(|spec| (spec.matching_words(words), spec))
             .filter(|(count, _)| *count > 0)
             .max_by_key(|(count, _)| *count)?;
-        Some(entry)
+        Some(spec)
     }
 }
 
-/// What a handler answers to a command.
+/// The response of a handler to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandResult {
-    /// This text.
+    /// A complete response.
     Text(String),
-    /// This text, and then whatever [`CommandHandler::read_since`] gives from this position on, until the connection
-    /// ends.
+    /// The beginning of a response that the output of [`CommandHandler::read_since`] from this position on continues until
+    /// the connection ends.
     Follow(String, u64),
 }
 
-/// Carries commands out.
+/// Executes the commands of a session that are not built in.
 pub trait CommandHandler {
-    /// The commands that it knows.
+    /// Returns the supported commands.
     fn commands(&self) -> &'static [CommandSpec];
 
-    /// Carries out a command, of which the entry was found among [`CommandHandler::commands`].
-    fn handle_command(&mut self, entry: &CommandSpec, command: &Command) -> CommandResult;
+    /// Executes a command that matches `spec`, one of [`CommandHandler::commands`], and returns its response.
+    fn handle_command(&mut self, spec: &CommandSpec, command: &Command) -> CommandResult;
 
-    /// What there is to follow from a position on; the position moves with it.
+    /// Returns the output that was added since `position`, and advances the position past it. Only called for commands
+    /// that returned [`CommandResult::Follow`].
     fn read_since(&mut self, position: &mut u64) -> String {
         let _ = position;
         String::new()
--- a/crates/runtime-api/src/command_reader.rs
+++ b/crates/runtime-api/src/command_reader.rs
@@ -1,4 +1,4 @@
-//! The server's end: bytes, as they come off a socket in pieces of any size, to lines of commands.
+//! The server side of the codec: decodes lines of commands from bytes that arrive in chunks of any size.
 
 use bytes::BytesMut;
 use thiserror::Error;
@@ -6,32 +6,32 @@
 use crate::line_buffer::LineBuffer;
 use crate::tokenizer::{Command, parse_line};
 
-/// Longest line, and longest payload; HAProxy's `tune.bufsize`.
+/// The maximum length of a line, and of a payload, in bytes; the default of HAProxy's `tune.bufsize`.
 pub const MAX_LINE_BYTES: usize = 16_384;
 
-/// A line or payload is longer than [`MAX_LINE_BYTES`]: the connection can't be followed any further.
+/// The error for a line or payload that is longer than [`MAX_LINE_BYTES`]. The rest of the connection can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("Line too long; allowed: {MAX_LINE_BYTES} bytes")]
 pub struct LineTooLong;
 
-/// Collects bytes and gives out whole lines of commands.
+/// Buffers received bytes and returns complete lines of commands.
 #[derive(Default)]
 pub struct CommandReader {
     lines: LineBuffer,
-    /// The line whose payload is being read.
+    /// The line of which the payload is incomplete.
     incomplete: Option<PayloadLine>,
 }
 
-/// A line of commands whose payload is still to come.
+/// A line of commands and the part of its payload that was received.
 struct PayloadLine {
     commands: Vec<Command>,
     payload: String,
-    /// The line that ends the payload.
+    /// The line that terminates the payload.
     terminator: String,
 }
 
 impl PayloadLine {
-    /// Adds a line of the payload.
+    /// Appends a line to the payload.
     fn push(&mut self, line: &str) -> Result<(), LineTooLong> {
         if self.payload.len() + line.len() >= MAX_LINE_BYTES {
             return Err(LineTooLong);
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// The commands, of which the last gets the payload.
+    /// Returns the commands, the last one with the payload.
     fn finish(mut self) -> Vec<Command> {
         if let Some(last) = self.commands.last_mut() {
             last.payload = Some(self.payload);
@@ -51,20 +51,21 @@
 }
 
 impl CommandReader {
-    /// Where to read into, with room for one read off a socket.
+    /// Returns the buffer to read into. It has spare capacity for one read from a socket.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.lines.buffer()
     }
 
-    /// Adds bytes that were read elsewhere.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.lines.buffer().extend_from_slice(bytes);
     }
 
-    /// The commands of the next whole line with its payload; `None` until there is one.
+    /// Removes the next complete line, with its payload, and returns its commands. Returns `None` if more bytes are
+    /// needed.
     ///
     /// # Errors
-    /// [`LineTooLong`]; the reader can't be used any further.
+    /// The line or its payload is too long. The reader must not be used afterwards.
     pub fn next_line(&mut self) -> Result<Option<Vec<Command>>, LineTooLong> {
         while let Some(line) = self.next_raw_line()? {
             match self.incomplete.take() {
@@ -86,17 +87,17 @@
     }
 
     fn next_raw_line(&mut self) -> Result<Option<String>, LineTooLong> {
-        let len = self.lines.next_line_len().unwrap_or(self.lines.pending().len());
-        if len > MAX_LINE_BYTES {
+        let line_len = self.lines.next_line_len().unwrap_or(self.lines.pending().len());
+        if line_len > MAX_LINE_BYTES {
             return Err(LineTooLong);
         }
-        let text = |line: &[u8]| String::from_utf8_lossy(line).trim_end_matches('\r').to_string();
-        Ok(self.lines.next_line(text))
+        let decode = |line: &[u8]| String::from_utf8_lossy(line).trim_end_matches('\r').to_string();
+        Ok(self.lines.next_line(decode))
     }
 }
 
-/// Removes a last word `<<` or `<<END`, which announces a payload up to an empty line, or up to the line `END`;
-/// the line that ends the payload.
+/// Removes the last word if it announces a payload, and returns the line that terminates the payload: an empty line for
+/// `<<`, the line `END` for `<<END`.
 fn take_payload_marker(commands: &mut [Command]) -> Option<String> {
     let last = commands.last_mut()?;
     let terminator = last.words.last()?.strip_prefix("<<")?.to_string();
--- a/crates/runtime-api/src/level.rs
+++ b/crates/runtime-api/src/level.rs
@@ -1,22 +1,22 @@
-//! What a connection may do.
+//! Access levels of connections.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// HAProxy's levels, each of which includes those before it.
+/// The access levels of HAProxy. Each includes the levels before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AccessLevel {
-    /// May read what is not confidential.
+    /// May read non-confidential data.
     User,
-    /// May read everything.
+    /// May read all data.
     Operator,
-    /// May change everything.
+    /// May read and change all data.
     Admin,
 }
 
-/// A level's name that is none of the three.
+/// The error for a text that is not the name of an access level. It holds the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0:?} is none of user, operator, admin")]
 pub struct UnknownLevel(pub String);
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -1,7 +1,6 @@
-//! The runtime API in the manner of HAProxy's socket (its Management Guide, "Unix Socket commands"): lines of
-//! commands go in, answers that end with an empty line come out. The codec ([`CommandReader`],
-//! [`ResponseReader`], [`tables`]) and the [`Session`] are free of I/O; [`serve`] and [`request`] put them on
-//! sockets.
+//! A runtime API modeled on HAProxy's (Management Guide, "Unix Socket commands"): a client sends lines of commands, and
+//! each response ends with an empty line. The codec ([`CommandReader`], [`ResponseReader`], [`tables`]) and [`Session`]
+//! perform no I/O; [`serve`] and [`request`] connect them to sockets.
 #![warn(missing_docs)]
 
 mod address;
--- a/crates/runtime-api/src/line_buffer.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -1,32 +1,32 @@
-//! Whole lines out of bytes that come off a socket in pieces of any size.
+//! A buffer that splits bytes received in chunks of any size into lines.
 
 use bytes::{Buf, BytesMut};
 
-/// Room for one read off a socket, in bytes.
+/// The spare capacity of a buffer for one read from a socket, in bytes.
 pub const READ_BYTES: usize = 4096;
 
-/// Collects bytes and gives out whole lines.
+/// Buffers received bytes and returns complete lines.
 #[derive(Default)]
 pub struct LineBuffer {
     buffer: BytesMut,
-    /// How much of the buffer was searched for an end of line, so that no byte is searched twice.
+    /// The number of bytes that were searched for a line feed already, so that none is searched twice.
     searched: usize,
 }
 
 impl LineBuffer {
-    /// Where to read into, with room for one read off a socket.
+    /// Returns the buffer to read into. It has spare capacity for one read from a socket.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.buffer.reserve(READ_BYTES);
         &mut self.buffer
     }
 
-    /// Bytes that were not given out yet.
+    /// Returns the bytes that are not part of a returned line.
     #[must_use]
     pub fn pending(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// The length of the next whole line in bytes, without its end; `None` until there is one.
+    /// Returns the length of the next complete line in bytes, without the line feed; `None` if more bytes are needed.
     pub fn next_line_len(&mut self) -> Option<usize> {
         let end = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
         let end = end.map(|end| end + self.searched);
@@ -34,7 +34,8 @@
         end
     }
 
-    /// Takes the next whole line, without its end; `None` until there is one.
+    /// Removes the next complete line and returns the result of `convert`, which is called with the line without its line
+    /// feed. Returns `None` if more bytes are needed.
     pub fn next_line<T>(&mut self, convert: impl FnOnce(&[u8]) -> T) -> Option<T> {
         let end = self.next_line_len()?;
         let line = convert(&self.buffer[..end]);
--- a/crates/runtime-api/src/response_reader.rs
+++ b/crates/runtime-api/src/response_reader.rs
@@ -1,4 +1,4 @@
-//! The client's end: bytes to answers. Each ends with an empty line; a prompt may stand before it.
+//! The client side of the codec: decodes responses. Each ends with an empty line; a prompt may precede it.
 
 use bytes::{Buf, BytesMut};
 
@@ -6,33 +6,34 @@
 
 const PROMPT: &[u8] = b"> ";
 
-/// Collects bytes and gives out whole answers.
+/// Buffers received bytes and returns complete responses.
 #[derive(Default)]
 pub struct ResponseReader {
     buffer: BytesMut,
-    /// How much of the buffer was searched for an empty line, so that no byte is searched twice.
+    /// The number of bytes that were searched for an empty line already, so that none is searched twice.
     searched: usize,
 }
 
 impl ResponseReader {
-    /// Where to read into, with room for one read off a socket.
+    /// Returns the buffer to read into. It has spare capacity for one read from a socket.
     pub fn buffer(&mut self) -> &mut BytesMut {
         self.buffer.reserve(READ_BYTES);
         &mut self.buffer
     }
 
-    /// Adds bytes that were read elsewhere.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that wait for the rest of their answer.
+    /// Returns the number of bytes that are not part of a returned response.
     #[must_use]
     pub fn pending_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next whole answer without its empty line; `None` until there is one.
+    /// Removes the next complete response and returns it without a prompt and the empty line. Returns `None` if more bytes
+    /// are needed.
     pub fn next_response(&mut self) -> Option<String> {
         if self.buffer.starts_with(PROMPT) {
             self.buffer.advance(PROMPT.len());
@@ -43,13 +44,13 @@
             self.searched = 0;
             return Some(String::new());
         }
-        // An end of line that was searched already may be the first of the two.
-        let from = self.searched.saturating_sub(1);
-        let Some(offset) = self.buffer[from..].windows(2).position(|two| two == b"\n\n") else {
+        // The last byte that was searched may be the first of the two line feeds.
+        let start = self.searched.saturating_sub(1);
+        let Some(offset) = self.buffer[start..].windows(2).position(|pair| pair == b"\n\n") else {
             self.searched = self.buffer.len();
             return None;
         };
-        let end = from + offset;
+        let end = start + offset;
         let text = String::from_utf8_lossy(&self.buffer[..end + 1]).into_owned();
         self.buffer.advance(end + 2);
         self.searched = 0;
--- a/crates/runtime-api/src/server.rs
+++ b/crates/runtime-api/src/server.rs
@@ -1,4 +1,4 @@
-//! Sessions on sockets.
+//! The server: runs a session on each accepted connection.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,48 +15,51 @@
 use crate::level::AccessLevel;
 use crate::session::{Session, SessionState};
 
-/// Connections at a time; more are closed at once.
+/// The maximum number of concurrent connections of a listener. Further ones are closed immediately.
 pub const MAX_SESSIONS: usize = 256;
 
-/// Longest answer in bytes; a longer one is cut off with its connection.
+/// The maximum length of a response in bytes. The connection is closed instead of sending a longer one.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// A client that doesn't read its answer for this long loses its connection.
+/// The time limit for writing a response to a client that does not read it. The connection is closed afterwards.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A connection without a command for this long is closed.
+/// The time after which a connection that sends nothing is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// How often a connection that follows is sent what there is.
+/// The interval at which new output is sent to a connection that follows a command.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the other end may take to close once its line was rejected, and the most bytes that are dropped then.
+/// After an error, received bytes are discarded until the client closes the connection, up to these limits.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-const MAX_DROPPED_BYTES: usize = 1 << 20;
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// Pause after a failed accept, as when no file descriptor is free.
+/// The delay after a failed accept, for example when the process has no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What all sessions of a listener share.
-struct Shared {
+/// The data that all sessions of a listener share.
+struct ListenerContext {
     level: AccessLevel,
     handler: Rc<RefCell<dyn CommandHandler>>,
-    /// Called after each line of commands.
+    /// Called after each line of commands has been executed.
     on_line: Box<dyn Fn()>,
 }
 
-/// Accepts connections of one level until dropped, and ends them then. The handler is not borrowed while a
-/// session waits, so that no client keeps another, or the controller, waiting. `on_line` is called after each
-/// line of commands.
+/// Accepts connections and runs a session of the given access level on each. Runs until the future is dropped, which
+/// also closes the connections. `on_line` is called after each line of commands has been executed.
 ///
-/// Must be polled within a [`tokio::task::LocalSet`].
+/// The handler is borrowed only while a line is executed or output is collected, never across an `await`, so that a slow
+/// client does not block other users of the handler.
+///
+/// # Panics
+/// If it is polled outside of a [`tokio::task::LocalSet`] and a connection is accepted.
 pub async fn serve(
     listener: Listener,
     level: AccessLevel,
     handler: Rc<RefCell<dyn CommandHandler>>,
     on_line: impl Fn() + 'static,
 ) {
-    let shared = Rc::new(Shared { level, handler, on_line: Box::new(on_line) });
+    let context = Rc::new(ListenerContext { level, handler, on_line: Box::new(on_line) });
     let mut sessions = JoinSet::new();
     loop {
         let Ok(stream) = listener.accept().await else {
@@ -67,17 +70,18 @@
         if sessions.len() >= MAX_SESSIONS {
             continue;
         }
-        let shared = shared.clone();
+        let context = context.clone();
         sessions.spawn_local(async move {
-            // A broken connection concerns its client alone.
-            let _ = converse(stream, &shared).await;
+            // An I/O error only ends the connection of this client.
+            let _ = run_session(stream, &context).await;
         });
     }
 }
 
-async fn converse(mut stream: Box<dyn Stream>, shared: &Shared) -> io::Result<()> {
+/// Executes lines of commands until the client or the session closes the connection.
+async fn run_session(mut stream: Box<dyn Stream>, context: &ListenerContext) -> io::Result<()> {
     let mut reader = CommandReader::default();
-    let mut session = Session::new(shared.level);
+    let mut session = Session::new(context.level);
     loop {
         loop {
             let commands = match reader.next_line() {
@@ -86,13 +90,13 @@
                 Err(error) => return close_with_error(stream, &error).await,
             };
             let mut out = String::new();
-            let state = session.execute_line(&commands, &mut *shared.handler.borrow_mut(), &mut out);
-            (shared.on_line)();
+            let state = session.execute_line(&commands, &mut *context.handler.borrow_mut(), &mut out);
+            (context.on_line)();
             write(&mut stream, &out).await?;
             match state {
                 SessionState::Stay => {}
                 SessionState::Close => return stream.shutdown().await,
-                SessionState::Follow(position) => return follow(stream, shared, position).await,
+                SessionState::Follow(position) => return follow(stream, context, position).await,
             }
         }
         if read(&mut stream, &mut reader).await? == 0 {
@@ -101,48 +105,51 @@
     }
 }
 
-/// Answers a line that can't be read, and closes the connection. Bytes that lie unread at a close make a reset of it,
-/// which may take the answer along: they are read and dropped for a while.
+/// Sends an error as the response to a line that is too long, and closes the connection. Closing a socket with unread
+/// bytes resets the connection, which may discard the response before the client reads it. Received bytes are therefore
+/// read and discarded until the client closes the connection, for at most 500 ms and 1 MiB.
 ///
 /// # Errors
-/// The connection broke.
+/// Writing the response or shutting down the connection failed.
 pub async fn close_with_error(mut stream: Box<dyn Stream>, error: &LineTooLong) -> io::Result<()> {
     write(&mut stream, &format!("{error}\n\n")).await?;
     stream.shutdown().await?;
-    // It is closed in any case.
-    let _ = timeout(CLOSE_TIMEOUT, drop_what_comes(&mut stream)).await;
+    // The connection is closed regardless of the result.
+    let _ = timeout(CLOSE_TIMEOUT, discard_received(&mut stream)).await;
     Ok(())
 }
 
-async fn drop_what_comes(stream: &mut Box<dyn Stream>) -> io::Result<()> {
-    let mut dropped = 0;
+async fn discard_received(stream: &mut Box<dyn Stream>) -> io::Result<()> {
+    let mut discarded = 0;
     let mut buffer = [0; 4096];
-    while dropped < MAX_DROPPED_BYTES {
+    while discarded < MAX_DISCARDED_BYTES {
         match stream.read(&mut buffer).await? {
             0 => break,
-            read => dropped += read,
+            read => discarded += read,
         }
     }
     Ok(())
 }
 
-/// Sends what there is to follow until the client sends anything or closes, as HAProxy's `show events -w`.
-async fn follow(mut stream: Box<dyn Stream>, shared: &Shared, mut position: u64) -> io::Result<()> {
-    let mut ignored = [0; 256];
+/// Sends new output periodically until the client sends anything or closes the connection, like `show events -w` in
+/// HAProxy.
+async fn follow(mut stream: Box<dyn Stream>, context: &ListenerContext, mut position: u64) -> io::Result<()> {
+    let mut ignored_input = [0; 256];
     loop {
-        let more = shared.handler.borrow_mut().read_since(&mut position);
-        write(&mut stream, &more).await?;
-        if let Ok(read) = timeout(FOLLOW_INTERVAL, stream.read(&mut ignored)).await {
+        let output = context.handler.borrow_mut().read_since(&mut position);
+        write(&mut stream, &output).await?;
+        if let Ok(read) = timeout(FOLLOW_INTERVAL, stream.read(&mut ignored_input)).await {
             return read.map(|_| ());
         }
     }
 }
 
-/// Reads once; 0 if the client closed.
+/// Reads once and returns the number of bytes: 0 if the client has closed the connection. Fails after [`IDLE_TIMEOUT`].
 async fn read(stream: &mut Box<dyn Stream>, reader: &mut CommandReader) -> io::Result<usize> {
     timeout(IDLE_TIMEOUT, stream.read_buf(reader.buffer())).await?
 }
 
+/// Writes the text. Fails after [`WRITE_TIMEOUT`], or if the text is longer than [`MAX_RESPONSE_BYTES`].
 async fn write(stream: &mut Box<dyn Stream>, text: &str) -> io::Result<()> {
     if text.len() > MAX_RESPONSE_BYTES {
         return Err(io::Error::from(io::ErrorKind::OutOfMemory));
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -1,57 +1,58 @@
-//! One connection's conversation: its mode, its level, and help. What other commands do is the matter of a
-//! [`CommandHandler`].
+//! The session of one connection: its mode, its access level and the built-in commands. A [`CommandHandler`] handles all
+//! other commands.
 
 use crate::command_handler::{CommandHandler, CommandResult, CommandSpec};
 use crate::level::AccessLevel;
 use crate::tokenizer::Command;
 
-/// What becomes of the connection after a command or line.
+/// The state of the connection after a command or a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// It takes more commands.
+    /// The connection stays open for more commands.
     Stay,
-    /// It is closed.
+    /// The connection is to be closed.
     Close,
-    /// It is sent what [`CommandHandler::read_since`] gives from this position on.
+    /// The connection is to be sent the output of [`CommandHandler::read_since`] from this position on.
     Follow(u64),
 }
 
-/// A command that every session knows itself.
-struct BuiltIn {
+/// A command that every session executes without the handler.
+struct BuiltInCommand {
     words: &'static str,
     help: &'static str,
 }
 
-const BUILT_IN: [BuiltIn; 6] = [
-    BuiltIn { words: "help", help: "list the commands" },
-    BuiltIn {
+const BUILT_IN_COMMANDS: [BuiltInCommand; 6] = [
+    BuiltInCommand { words: "help", help: "list the commands" },
+    BuiltInCommand {
         words: "prompt [i|n|p]",
         help: "stay connected, with a prompt (i: without one; n: close after a line)",
     },
-    BuiltIn { words: "quit", help: "end the connection" },
-    BuiltIn { words: "show cli level", help: "the level of this connection" },
-    BuiltIn { words: "operator", help: "lower the level to operator" },
-    BuiltIn { words: "user", help: "lower the level to user" },
+    BuiltInCommand { words: "quit", help: "end the connection" },
+    BuiltInCommand { words: "show cli level", help: "the level of this connection" },
+    BuiltInCommand { words: "operator", help: "lower the level to operator" },
+    BuiltInCommand { words: "user", help: "lower the level to user" },
 ];
 
 /// The state of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Session {
     level: AccessLevel,
-    /// Whether the connection stays open after a line.
-    interactive: bool,
-    /// Whether a prompt is written after each answer.
-    prompt: bool,
+    /// True if the connection stays open after a line.
+    is_interactive: bool,
+    /// True if a prompt follows each response.
+    has_prompt: bool,
 }
 
 impl Session {
-    /// A connection of this level, which closes after one line.
+    /// Returns the session of a new connection with the given access level. It closes after one line.
     #[must_use]
     pub fn new(level: AccessLevel) -> Self {
-        Session { level, interactive: false, prompt: false }
+        Session { level, is_interactive: false, has_prompt: false }
     }
 
-    /// Carries out the commands of one line and writes their answers, each with the empty line that ends it.
+    /// Executes the commands of a line, and appends their responses, each with its empty line, to `out`. Commands after
+    /// one that closes or follows are skipped.
     pub fn execute_line(
         &mut self,
         commands: &[Command],
@@ -59,7 +60,7 @@
         out: &mut String,
     ) -> SessionState {
         if commands.is_empty() {
-            // An empty line: just the prompt, or the end of a connection that is for one line.
+            // An empty line gets an empty response.
             self.end_response(out);
         }
         for command in commands {
@@ -69,10 +70,10 @@
                 return state;
             }
         }
-        if self.interactive { SessionState::Stay } else { SessionState::Close }
+        if self.is_interactive { SessionState::Stay } else { SessionState::Close }
     }
 
-    /// Carries out one command; [`Session::end_response`] ends its answer.
+    /// Executes a command and appends its response to `out`, which [`Session::end_response`] has to end.
     pub fn execute(
         &mut self,
         command: &Command,
@@ -92,27 +93,27 @@
         SessionState::Stay
     }
 
-    /// Whether the connection stays open after a line.
+    /// Returns true if the connection stays open after a line.
     #[must_use]
     pub fn is_interactive(&self) -> bool {
-        self.interactive
+        self.is_interactive
     }
 
-    /// Whether commands of a level are allowed.
+    /// Returns true if the session may execute commands that need this access level.
     #[must_use]
     pub fn allows(&self, level: AccessLevel) -> bool {
         self.level >= level
     }
 
-    /// Writes the empty line behind an answer, and the prompt if there is one.
+    /// Appends the empty line that ends a response, and the prompt if the session has one.
     pub fn end_response(&self, out: &mut String) {
         out.push('\n');
-        if self.prompt {
+        if self.has_prompt {
             out.push_str("> ");
         }
     }
 
-    /// Leaves a command to the handler, if it knows it and the level allows it.
+    /// Passes a command to the handler, if the handler knows it and the access level allows it.
     fn delegate(
         &self,
         command: &Command,
@@ -120,16 +121,16 @@
         handler: &mut dyn CommandHandler,
         out: &mut String,
     ) -> SessionState {
-        let Some(entry) = CommandSpec::find(handler.commands(), words) else {
+        let Some(spec) = CommandSpec::find(handler.commands(), words) else {
             append_lines(out, "Unknown command, but maybe one of the following ones is a better match:");
             self.write_help(handler, out);
             return SessionState::Stay;
         };
-        if !self.allows(entry.level) {
+        if !self.allows(spec.level) {
             append_lines(out, "Permission denied");
             return SessionState::Stay;
         }
-        match handler.handle_command(entry, command) {
+        match handler.handle_command(spec, command) {
             CommandResult::Text(text) => {
                 append_lines(out, &text);
                 SessionState::Stay
@@ -142,30 +143,30 @@
     }
 
     fn set_mode(&mut self, mode: &[&str], out: &mut String) {
-        let (interactive, prompt) = match mode {
-            [] => (true, !self.prompt),
+        let (is_interactive, has_prompt) = match mode {
+            [] => (true, !self.has_prompt),
             ["i"] => (true, false),
             ["p"] => (true, true),
             ["n"] => (false, false),
             _ => return append_lines(out, "prompt [i|n|p]"),
         };
-        self.interactive = interactive;
-        self.prompt = prompt;
+        self.is_interactive = is_interactive;
+        self.has_prompt = has_prompt;
     }
 
     fn write_help(&self, handler: &dyn CommandHandler, out: &mut String) {
-        for BuiltIn { words, help } in BUILT_IN {
+        for BuiltInCommand { words, help } in BUILT_IN_COMMANDS {
             append_lines(out, &format!("  {words:<40} : {help}"));
         }
         for CommandSpec { words, help, .. } in
-            handler.commands().iter().filter(|entry| self.allows(entry.level))
+            handler.commands().iter().filter(|spec| self.allows(spec.level))
         {
             append_lines(out, &format!("  {words:<40} : {help}"));
         }
     }
 }
 
-/// Appends text, and the end of its last line if that is missing.
+/// Appends text, and a line feed if its last line has none.
 fn append_lines(out: &mut String, text: &str) {
     out.push_str(text);
     if !text.is_empty() && !text.ends_with('\n') {
--- a/crates/runtime-api/src/tables/digest.rs
+++ b/crates/runtime-api/src/tables/digest.rs
@@ -1,17 +1,17 @@
-//! A digest of a proxy's tables.
+//! The digest of a proxy's tables.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// What two sides hold, as one number that they can compare (`get var proc.digest`).
+/// Computes the digest by which a controller and a proxy check that they have the same state (`get var proc.digest`).
 ///
-/// Added are: the entries by backend and endpoint, then the class map by class, then variables by name, each
-/// in the order of their names. The text and the hash, XXH3 with 64 bits, are part of the protocol.
+/// Both must add the same items in the same order: the table entries by backend and endpoint, then the class map by class,
+/// then the variables, each sorted by name. The text that is hashed and the hash, 64-bit XXH3, are part of the protocol.
 #[derive(Clone, Debug, Default)]
 pub struct Digest(String);
 
 impl Digest {
-    /// Adds an entry of a table. `not_ready`: it takes no requests, whatever its weight.
+    /// Adds a table entry. `not_ready` is true if the entry receives no requests, regardless of its weight.
     pub fn add_entry(
         &mut self,
         backend: &str,
@@ -20,21 +20,21 @@
         weight: u32,
         not_ready: bool,
     ) {
-        // Writing to a String cannot fail, here and below.
+        // Writing to a String can't fail, here and below.
         let _ = writeln!(self.0, "{backend} {endpoint} {address} {weight} {not_ready}");
     }
 
-    /// Adds an entry of the class map.
+    /// Adds an entry of the class map: the backend to which requests of the class go.
     pub fn add_class(&mut self, class: &str, backend: &str) {
         let _ = writeln!(self.0, "{class} {backend}");
     }
 
-    /// Adds a variable.
+    /// Adds a variable of the process.
     pub fn add_variable(&mut self, name: &str, value: i64) {
         let _ = writeln!(self.0, "{name} {value}");
     }
 
-    /// The digest of all that was added; not negative, as it takes half of the hash's range.
+    /// Returns the digest of the added items: the upper 63 bits of the hash, so that it is not negative.
     #[must_use]
     pub fn value(&self) -> i64 {
         (xxhash_rust::xxh3::xxh3_64(self.0.as_bytes()) >> 1) as i64
--- a/crates/runtime-api/src/tables/error.rs
+++ b/crates/runtime-api/src/tables/error.rs
@@ -1,61 +1,61 @@
-//! Why a table could not be read.
+//! Errors of parsing a table.
 
 use std::num::TryFromIntError;
 
 use thiserror::Error;
 
-/// A table that is malformed. Rows are counted from 1, behind the header.
+/// The error for a malformed table. Rows are counted from 1, without the header.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// `show stat` doesn't begin with its header.
+    /// `show stat` does not begin with its header.
     #[error("no header of show stat")]
     MissingStatHeader,
-    /// A value is not a whole number.
+    /// A value is not an integer.
     #[error("row {row}: not a whole number: {value:?}")]
     NotANumber {
-        /// The row.
+        /// The number of the row.
         row: usize,
-        /// What stands in place of the number.
+        /// The invalid value.
         value: String,
     },
-    /// A row is too short, or names neither table nor server.
+    /// A row has too few columns, or no name of a table or a server.
     #[error("row {row}: {found} of {expected} columns")]
     IncompleteRow {
-        /// The row.
+        /// The number of the row.
         row: usize,
-        /// Columns that the row has.
+        /// The number of columns in the row.
         found: usize,
-        /// Columns that the header has.
+        /// The number of columns in the header.
         expected: usize,
     },
-    /// `show servers state` is of another version than 1.
+    /// The format version of `show servers state` is not 1. Holds the first line, if any.
     #[error("show servers state: version 1 expected, not {0:?}")]
     UnknownVersion(Option<String>),
     /// `show servers state` has no header.
     #[error("no header")]
     MissingHeader,
-    /// The header lacks a column.
+    /// The header lacks a required column.
     #[error("no column {0}")]
     MissingColumn(&'static str),
-    /// A row ends before a column that is needed.
+    /// A row ends before a required column.
     #[error("row {row}: {found} columns")]
     ShortRow {
-        /// The row.
+        /// The number of the row.
         row: usize,
-        /// Columns that the row has.
+        /// The number of columns in the row.
         found: usize,
     },
-    /// The value of a column is not a whole number.
+    /// The value of a column is not an integer.
     #[error("row {row}: {column}: {value:?}")]
     InvalidColumn {
-        /// The row.
+        /// The number of the row.
         row: usize,
         /// The column's name.
         column: &'static str,
-        /// What stands in place of the number.
+        /// The invalid value.
         value: String,
     },
-    /// A port is greater than 65535.
+    /// A port number is greater than 65535.
     #[error("{0}")]
     PortOutOfRange(#[from] TryFromIntError),
 }
--- a/crates/runtime-api/src/tables/mod.rs
+++ b/crates/runtime-api/src/tables/mod.rs
@@ -1,5 +1,5 @@
-//! The tables that HAProxy prints in columns, written and read: `show stat` and `show servers state`. With
-//! them go the names of variables by class, and the digest of a proxy's tables, which both sides compute.
+//! Writers and parsers for HAProxy's tables `show stat` and `show servers state`, the names of per-class variables, and
+//! the digest by which a controller and a proxy compare their state.
 
 mod digest;
 mod error;
@@ -11,8 +11,8 @@
 pub use server_state::{FORCED_DRAIN, FORCED_MAINT, ServerStateRow, read_server_states, write_server_states};
 pub use stat::{STAT_COLUMNS, StatRow, read_stat, write_stat};
 
-/// The name of a proxy's variable about a class, as `proc.level_look_up` for `level` and `look-up`. Names of
-/// variables have no dashes in HAProxy.
+/// Returns the name of a proxy's variable for a class: `proc.level_look_up` for the prefix `level` and the class
+/// `look-up`. Dashes become underscores, because names of variables in HAProxy have no dashes.
 #[must_use]
 pub fn class_variable_name(prefix: &str, class: &str) -> String {
     format!("proc.{prefix}_{}", class.replace('-', "_"))
--- a/crates/runtime-api/src/tables/server_state.rs
+++ b/crates/runtime-api/src/tables/server_state.rs
@@ -1,16 +1,16 @@
-//! `show servers state`, version 1.
+//! The table of `show servers state`, format version 1.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::error::TableError;
 
-/// Bit of `srv_admin_state`: put into maintenance by command.
+/// The bit of `srv_admin_state` for a server that a command put into maintenance.
 pub const FORCED_MAINT: u32 = 0x01;
-/// Bit of `srv_admin_state`: set to drain by command.
+/// The bit of `srv_admin_state` for a server that a command set to drain.
 pub const FORCED_DRAIN: u32 = 0x08;
 
-/// `srv_op_state` of a server that is stopped, and of one that runs.
+/// Values of `srv_op_state` for a stopped and a running server.
 const STOPPED: u32 = 0;
 const RUNNING: u32 = 2;
 
@@ -19,10 +19,10 @@
 bk_f_forced_id srv_f_forced_id srv_fqdn srv_port srvrecord srv_use_ssl srv_check_port srv_check_addr \
 srv_agent_addr srv_agent_port";
 
-/// One row of `show servers state`.
+/// A row of `show servers state`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerStateRow {
-    /// The backend: a table.
+    /// The name of the backend, which is a routing table.
     pub backend: String,
     /// The endpoint's name.
     pub endpoint: String,
@@ -30,17 +30,17 @@
     pub address: String,
     /// The endpoint's port.
     pub port: u16,
-    /// Whether the operational state is anything but stopped.
+    /// True if the operational state is anything but stopped.
     pub is_running: bool,
-    /// The administrative state: [`FORCED_MAINT`], [`FORCED_DRAIN`] and others.
+    /// The administrative state: bits such as [`FORCED_MAINT`] and [`FORCED_DRAIN`].
     pub admin_state: u32,
-    /// The weight in force.
+    /// The current weight.
     pub weight: u32,
-    /// HAProxy's check health; here the rise/fall counter of the controller.
+    /// The rise/fall counter of the controller, in HAProxy's column for check health.
     pub health: u32,
 }
 
-/// Writes the table. Backends are numbered in the order in which they come.
+/// Writes the table. Backends are numbered in order of their first row.
 #[must_use]
 pub fn write_server_states(rows: &[ServerStateRow]) -> String {
     let mut text = format!("1\n# {COLUMNS}\n");
@@ -60,7 +60,7 @@
             health,
             ..
         } = row;
-        // Writing to a String cannot fail.
+        // Writing to a String can't fail.
         let _ = writeln!(
             text,
             "{backend_id} {backend} {server_id} {server} {address} {state} {admin} {weight} {weight} 0 0 0 {health} \
@@ -70,10 +70,11 @@
     text
 }
 
-/// Reads the table by the names in its header, so that columns may be added and moved.
+/// Parses the table. Columns are found by the names in the header, so that they may have any order and unknown ones are
+/// ignored.
 ///
 /// # Errors
-/// What is wrong, and in which row.
+/// The table is malformed.
 pub fn read_server_states(text: &str) -> Result<Vec<ServerStateRow>, TableError> {
     let mut lines = text.lines().filter(|line| !line.is_empty());
     match lines.next() {
@@ -85,7 +86,7 @@
     lines.enumerate().map(|(index, line)| columns.read_row(index + 1, line)).collect()
 }
 
-/// A column that is read, and its position.
+/// A column that is parsed, and its position in the header.
 #[derive(Clone, Copy)]
 struct Column {
     name: &'static str,
@@ -99,7 +100,7 @@
     }
 }
 
-/// The columns that are read.
+/// The columns that are parsed.
 struct Columns {
     backend: Column,
     server: Column,
--- a/crates/runtime-api/src/tables/stat.rs
+++ b/crates/runtime-api/src/tables/stat.rs
@@ -1,11 +1,11 @@
-//! `show stat`: counters as CSV.
+//! The table of `show stat`: counters as CSV.
 
 use std::fmt::Write;
 
 use super::error::TableError;
 
-/// The columns of `show stat`, in HAProxy's order. Behind them come others, as readers must expect: `ttot_ok` is
-/// this project's, the milliseconds of all successful attempts since the start.
+/// The columns of `show stat`, in the order of HAProxy. The last one, `ttot_ok`, is an extension: the sum of the latencies
+/// of successful attempts since the start, in milliseconds. Readers must expect further columns.
 pub const STAT_COLUMNS: &str = "pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,\
 wredis,status,weight,act,bck,chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,type,rate,\
 rate_lim,rate_max,check_status,check_code,check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,hrsp_other,\
@@ -17,40 +17,39 @@
 const TYPE_BACKEND: u64 = 1;
 const TYPE_SERVER: u64 = 2;
 
-/// One row of `show stat`: a frontend, backend or server with what is known of it. Counters run since the
-/// start of the process.
+/// A row of `show stat` for a frontend, a backend or a server. Counters start at 0 when the process starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatRow {
-    /// The class, for a frontend, or the table.
+    /// The name of the class for a frontend, otherwise of the table.
     pub name: String,
     /// `FRONTEND`, `BACKEND` or the endpoint's name.
     pub endpoint: String,
-    /// The state in HAProxy's words.
+    /// The state, by the names of HAProxy.
     pub status: String,
-    /// The weight in force.
+    /// The current weight.
     pub weight: u64,
-    /// Attempts that have not ended, where it is given.
+    /// The number of attempts in flight; `None` if not reported.
     pub in_flight: Option<u64>,
-    /// Requests at a frontend, attempts that ended with an outcome at an endpoint.
+    /// The number of requests at a frontend, or of attempts that ended with an outcome at an endpoint.
     pub total: u64,
-    /// Attempts abandoned by their clients, where it is given; they are not in `total`.
+    /// The number of attempts abandoned by their clients, not included in `total`; `None` if not reported.
     pub abandoned: Option<u64>,
-    /// Requests shed by the admission rate.
+    /// The number of requests shed by the admission rate.
     pub shed: u64,
-    /// Attempts that ended without a connection.
+    /// The number of attempts that failed to connect.
     pub connect_errors: u64,
-    /// Attempts that broke or ran into the time limit.
+    /// The number of attempts of which the connection failed or the time limit expired.
     pub response_errors: u64,
-    /// Attempts answered with a status from 500 on.
+    /// The number of responses with a status code of 500 or above.
     pub responses_5xx: u64,
-    /// Mean latency of recent successful attempts, in milliseconds.
+    /// The mean latency of recent successful attempts, in milliseconds.
     pub mean_latency_ms: u64,
-    /// Sum of the latencies of successful attempts in milliseconds, where it is given.
+    /// The sum of the latencies of successful attempts, in milliseconds; `None` if not reported.
     pub total_latency_ms: Option<u64>,
 }
 
 impl StatRow {
-    /// Attempts that failed; each is counted in one of the three.
+    /// Returns the number of failed attempts. Each is counted in exactly one of the three error counters.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.connect_errors + self.response_errors + self.responses_5xx
@@ -64,7 +63,7 @@
         }
     }
 
-    /// The number in a column; `None` for columns of text, and for those that are left empty.
+    /// Returns the number in a column; `None` for text columns and empty columns.
     fn number(&self, column: &str) -> Option<u64> {
         match column {
             "type" => Some(self.row_type()),
@@ -89,7 +88,7 @@
             "status" => text.push_str(&self.status),
             _ => {
                 if let Some(number) = self.number(column) {
-                    // Writing to a String cannot fail.
+                    // Writing to a String can't fail.
                     let _ = write!(text, "{number}");
                 }
             }
@@ -112,10 +111,11 @@
     text
 }
 
-/// Reads the table by the names in its header, so that columns may be added and moved.
+/// Parses the table. Columns are found by the names in the header, so that they may have any order and unknown ones are
+/// ignored. Empty values count as missing.
 ///
 /// # Errors
-/// What is wrong, and in which row.
+/// The table is malformed.
 pub fn read_stat(text: &str) -> Result<Vec<StatRow>, TableError> {
     let mut lines = text.lines().filter(|line| !line.is_empty());
     let header =
@@ -133,22 +133,23 @@
         if value.is_empty() {
             continue;
         }
-        let set = setter(&mut row, value);
-        set.map_err(|NotANumber| TableError::NotANumber { row: number, value: value.to_string() })?;
+        let result = setter(&mut row, value);
+        result.map_err(|NotANumber| TableError::NotANumber { row: number, value: value.to_string() })?;
     }
-    // The line ends with a comma, behind which there is no column.
+    // The header ends with a comma, after which it has an empty column that rows may lack.
     if found < setters.len().saturating_sub(1) || row.name.is_empty() || row.endpoint.is_empty() {
         return Err(TableError::IncompleteRow { row: number, found, expected: setters.len() });
     }
     Ok(row)
 }
 
+/// The error of parsing a value that is not an integer.
 struct NotANumber;
 
-/// Sets what a column holds.
+/// A function that parses the value of a column and stores it in the row.
 type Setter = fn(&mut StatRow, &str) -> Result<(), NotANumber>;
 
-/// The setter of a column; `None` for columns that are not read.
+/// Returns the setter of a column; `None` for columns that are ignored.
 fn setter(column: &str) -> Option<Setter> {
     Some(match column {
         "pxname" => |row, value| {
--- a/crates/runtime-api/src/tokenizer.rs
+++ b/crates/runtime-api/src/tokenizer.rs
@@ -1,12 +1,12 @@
-//! One line of commands, taken apart: `;` separates commands, blanks separate words, and `\` takes the meaning
-//! off the character behind it.
+//! The tokenizer for a line of commands: `;` separates commands, spaces and tabs separate words, and `\` escapes the
+//! character after it.
 
-/// One command as words.
+/// A command, split into words.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Command {
-    /// The words, without escapes.
+    /// The words, unescaped.
     pub words: Vec<String>,
-    /// The lines that came behind `<<`, if the command asked for them.
+    /// The lines of the payload that the command announced with `<<`, each with its line feed.
     pub payload: Option<String>,
 }
 
@@ -15,20 +15,20 @@
         Command { words, payload: None }
     }
 
-    /// The word at a position, from 0.
+    /// Returns the word at a position, counted from 0.
     #[must_use]
     pub fn word(&self, position: usize) -> Option<&str> {
         self.words.get(position).map(String::as_str)
     }
 
-    /// The words in one line, for messages and logs.
+    /// Returns the words separated by spaces, unescaped, for messages and logs.
     #[must_use]
     pub fn joined_words(&self) -> String {
         self.words.join(" ")
     }
 }
 
-/// The commands of a line; empty ones are left out.
+/// Returns the commands of a line. Empty commands are omitted.
 #[must_use]
 pub fn parse_line(line: &str) -> Vec<Command> {
     if line.contains('\\') {
@@ -62,7 +62,7 @@
     commands
 }
 
-/// A word with escapes, so that it is read as it is.
+/// Escapes a word, so that [`parse_line`] returns it unchanged as a single word if it is not empty.
 #[must_use]
 pub fn escape_word(word: &str) -> String {
     let mut text = String::with_capacity(word.len());
