--- a/crates/runtime-api/tests/error_texts.rs
+++ b/crates/runtime-api/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts of errors, which users and controllers see.
+//! The texts of errors, which operators read.
 
 use lockcroft_runtime_api::tables::{read_server_states, read_stat};
 use lockcroft_runtime_api::{AccessLevel, Address};
@@ -10,12 +10,12 @@
     read_stat(text).expect_err("malformed").to_string()
 }
 
-fn states_error(rows: &str) -> String {
+fn server_states_error(rows: &str) -> String {
     read_server_states(&format!("1\n# {STATES_HEADER}\n{rows}\n")).expect_err("malformed").to_string()
 }
 
 #[test]
-fn malformed_counters_are_located() {
+fn errors_in_counters_name_the_row() {
     assert_eq!(stat_error(""), "no header of show stat");
     assert_eq!(stat_error("garbage"), "no header of show stat");
     assert_eq!(
@@ -27,21 +27,24 @@
 }
 
 #[test]
-fn malformed_states_are_located() {
+fn errors_in_server_states_name_the_row_and_column() {
     let error = |text: &str| read_server_states(text).expect_err("malformed").to_string();
     assert_eq!(error(""), "show servers state: version 1 expected, not None");
     assert_eq!(error("2\n# be_name\n"), "show servers state: version 1 expected, not Some(\"2\")");
     assert_eq!(error("1\n"), "no header");
     assert_eq!(error("1\n# be_name srv_name\nt0 e1\n"), "no column srv_addr");
-    assert_eq!(states_error("t0 e1 127.0.0.1"), "row 1: 3 columns");
-    assert_eq!(states_error("t0 e1 a 2 0 many 0 80"), "row 1: srv_uweight: \"many\"");
-    assert_eq!(states_error("t0 e1 a 2 0 1 0 70000"), "out of range integral type conversion attempted");
+    assert_eq!(server_states_error("t0 e1 127.0.0.1"), "row 1: 3 columns");
+    assert_eq!(server_states_error("t0 e1 a 2 0 many 0 80"), "row 1: srv_uweight: \"many\"");
+    assert_eq!(
+        server_states_error("t0 e1 a 2 0 1 0 70000"),
+        "out of range integral type conversion attempted"
+    );
 }
 
 #[test]
-fn words_that_are_not_known_are_quoted() {
-    let address = "nowhere".parse::<Address>().expect_err("no address").to_string();
+fn errors_quote_invalid_addresses_and_levels() {
+    let address = "nowhere".parse::<Address>().expect_err("invalid address").to_string();
     assert_eq!(address, "\"nowhere\" is neither unix:PATH nor IP:PORT");
-    let level = "root".parse::<AccessLevel>().expect_err("no level").to_string();
+    let level = "root".parse::<AccessLevel>().expect_err("unknown level").to_string();
     assert_eq!(level, "\"root\" is none of user, operator, admin");
 }
