--- a/crates/runtime-api/benches/codec.rs
+++ b/crates/runtime-api/benches/codec.rs
@@ -1,5 +1,6 @@
-//! Throughput of the codec in lines per second, compared with splitting the whole text without support for chunks, escapes
-//! and limits; and throughput of writing and parsing tables of counters. Run: cargo bench -p lockcroft-runtime-api
+//! Throughput of the codec in lines per second, compared with splitting the whole text without support for chunks,
+//! escapes and limits; and throughput of writing and parsing tables of counters. Run:
+//! cargo bench -p lockcroft-runtime-api
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/runtime-api/src/address.rs
+++ b/crates/runtime-api/src/address.rs
@@ -77,7 +77,7 @@
 }
 
 impl Listener {
-    /// Listens on an address. Replaces the socket file of a process that no longer listens on it.
+    /// Listens on an address. A file at the path of a Unix socket is removed unless a process listens on it.
     ///
     /// # Errors
     /// The socket could not be bound. [`io::ErrorKind::AddrInUse`] if a process listens on the path.
--- a/crates/runtime-api/src/command_handler.rs
+++ b/crates/runtime-api/src/command_handler.rs
@@ -45,8 +45,8 @@
 pub enum CommandResult {
     /// A complete response.
     Text(String),
-    /// The beginning of a response that the output of [`CommandHandler::read_since`] from this position on continues until
-    /// the connection ends.
+    /// The beginning of a response. The output of [`CommandHandler::read_since`] from this position on follows until the
+    /// connection ends.
     Follow(String, u64),
 }
 
--- a/crates/runtime-api/src/line_buffer.rs
+++ b/crates/runtime-api/src/line_buffer.rs
@@ -34,7 +34,7 @@
         end
     }
 
-    /// Removes the next complete line and returns the result of `convert`, which is called with the line without its line
+    /// Removes the next complete line and returns the result of `convert`, which receives the line without its line
     /// feed. Returns `None` if more bytes are needed.
     pub fn next_line<T>(&mut self, convert: impl FnOnce(&[u8]) -> T) -> Option<T> {
         let end = self.next_line_len()?;
--- a/crates/runtime-api/src/response_reader.rs
+++ b/crates/runtime-api/src/response_reader.rs
@@ -32,8 +32,8 @@
         self.buffer.len()
     }
 
-    /// Removes the next complete response and returns it without a prompt and the empty line. Returns `None` if more bytes
-    /// are needed.
+    /// Removes the next complete response and returns it without a prompt and the empty line. Returns `None` if more
+    /// bytes are needed.
     pub fn next_response(&mut self) -> Option<String> {
         if self.buffer.starts_with(PROMPT) {
             self.buffer.advance(PROMPT.len());
--- a/crates/runtime-api/src/server.rs
+++ b/crates/runtime-api/src/server.rs
@@ -48,8 +48,8 @@
 /// Accepts connections and runs a session of the given access level on each. Runs until the future is dropped, which
 /// also closes the connections. `on_line` is called after each line of commands has been executed.
 ///
-/// The handler is borrowed only while a line is executed or output is collected, never across an `await`, so that a slow
-/// client does not block other users of the handler.
+/// The handler is borrowed only while a line is executed or output is collected, never across an `await`, so that a
+/// slow client does not block other users of the handler.
 ///
 /// # Panics
 /// If it is polled outside of a [`tokio::task::LocalSet`] and a connection is accepted.
--- a/crates/runtime-api/src/session.rs
+++ b/crates/runtime-api/src/session.rs
@@ -1,5 +1,5 @@
-//! The session of one connection: its mode, its access level and the built-in commands. A [`CommandHandler`] handles all
-//! other commands.
+//! The session of one connection: its mode, its access level and the built-in commands. A [`CommandHandler`] executes
+//! all other commands.
 
 use crate::command_handler::{CommandHandler, CommandResult, CommandSpec};
 use crate::level::AccessLevel;
--- a/crates/runtime-api/src/tables/digest.rs
+++ b/crates/runtime-api/src/tables/digest.rs
@@ -5,8 +5,9 @@
 
 /// Computes the digest by which a controller and a proxy check that they have the same state (`get var proc.digest`).
 ///
-/// Both must add the same items in the same order: the table entries by backend and endpoint, then the class map by class,
-/// then the variables, each sorted by name. The text that is hashed and the hash, 64-bit XXH3, are part of the protocol.
+/// Both must add the same items in the same order: the table entries by backend and endpoint, then the class map by
+/// class, then the variables, each sorted by name. The text that is hashed and the hash, 64-bit XXH3, are part of the
+/// protocol.
 #[derive(Clone, Debug, Default)]
 pub struct Digest(String);
 
--- a/crates/runtime-api/src/tables/stat.rs
+++ b/crates/runtime-api/src/tables/stat.rs
@@ -4,8 +4,9 @@
 
 use super::error::TableError;
 
-/// The columns of `show stat`, in the order of HAProxy. The last one, `ttot_ok`, is an extension: the sum of the latencies
-/// of successful attempts since the start, in milliseconds. Readers must expect further columns.
+/// The columns of `show stat`, in the order of HAProxy. Further columns may follow those of HAProxy, as parsers must
+/// expect. `ttot_ok` is such an extension: the sum of the latencies of all successful attempts since the start, in
+/// milliseconds.
 pub const STAT_COLUMNS: &str = "pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,\
 wredis,status,weight,act,bck,chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,type,rate,\
 rate_lim,rate_max,check_status,check_code,check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,hrsp_other,\
