--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -190,7 +190,7 @@
         "nobody who reads is ordered"
     );
     assert!(
-        log.contains("epoch of files taken epoch=1") && log.contains("epoch of files taken epoch=2"),
+        log.contains("acquired writer epoch epoch=1") && log.contains("acquired writer epoch epoch=2"),
         "{log}"
     );
 }
--- a/crates/cli/tests/daemon/sockets.rs
+++ b/crates/cli/tests/daemon/sockets.rs
@@ -56,7 +56,7 @@
     std::fs::write(fixture.path("roster.xml"), "<roster><server name=").expect("written");
     fixture.ask("reload roster");
     let end = Instant::now() + Duration::from_secs(5);
-    while !fixture.log().contains("the list stays as it was") {
+    while !fixture.log().contains("rejected the endpoint list, keeping the previous one") {
         assert!(Instant::now() < end, "{}", fixture.log());
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -178,5 +178,8 @@
     controller.restart().expect("started");
     fixture.until("show memory", |output| output.contains("No memory is set."));
     let log = std::fs::read_to_string(fixture.path("pilot.log")).expect("there");
-    assert!(log.contains("started without memory") && log.contains("of a fleet with other zones"), "{log}");
+    assert!(
+        log.contains("starting without persisted state") && log.contains("of a fleet with other zones"),
+        "{log}"
+    );
 }
--- a/crates/daemon/src/endpoint_list_watcher.rs
+++ b/crates/daemon/src/endpoint_list_watcher.rs
@@ -1,4 +1,4 @@
-//! Watches the file of the endpoint list, and reads it again when it changed or an operator asks for it.
+//! Watches the endpoint list file and reloads it when it has changed or an operator requests it.
 
 use std::fs::Metadata;
 use std::os::unix::fs::MetadataExt;
@@ -13,18 +13,21 @@
 use crate::event::{Event, EventSender};
 use crate::warn_operators;
 
-/// Polls one file.
+/// Polls the endpoint list file.
 pub struct EndpointListWatcher {
     pub path: PathBuf,
+    /// The interval between two checks for a change.
     pub interval: Duration,
+    /// The configured names of zones, machine types and classes.
     pub names: NameIndex,
+    /// The greatest weight that an endpoint may have.
     pub max_weight: f64,
-    /// Notified when the file is to be read whether it changed or not.
-    pub reread: Rc<Notify>,
+    /// Notified to reload the file even if it has not changed.
+    pub reload_requested: Rc<Notify>,
     pub events: EventSender,
 }
 
-/// What tells one state of a file from another.
+/// Metadata by which a change of the file is detected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -45,27 +48,29 @@
 }
 
 impl EndpointListWatcher {
-    /// Runs until nobody takes events any more. A file with an error in it is reported once, and the list before it
-    /// stands.
+    /// Runs until the event channel is closed. An invalid file is reported once, and the previous endpoint list stays
+    /// in effect.
     pub async fn run(self) {
-        let mut last = None;
+        let mut last_stamp = None;
         let mut is_requested = true;
         loop {
             let stamp = std::fs::metadata(&self.path).ok().as_ref().map(FileStamp::from);
-            if is_requested || stamp != last {
-                last = stamp;
+            if is_requested || stamp != last_stamp {
+                last_stamp = stamp;
                 match EndpointListConfig::open(&self.path, &self.names, self.max_weight) {
                     Ok(list) => {
                         if self.events.send(Event::EndpointListRead(list)).await.is_err() {
                             return;
                         }
                     }
-                    Err(errors) => warn_operators(&format!("the list stays as it was: {errors}")),
+                    Err(errors) => warn_operators(&format!(
+                        "rejected the endpoint list, keeping the previous one: {errors}"
+                    )),
                 }
             }
             is_requested = tokio::select! {
                 () = tokio::time::sleep(self.interval) => false,
-                () = self.reread.notified() => true,
+                () = self.reload_requested.notified() => true,
             };
         }
     }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon does not start, and why a connection to a proxy ends.
+//! Errors that prevent the start of the daemon, and errors that end a connection to a proxy.
 
 use std::io;
 
@@ -7,29 +7,29 @@
 
 use crate::logging::LoggingError;
 
-/// Why the daemon does not start.
+/// An error that prevents the start of the daemon.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The logs can't be set up.
+    /// Logging could not be initialized.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// A socket of the runtime API can't be had.
+    /// A listening socket of the runtime API could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was tried.
+        /// The configured address.
         address: Address,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The keys of table files can't be read.
+    /// The keys that seal table files could not be read.
     #[error("{0}")]
     Keys(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The thread that writes table files can't be had.
+    /// The thread that writes table files could not be spawned.
     #[error("{0}")]
     Thread(#[source] io::Error),
 }
 
-/// Why a connection could not be made, or broke. The text is the reason that `show proxies` gives.
+/// The reason why a connection attempt failed or a connection ended. `show proxies` shows its text.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     #[error("cannot be dialled: {0}")]
@@ -40,7 +40,7 @@
     Read(#[source] io::Error),
     #[error("closed by the proxy")]
     ClosedByProxy,
-    /// The response is longer than any that a proxy gives.
+    /// The proxy sent more than [`lockcroft_runtime_api::MAX_RESPONSE_BYTES`] bytes without ending the response.
     #[error("an answer without an end")]
     ResponseTooLong,
 }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,4 +1,4 @@
-//! What tasks and threads report to the event loop.
+//! Events that tasks and threads send to the event loop.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,7 +11,7 @@
 
 use crate::error::ConnectionError;
 
-/// Something that happened on a socket, to a file or on a thread.
+/// An event of a socket, a file or a thread.
 pub enum Event {
     EndpointListRead(EndpointListConfig),
     HealthCheckFinished {
@@ -33,25 +33,25 @@
         connection: u64,
         responses: Vec<String>,
     },
-    /// No answer means that there is no plan, and the last one stands.
+    /// The solver finished. Without an answer it failed, and the previous plan stays in effect.
     PlanSolved {
         answer: Option<Answer>,
     },
     SnapshotWritten {
         result: Result<WrittenSnapshot, PublishError>,
     },
-    SnapshotsApplied {
+    SnapshotsReported {
         reports: Vec<SnapshotReport>,
     },
     StateSaved(StateStoreStatus),
 }
 
-/// Where events go. It is bounded: whoever has more is made to wait.
+/// The sending half of the event channel. The channel is bounded: senders wait while it is full.
 pub type EventSender = mpsc::Sender<Event>;
 
 impl Event {
-    /// Tells the controller.
-    pub fn take_in(self, fleet: &mut FleetController, now: Duration) {
+    /// Passes the event to the fleet controller. `now` is the time since the start of the controller's clock.
+    pub fn apply(self, fleet: &mut FleetController, now: Duration) {
         match self {
             Event::EndpointListRead(list) => fleet.update_endpoint_list(now, SystemTime::now(), list),
             Event::HealthCheckFinished { endpoint, outcome, latency } => {
@@ -60,7 +60,7 @@
             Event::PlanSolved { answer } => fleet.plan_solved(now, answer),
             Event::SnapshotWritten { result } => fleet.snapshot_written(now, result),
             Event::StateSaved(status) => fleet.set_state_store_status(status),
-            Event::SnapshotsApplied { reports } => {
+            Event::SnapshotsReported { reports } => {
                 for report in reports {
                     fleet.snapshot_reported(now, report);
                 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon: one controller instance on loopback sockets. Sockets, files, threads and clocks stand here and nothing
-//! else: what happens there becomes calls of [`lockcroft_fleet::FleetController`], and its effects are carried out.
+//! The daemon that runs one controller. It owns the sockets, files, threads and clocks: it passes their events to
+//! [`lockcroft_fleet::FleetController`] and executes the effects that the controller returns.
 //!
-//! Start reading at `event_loop`.
+//! `event_loop` is the entry point.
 
 #![warn(missing_docs)]
 
@@ -28,16 +28,18 @@
 pub use crate::health_checks::{HealthCheckResult, check_health};
 pub use crate::logging::{Logging, LoggingError, start_logging};
 
-/// Runs a controller until it is told to end by a signal. Proxies keep their tables then.
+/// Runs a controller until the process receives SIGTERM or SIGINT. Blocks the calling thread meanwhile. Proxies keep
+/// their tables after the shutdown.
 ///
 /// # Errors
-/// A socket, a thread or the keys of table files can't be had, or the logs can't be set up.
+/// Logging could not be initialized, a listening socket of the runtime API could not be bound, the keys of the table
+/// files could not be read, or a thread could not be spawned.
 pub fn serve(config: &DaemonConfig, runtime: &Runtime, signals: Signals) -> Result<(), DaemonError> {
     let logging = start_logging(&config.log)?;
     LocalSet::new().block_on(runtime, event_loop::run(config, logging, signals))
 }
 
-/// Warns of something that concerns people rather than decisions.
+/// Logs a warning about a condition that operators have to handle.
 fn warn_operators(text: &str) {
     warn!(target: "lockcroft::daemon", "{text}");
 }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs to standard error, as text or JSON lines; levels can be changed while the program runs.
+//! Structured logs on standard error, as text or JSON lines. The levels can be changed at run time.
 
 use lockcroft_config::LogConfig;
 use thiserror::Error;
@@ -9,36 +9,36 @@
 
 const DEFAULT_LEVELS: &str = "info";
 
-/// Why logs are not set up, or their levels not changed.
+/// An error of initializing logging or of changing its levels.
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// The levels can't be read.
+    /// The levels are malformed.
     #[error("{levels:?}: {source}; allowed: LEVEL or TARGET=LEVEL, by commas")]
     MalformedLevels {
-        /// The levels as they were given.
+        /// The levels as given.
         levels: String,
-        /// What is wrong with them.
+        /// The error of the parser.
         source: ParseError,
     },
-    /// Logs were started before.
+    /// Logging was initialized before in this process.
     #[error("logs: {0}")]
     Start(#[from] TryInitError),
-    /// The filter can't be replaced.
+    /// The filter could not be replaced.
     #[error(transparent)]
     Reload(#[from] reload::Error),
 }
 
-/// The levels that are in force, and a way to change them.
+/// The handle by which the log levels of this process are changed.
 pub struct Logging {
     handle: reload::Handle<EnvFilter, Registry>,
-    /// The levels in force, as they were given.
+    /// The current levels, as given.
     pub levels: String,
 }
 
-/// Starts the logs of this process.
+/// Initializes logging for this process. Without configured levels, `info` applies to all targets.
 ///
 /// # Errors
-/// The levels are malformed, or logs were started before.
+/// The levels are malformed, or logging was initialized before.
 pub fn start_logging(config: &LogConfig) -> Result<Logging, LoggingError> {
     let levels = config.filter.clone().unwrap_or_else(|| DEFAULT_LEVELS.into());
     let (filter, handle) = reload::Layer::new(parse_levels(&levels)?);
@@ -56,7 +56,7 @@
     /// Changes the levels.
     ///
     /// # Errors
-    /// The levels are malformed; those before stay in force.
+    /// The levels are malformed. The previous levels stay in effect.
     pub fn set_levels(&mut self, levels: &str) -> Result<(), LoggingError> {
         self.handle.reload(parse_levels(levels)?)?;
         self.levels = levels.into();
--- a/crates/daemon/src/operator_commands.rs
+++ b/crates/daemon/src/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The controller's own runtime API: what its commands show and change.
+//! The commands of the controller's runtime API.
 
 use std::rc::Rc;
 
@@ -10,10 +10,10 @@
 
 use crate::logging::{Logging, LoggingError};
 
-/// The one command that can be followed.
+/// The only command with output that can be followed.
 const SHOW_EVENTS: &str = "show events [-w]";
 
-/// Why a command is refused, as operators read it.
+/// The reason why a command is rejected. Its text is the response.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -30,23 +30,25 @@
     NoPlan,
 }
 
-/// The fleet controller, and what operators may change beside it.
+/// The command handler of the runtime API: the fleet controller, the log levels and the reload of the endpoint list.
 pub struct OperatorCommands {
+    /// The fleet controller that the event loop runs.
     pub fleet: FleetController,
     logging: Logging,
-    /// Notified when the file of the endpoint list is to be read again.
-    reread: Rc<Notify>,
+    /// Notified to reload the endpoint list file.
+    reload_requested: Rc<Notify>,
 }
 
 impl OperatorCommands {
-    pub fn new(fleet: FleetController, logging: Logging, reread: Rc<Notify>) -> Self {
-        OperatorCommands { fleet, logging, reread }
+    /// Returns the handler. `reload_requested` is notified by `reload roster`.
+    pub fn new(fleet: FleetController, logging: Logging, reload_requested: Rc<Notify>) -> Self {
+        OperatorCommands { fleet, logging, reload_requested }
     }
 
-    /// The answer to a command that shows something; any other is one that changes something.
-    fn execute(&mut self, entry: &CommandSpec, command: &Command) -> Result<String, CommandError> {
+    /// Executes a command and returns its response. Commands that are not matched here change something.
+    fn execute(&mut self, spec: &CommandSpec, command: &Command) -> Result<String, CommandError> {
         let fleet = &self.fleet;
-        let text = match entry.words {
+        let text = match spec.words {
             "show info" => fleet.show_info(),
             "show version" => format!("lockcroft {}\n", env!("CARGO_PKG_VERSION")),
             "show stat" => fleet.show_stat(),
@@ -58,34 +60,35 @@
             "show plan problem" => write_problem(fleet)?,
             "show memory" => fleet.show_state_store(),
             "show log" => format!("{}\n", self.logging.levels),
-            _ => return self.change(entry, command),
+            _ => return self.execute_change(spec, command),
         };
         Ok(text)
     }
 
-    fn change(&mut self, entry: &CommandSpec, command: &Command) -> Result<String, CommandError> {
-        match entry.words {
+    fn execute_change(&mut self, spec: &CommandSpec, command: &Command) -> Result<String, CommandError> {
+        match spec.words {
             "set log <levels>" => {
                 self.logging.set_levels(command.word(2).ok_or(CommandError::SetLogUsage)?)?;
             }
             "clear counters" => self.fleet.clear_counters(),
             "reload roster" => {
-                self.reread.notify_one();
+                self.reload_requested.notify_one();
                 return Ok("The roster will be read again.\n".into());
             }
             "set weight <b>/<s> <value>" => {
                 let endpoint = command.word(2).unwrap_or_default();
-                self.set_server(endpoint, Some("weight"), Some(command.word(3).unwrap_or_default()))?;
+                self.override_endpoint(endpoint, Some("weight"), Some(command.word(3).unwrap_or_default()))?;
             }
             _ => {
                 let endpoint = command.word(2).unwrap_or_default();
-                self.set_server(endpoint, command.word(3), command.word(4))?;
+                self.override_endpoint(endpoint, command.word(3), command.word(4))?;
             }
         }
         Ok(String::new())
     }
 
-    fn set_server(
+    /// Executes `set server`: sets or removes the operator override of an endpoint's state or weight.
+    fn override_endpoint(
         &mut self,
         endpoint: &str,
         property: Option<&str>,
@@ -102,7 +105,7 @@
             (Some("state"), _) => return Err(CommandError::UnknownState),
             (Some("weight"), Some(text)) => {
                 let weight = self.fleet.parse_weight(endpoint, text)?;
-                // All of the listed weight is no override.
+                // 100% of the listed weight removes the override.
                 let weight = (text != "100%").then_some(weight);
                 self.fleet.override_endpoint(endpoint, |current| current.weight = weight);
             }
@@ -121,28 +124,28 @@
     }
 }
 
-/// The commands, with the words and the help that operators see.
-const ENTRIES: [CommandSpec; 17] = [
-    user("show info", "what this pilot is and how it fares"),
+/// The commands with their help texts.
+const COMMANDS: [CommandSpec; 17] = [
+    user("show info", "version, uptime and statistics of this controller"),
     user("show version", "the version of the program"),
     user("show stat", "counters by class, table and server, as CSV"),
-    user("show servers state [<backend>]", "what is believed of servers"),
-    user("show backend", "tables: members, published, wanted"),
-    user("show proxies", "proxies: stream, tables, waiting lines, last answer"),
-    user("show levels", "what is let in, by class and table"),
-    user("show plan", "the last plan: what is dropped and why, load against capacity"),
-    user("show plan problem", "the problem that was solved last, as a file for lockcroft solve"),
-    user("show memory", "what is kept across restarts: size, last flush, trouble"),
-    user(SHOW_EVENTS, "the last notes and decisions; -w follows"),
-    user("show log", "the levels of the logs"),
+    user("show servers state [<backend>]", "state and weight of each server"),
+    user("show backend", "tables: proxies, entries, published and desired weight"),
+    user("show proxies", "proxies: connection state, tables, waiting lines, last response"),
+    user("show levels", "admission rates by class and table"),
+    user("show plan", "the last plan: shed requests with the reason, load and capacity of servers"),
+    user("show plan problem", "the problem of the last plan, as a file for lockcroft solve"),
+    user("show memory", "the store of learned state: size, last flush, last error"),
+    user(SHOW_EVENTS, "the last events and actions; -w follows"),
+    user("show log", "the log levels"),
     admin(
         "set server <b>/<s> state|weight <value>",
-        "an operator's word on a server: drain, maint, ready, N, N%",
+        "override the state (drain, maint, ready) or the weight (N, N%) of a server",
     ),
     admin("set weight <b>/<s> <value>", "the same as set server <b>/<s> weight"),
-    admin("set log <levels>", "levels of the logs, as info,lockcroft::update=debug"),
-    admin("clear counters", "forget the times of orders and the most lines that waited"),
-    admin("reload roster", "read the roster file again now"),
+    admin("set log <levels>", "set the log levels, such as info,lockcroft::update=debug"),
+    admin("clear counters", "reset the latencies of updates and the maximum of waiting lines"),
+    admin("reload roster", "reload the endpoint list file"),
 ];
 
 const fn user(words: &'static str, help: &'static str) -> CommandSpec {
@@ -153,7 +156,7 @@
     CommandSpec { words, level: AccessLevel::Admin, help }
 }
 
-/// The problem that was solved last, as a file for `lockcroft solve`.
+/// Returns the problem of the last plan in the file format of `lockcroft solve`.
 fn write_problem(fleet: &FleetController) -> Result<String, CommandError> {
     let (problem, endpoints) = fleet.last_problem().ok_or(CommandError::NoPlan)?;
     let names = fleet.names();
@@ -167,14 +170,14 @@
 
 impl CommandHandler for OperatorCommands {
     fn commands(&self) -> &'static [CommandSpec] {
-        &ENTRIES
+        &COMMANDS
     }
 
-    fn handle_command(&mut self, entry: &CommandSpec, command: &Command) -> CommandResult {
-        if entry.words == SHOW_EVENTS {
+    fn handle_command(&mut self, spec: &CommandSpec, command: &Command) -> CommandResult {
+        if spec.words == SHOW_EVENTS {
             return self.show_events(command);
         }
-        CommandResult::Text(self.execute(entry, command).unwrap_or_else(|error| format!("{error}\n")))
+        CommandResult::Text(self.execute(spec, command).unwrap_or_else(|error| format!("{error}\n")))
     }
 
     fn read_since(&mut self, position: &mut u64) -> String {
--- a/crates/daemon/src/proxy_connections.rs
+++ b/crates/daemon/src/proxy_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to proxies: one task for each proxy connects, writes and reads as the controller says.
+//! Connections to proxies. A task per proxy connects, writes commands and reads responses as the controller requests.
 
 use std::io;
 use std::time::Duration;
@@ -16,36 +16,41 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-enum Request {
+/// A request of the controller to the task of a proxy.
+enum ConnectionRequest {
     Connect { connection: u64, after: Duration },
     Write { connection: u64, text: String },
     Close,
 }
 
-/// The inbox of one proxy's task. What waits in it is bounded by the proxy's ledger, which has one message and one
-/// question on the way at a time.
-pub struct ProxyConnection(mpsc::UnboundedSender<Request>);
+/// The channel to the task of one proxy. The channel itself is unbounded, but the fleet controller keeps at most one
+/// update message and one request for state or counters in flight per proxy.
+pub struct ProxyConnection(mpsc::UnboundedSender<ConnectionRequest>);
 
 impl ProxyConnection {
-    /// Makes the task; it waits for the first [`ProxyConnection::connect`].
+    /// Spawns the task, which waits for the first [`ProxyConnection::connect`].
     pub fn spawn(proxy: ProxyId, address: Address, events: EventSender, tasks: &mut JoinSet<()>) -> Self {
-        let (sender, inbox) = mpsc::unbounded_channel();
-        tasks.spawn_local(ConnectionTask { proxy, address, events, inbox }.run());
+        let (sender, requests) = mpsc::unbounded_channel();
+        tasks.spawn_local(ConnectionTask { proxy, address, events, requests }.run());
         ProxyConnection(sender)
     }
 
-    // A task ends only with the daemon, so nobody misses what can't be sent any more.
+    // The methods below ignore errors of sending: the task ends only at shutdown.
 
+    /// Connects after a delay. `connection` is the number that the events of this connection carry. Ignored while a
+    /// connection is open.
     pub fn connect(&self, connection: u64, after: Duration) {
-        let _ = self.0.send(Request::Connect { connection, after });
+        let _ = self.0.send(ConnectionRequest::Connect { connection, after });
     }
 
+    /// Writes commands if the given connection is the open one, and drops them otherwise.
     pub fn write(&self, connection: u64, text: String) {
-        let _ = self.0.send(Request::Write { connection, text });
+        let _ = self.0.send(ConnectionRequest::Write { connection, text });
     }
 
+    /// Closes the open connection without an event.
     pub fn close(&self) {
-        let _ = self.0.send(Request::Close);
+        let _ = self.0.send(ConnectionRequest::Close);
     }
 }
 
@@ -53,45 +58,49 @@
     proxy: ProxyId,
     address: Address,
     events: EventSender,
-    inbox: mpsc::UnboundedReceiver<Request>,
+    requests: mpsc::UnboundedReceiver<ConnectionRequest>,
 }
 
 impl ConnectionTask {
     async fn run(mut self) {
-        while let Some(request) = self.inbox.recv().await {
-            let Request::Connect { connection, after } = request else { continue };
+        while let Some(request) = self.requests.recv().await {
+            let ConnectionRequest::Connect { connection, after } = request else { continue };
             sleep(after).await;
-            if let Err(reason) = self.connect_and_talk(connection).await {
+            if let Err(reason) = self.run_connection(connection).await {
                 let proxy = self.proxy;
                 let _ = self.events.send(Event::Disconnected { proxy, connection, reason }).await;
             }
         }
     }
 
-    /// Ends well once the controller has given the connection up.
-    async fn connect_and_talk(&mut self, connection: u64) -> Result<(), ConnectionError> {
-        let attempt = timeout(CONNECT_TIMEOUT, connect(&self.address)).await;
-        let socket = attempt
+    /// Connects, and returns `Ok` once the controller has closed the connection.
+    async fn run_connection(&mut self, connection: u64) -> Result<(), ConnectionError> {
+        let connected = timeout(CONNECT_TIMEOUT, connect(&self.address)).await;
+        let stream = connected
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map_err(ConnectionError::Connect)?;
         let _ = self.events.send(Event::Connected { proxy: self.proxy, connection }).await;
-        self.talk(connection, socket).await
+        self.exchange_messages(connection, stream).await
     }
 
-    async fn talk(&mut self, connection: u64, mut socket: Box<dyn Stream>) -> Result<(), ConnectionError> {
+    async fn exchange_messages(
+        &mut self,
+        connection: u64,
+        mut stream: Box<dyn Stream>,
+    ) -> Result<(), ConnectionError> {
         let mut responses = ResponseReader::default();
         let mut out = BytesMut::new();
-        let (mut reader, mut writer) = tokio::io::split(&mut socket);
+        let (mut reader, mut writer) = tokio::io::split(&mut stream);
         loop {
             tokio::select! {
-                request = self.inbox.recv() => match request {
-                    Some(Request::Write { connection: meant_for, text }) => {
-                        if meant_for == connection {
+                request = self.requests.recv() => match request {
+                    Some(ConnectionRequest::Write { connection: target, text }) => {
+                        if target == connection {
                             out.extend_from_slice(text.as_bytes());
                         }
                     }
-                    Some(Request::Connect { .. }) => {}
-                    Some(Request::Close) | None => return Ok(()),
+                    Some(ConnectionRequest::Connect { .. }) => {}
+                    Some(ConnectionRequest::Close) | None => return Ok(()),
                 },
                 written = writer.write_buf(&mut out), if !out.is_empty() => {
                     written.map_err(ConnectionError::Write)?;
@@ -111,7 +120,7 @@
         }
     }
 
-    /// Hands on the responses that are complete. Returns whether anybody still takes them.
+    /// Sends the complete responses to the event loop. Returns false if the event channel is closed.
     async fn report_responses(&self, connection: u64, reader: &mut ResponseReader) -> bool {
         let responses: Vec<String> = std::iter::from_fn(|| reader.next_response()).collect();
         if responses.is_empty() {
--- a/crates/daemon/src/snapshot_status.rs
+++ b/crates/daemon/src/snapshot_status.rs
@@ -1,4 +1,4 @@
-//! Watches the status files in which proxies report the snapshots that they have applied or refuse.
+//! Watches the status files in which proxies report the snapshots that they have applied or rejected.
 
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
@@ -9,13 +9,15 @@
 
 use crate::event::{Event, EventSender};
 
-/// Polls the folder, and reports what changed. `start` is when the controller's clock began.
+/// Polls the status files in a directory and sends the changed ones as an event, until the event channel is closed.
+/// `start` is the wall-clock time at which the controller's clock started. If the directory can't be read, nothing is
+/// sent.
 pub async fn watch(directory: PathBuf, interval: Duration, start: SystemTime, events: EventSender) {
     let mut reader = StatusReader::default();
     loop {
         tokio::time::sleep(interval).await;
         let directory = directory.clone();
-        // A disk that hangs keeps nobody waiting but this task.
+        // A blocking thread reads the files, so that a slow disk delays only this task.
         let scan = tokio::task::spawn_blocking(move || {
             let changed = reader.read_changed(&directory).unwrap_or_default();
             (reader, changed)
@@ -25,14 +27,14 @@
         if changed.is_empty() {
             continue;
         }
-        let reports = changed.into_iter().map(|status| report(status, start)).collect();
-        if events.send(Event::SnapshotsApplied { reports }).await.is_err() {
+        let reports = changed.into_iter().map(|status| snapshot_report(status, start)).collect();
+        if events.send(Event::SnapshotsReported { reports }).await.is_err() {
             return;
         }
     }
 }
 
-fn report(status: Status, start: SystemTime) -> SnapshotReport {
+fn snapshot_report(status: Status, start: SystemTime) -> SnapshotReport {
     let start = start.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let applied = status.laid.last().map(|applied| AppliedVersion {
         epoch: applied.epoch,
--- a/crates/daemon/src/state_writer.rs
+++ b/crates/daemon/src/state_writer.rs
@@ -1,4 +1,4 @@
-//! The store of learned state: read once at the start, and written by a thread of its own.
+//! The store of learned state, which is recovered once at startup and written by a separate thread.
 
 use std::io;
 use std::path::Path;
@@ -18,25 +18,26 @@
 use crate::warn_operators;
 use crate::worker_thread::WorkerThread;
 
-/// What was learned is on disk after so long.
+/// The time after which an appended entry is flushed to disk.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest wait of a thread that has nothing to flush.
+/// The longest wait of the thread while nothing has to be flushed.
 const MAX_IDLE_WAIT: Duration = Duration::from_secs(3600);
-/// The shortest report period that state ages by, whatever the settings state.
+/// The lower bound for the report period by which persisted state ages.
 const MIN_REPORT_PERIOD: Duration = Duration::from_millis(100);
 
-/// The thread that writes.
+/// The thread that writes learned state.
 pub struct StateWriter(WorkerThread<Vec<Entry>>);
 
-/// A store that is being written, and what it held.
+/// An opened store: its writer and the state that was recovered from it.
 pub struct OpenedState {
     pub writer: StateWriter,
     pub recovered: RecoveredState,
 }
 
 impl StateWriter {
-    /// Reads what there is, and begins to write. Without a store that is sound and its own the controller starts with
-    /// nothing recovered, and leaves the folder alone.
+    /// Recovers the persisted state and starts the thread that writes to the store. Returns `None` if the store is
+    /// locked, can't be read, or belongs to another controller or fleet: the controller then starts without persisted
+    /// state and leaves the directory unchanged. Also returns `None` if the thread could not be spawned.
     pub fn open(config: &DaemonConfig, directory: &Path, events: EventSender) -> Option<OpenedState> {
         let started = Instant::now();
         let opened = DirectoryStorage::open_exclusive(directory)
@@ -47,74 +48,76 @@
             Err(error) => {
                 let directory = directory.display();
                 warn_operators(&format!(
-                    "started without memory, which is left as it is: {directory}: {error}"
+                    "could not open the state store, starting without persisted state and leaving the directory \
+                     unchanged: {directory}: {error}"
                 ));
                 return None;
             }
         };
         let recovered = recover(loaded, &config.settings, started);
         let worker = WriterThread { store, events, flush_due: None, last_error: None };
-        let thread = WorkerThread::spawn("memory", move |inbox| worker.run(inbox)).ok()?;
+        let thread = WorkerThread::spawn("memory", move |batches| worker.run(batches)).ok()?;
         Some(OpenedState { writer: StateWriter(thread), recovered })
     }
 
-    /// Hands entries to the thread.
+    /// Queues entries to be written.
     pub fn write(&self, entries: Vec<Entry>) {
         self.0.send(entries);
     }
 
-    /// Takes no more entries; those that were handed over are flushed.
+    /// Accepts no more entries. Queued ones are still flushed.
     pub fn close(&mut self) {
         self.0.close();
     }
 
-    /// Whether all is flushed.
+    /// Returns true if the thread has ended: it was closed, and all queued entries are flushed.
     pub fn has_ended(&self) -> bool {
         self.0.has_ended()
     }
 }
 
 fn recover(loaded: LoadedState, settings: &Settings, started: Instant) -> RecoveredState {
-    let LoadedState { state, warnings: remarks, snapshot_number: from, bytes, .. } = loaded;
-    for remark in remarks {
-        warn!(target: "lockcroft::state_store", "{remark}");
+    let LoadedState { state, warnings, snapshot_number, bytes, .. } = loaded;
+    for warning in warnings {
+        warn!(target: "lockcroft::state_store", "{warning}");
     }
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let recovered = recover_state(&state, now.as_millis() as u64, &ageing_rules(settings));
-    // These field names stand in the page on the state store.
-    info!(target: "lockcroft::state_store", entries = state.len(), from, bytes, servers = recovered.endpoints.len(),
+    let recovered = recover_state(&state, now.as_millis() as u64, &recovery_settings(settings));
+    // The names of these fields are documented for operators.
+    info!(target: "lockcroft::state_store", entries = state.len(), from = snapshot_number, bytes, servers = recovered.endpoints.len(),
         levels = recovered.admission_rates.len(), ahead = recovered.future_entries, us = started.elapsed().as_micros() as u64, "recalled");
     recovered
 }
 
-/// Whose store it is: state of another fleet means nothing here.
+/// Returns the identity of the controller and its fleet, by which state of another fleet is refused.
 fn store_identity(config: &DaemonConfig) -> StoreIdentity {
-    let lists = [&config.names.zones, &config.names.machine_types, &config.names.classes];
-    // A blank stands between the lists, since none of the names has one.
-    let names = lists.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
+    let name_lists = [&config.names.zones, &config.names.machine_types, &config.names.classes];
+    // A space separates the lists, because no name contains one.
+    let names = name_lists.into_iter().flat_map(|list| list.iter().map(String::as_str).chain([" "]));
     StoreIdentity::from_names(&config.name, names)
 }
 
-fn ageing_rules(settings: &Settings) -> RecoverySettings {
+fn recovery_settings(settings: &Settings) -> RecoverySettings {
     RecoverySettings {
         report_period: settings.fleet.report_period.max(MIN_REPORT_PERIOD),
         slow_start_window: settings.rules.slow_start_window,
     }
 }
 
-/// Entries go into the journal as they come, and are flushed a few times a second.
+/// Appends entries to the journal as they arrive, and flushes it after [`FLUSH_INTERVAL`].
 struct WriterThread {
     store: Store<DirectoryStorage>,
     events: EventSender,
+    /// When the journal is flushed next; `None` if it has no unflushed entries.
     flush_due: Option<Instant>,
-    /// What went wrong last, so that it is reported once.
+    /// The error of the last write, so that a repeated one is logged once.
     last_error: Option<String>,
 }
 
 impl WriterThread {
-    fn run(mut self, inbox: &Receiver<Vec<Entry>>) {
+    fn run(mut self, batches: &Receiver<Vec<Entry>>) {
         loop {
-            let appended = match inbox.recv_timeout(self.wait()) {
+            let appended = match batches.recv_timeout(self.receive_timeout()) {
                 Ok(entries) => {
                     self.flush_due.get_or_insert(Instant::now() + FLUSH_INTERVAL);
                     self.store.append(&entries)
@@ -129,7 +132,7 @@
         }
     }
 
-    fn wait(&self) -> Duration {
+    fn receive_timeout(&self) -> Duration {
         let wait = self.flush_due.map(|due| due.saturating_duration_since(Instant::now()));
         wait.map_or(MAX_IDLE_WAIT, |wait| wait.min(MAX_IDLE_WAIT))
     }
@@ -144,16 +147,16 @@
         if !is_due {
             return;
         }
-        // What failed is tried again; it stays in the store until then.
+        // A failed write is retried; the store keeps the entries until then.
         self.flush_due = self.last_error.is_some().then(|| Instant::now() + FLUSH_INTERVAL);
-        // At the end of the daemon nobody takes it any more.
+        // Fails only at shutdown, when the event loop has closed the channel.
         let _ = self.events.blocking_send(Event::StateSaved(self.status(started.elapsed())));
     }
 
     fn warn_of_new_error(&self, error: Option<&str>) {
         let Some(text) = error else { return };
         if self.last_error.as_deref() != error {
-            warn_operators(&format!("what is learned is not kept for now: {text}"));
+            warn_operators(&format!("could not persist learned state, retrying: {text}"));
         }
     }
 
