--- a/crates/cli/tests/daemon/fault_scenarios.rs
+++ b/crates/cli/tests/daemon/fault_scenarios.rs
@@ -199,7 +199,7 @@
         "proxies that read files receive no server commands"
     );
     assert!(
-        log.contains("epoch of files taken epoch=1") && log.contains("epoch of files taken epoch=2"),
+        log.contains("acquired writer epoch epoch=1") && log.contains("acquired writer epoch epoch=2"),
         "{log}"
     );
 }
