--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -62,13 +62,13 @@
         self.controller.health_check_finished(now, endpoint, outcome, latency);
     }
 
-    /// Takes the solver's answer to the task in flight; `None` if the problem was invalid. The weights that the plan
+    /// Takes the solution of the task in flight; `None` if the problem was invalid. The weights that the plan
     /// changes replace the listed ones.
-    pub fn plan_solved(&mut self, now: Duration, answer: Option<Solution>) {
+    pub fn plan_solved(&mut self, now: Duration, solution: Option<Solution>) {
         self.now = now;
         let attached = self.attached_total();
         let Some(planner) = &mut self.planner else { return };
-        let Plan { weights, tables } = planner.take_answer(answer, attached, self.controller.state());
+        let Plan { weights, tables } = planner.take_solution(solution, attached, self.controller.state());
         for (class, fraction) in planner.planned_fractions().iter().enumerate() {
             self.controller.set_planned_admission(class, *fraction);
         }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,6 +1,6 @@
-//! Plans of the solver. Builds solver problems from load reports, attempts and demand, and turns the answers into
+//! Plans of the solver. Builds solver problems from load reports, attempts and demand, and turns the solutions into
 //! planned weights for the endpoint list and upper limits of the admission rates. The host solves a problem on a
-//! thread of its choice; the previous plan stays in use until the answer arrives.
+//! thread of its choice; the previous plan stays in use until the solution arrives.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 /// An upper limit on the entries that one plan may change, whatever the limit on queued entries is.
 const MAX_CHANGED_ENTRIES: f64 = 1e6;
 
-/// A problem for the solver, with the endpoint ids behind its positions.
+/// A problem for the solver, with the id of the endpoint at each position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SolverTask {
     /// The capacities of the endpoints and the demand of the classes.
     pub problem: Problem,
-    /// The endpoint at each position of the problem's endpoints.
+    /// The ids of the problem's endpoints, in the order of [`Problem::endpoints`].
     pub endpoints: Vec<EndpointId>,
 }
 
@@ -41,15 +41,15 @@
     pub tables: Vec<(TableId, WeightFractions)>,
 }
 
-/// A task with the solver's answer, kept for `show plan`.
+/// A solved task with its solution, kept for `show plan`.
 pub struct SolvedPlan {
     pub task: Arc<SolverTask>,
-    pub answer: Solution,
+    pub solution: Solution,
     /// The number of endpoints whose weight the plan changed.
     pub changed_entries: usize,
 }
 
-/// Builds solver tasks at a fixed interval and turns their answers into plans.
+/// Builds solver tasks at a fixed interval and turns their solutions into plans.
 pub struct Planner {
     interval: Duration,
     crossing_cost: f64,
@@ -60,14 +60,14 @@
     capacity: CapacityModel,
     demand: DemandEstimate,
     stabilizer: PlanStabilizer,
-    /// True if each zone has tables of its own.
+    /// True if tables are separate for each zone; false if all zones share them.
     by_zone: bool,
     tables: TableStabilizer,
     /// The time from which the next task may be built.
     due: Duration,
-    /// The task that is being solved.
+    /// The task that is being solved; `None` if no task is in flight.
     in_flight: Option<Arc<SolverTask>>,
-    /// The last task that was solved, with its answer.
+    /// The most recently solved task with its solution; `None` before the first solution.
     pub last: Option<SolvedPlan>,
 }
 
@@ -198,37 +198,37 @@
         task
     }
 
-    /// Takes the answer to the task in flight and returns the resulting changes. Returns no changes if there is no
-    /// answer or no task in flight.
-    pub fn take_answer(
+    /// Takes the solution of the task in flight and returns the resulting changes. Returns no changes if there is no
+    /// solution or no task in flight.
+    pub fn take_solution(
         &mut self,
-        answer: Option<Solution>,
+        solution: Option<Solution>,
         proxies: usize,
-        controller_state: ControllerState,
+        state: ControllerState,
     ) -> Plan {
         let Some(task) = self.in_flight.take() else { return Plan::default() };
-        let Some(mut answer) = answer else { return Plan::default() };
+        let Some(mut solution) = solution else { return Plan::default() };
         // A class without any usable endpoint is not limited: rejecting its requests would relieve no endpoint, the
         // decisions keep the published entries, and the health checks may be wrong.
-        for dropped in answer.shed.iter().filter(|dropped| dropped.capacity <= 0.0) {
-            answer.admission_rates[dropped.class] = 1.0;
+        for dropped in solution.shed.iter().filter(|dropped| dropped.capacity <= 0.0) {
+            solution.admission_rates[dropped.class] = 1.0;
         }
-        let price = self.change_price(&task.problem, proxies);
+        let change_cost = self.change_cost(&task.problem, proxies);
         let SolverTask { problem, endpoints } = &*task;
-        let weights = self.stabilizer.update(problem, endpoints, &answer, price);
+        let weights = self.stabilizer.update(problem, endpoints, &solution, change_cost);
         let scopes = match self.by_zone {
-            true => table_scopes(problem.zone_count, controller_state.tables, controller_state.admissions),
+            true => table_scopes(problem.zone_count, state.tables, state.admissions),
             false => Vec::new(),
         };
         let listed = self.stabilizer.weights();
-        let tables = self.tables.update(problem, endpoints, &answer, &scopes, listed, !weights.is_empty());
-        self.last = Some(SolvedPlan { task, answer, changed_entries: weights.len() });
+        let tables = self.tables.update(problem, endpoints, &solution, &scopes, listed, !weights.is_empty());
+        self.last = Some(SolvedPlan { task, solution, changed_entries: weights.len() });
         Plan { weights, tables }
     }
 
     /// Returns the cost of changing an entry. While a changed entry is sent to all proxies, other updates wait; the
     /// cost is the value of the requests that arrive during that time.
-    fn change_price(&self, problem: &Problem, proxies: usize) -> ChangeCost {
+    fn change_cost(&self, problem: &Problem, proxies: usize) -> ChangeCost {
         let proxies = proxies.max(1) as f64;
         let value = |class: &ProblemClass| class.demand.iter().sum::<f64>() * class.value;
         let total_value: f64 = problem.classes.iter().map(value).sum();
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Returns the planned admission rate of each class; empty before the first answer.
+    /// Returns the planned admission rate of each class; empty before the first solution.
     pub fn planned_fractions(&self) -> &[f64] {
         self.stabilizer.admission_rates()
     }
--- a/crates/fleet/src/views/plan.rs
+++ b/crates/fleet/src/views/plan.rs
@@ -1,4 +1,4 @@
-//! `show plan`: the last plan of the solver.
+//! `show plan`: the most recent plan of the solver.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 use crate::planner::SolvedPlan;
 
 impl FleetController {
-    /// Returns the problem that was solved last, with the names of its endpoints by position.
+    /// Returns the most recently solved problem, with the names of its endpoints by position.
     #[must_use]
     pub fn last_problem(&self) -> Option<(&Problem, Vec<String>)> {
         let SolvedPlan { task, .. } = self.planner.as_ref()?.last.as_ref()?;
@@ -23,27 +23,28 @@
         &self.names
     }
 
-    /// Returns the last plan: the value of its objective, the admission rate of each class, the shed requests with
-    /// the reason, and the capacity, load and weight of each endpoint.
+    /// Returns the text of the most recent plan: the value of its objective, the admission rate of each class, the
+    /// shed requests with the reason, and the capacity, load and weight of each endpoint.
     #[must_use]
     pub fn show_plan(&self) -> String {
         let Some(planner) = &self.planner else { return "No solver is set.\n".into() };
         let Some(plan) = &planner.last else { return "No plan yet.\n".into() };
-        let Objective { value, crossing_cost, latency_cost } = plan.answer.objective;
+        let Objective { value, crossing_cost, latency_cost } = plan.solution.objective;
         let mut text = format!(
             "# earned {value:.2} crossing {crossing_cost:.2} lateness {latency_cost:.2} a second; lines changed {}\n",
             plan.changed_entries
         );
         self.write_classes(plan, &mut text);
-        for shed in &plan.answer.shed {
+        for shed in &plan.solution.shed {
             self.write_shed(shed, &mut text);
         }
         self.write_endpoints(plan, &mut text);
         text
     }
 
-    fn write_classes(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
-        for (class, (name, fraction)) in self.names.classes.iter().zip(&answer.admission_rates).enumerate() {
+    fn write_classes(&self, SolvedPlan { task, solution, .. }: &SolvedPlan, text: &mut String) {
+        for (class, (name, fraction)) in self.names.classes.iter().zip(&solution.admission_rates).enumerate()
+        {
             let demand: f64 = task.problem.classes[class].demand.iter().sum();
             let _ = writeln!(text, "class {name} asked_per_s {demand:.1} let_in {fraction:.3}");
         }
@@ -63,7 +64,7 @@
         );
     }
 
-    fn write_endpoints(&self, SolvedPlan { task, answer, .. }: &SolvedPlan, text: &mut String) {
+    fn write_endpoints(&self, SolvedPlan { task, solution, .. }: &SolvedPlan, text: &mut String) {
         for (position, endpoint) in task.endpoints.iter().enumerate() {
             let problem_endpoint = &task.problem.endpoints[position];
             let _ = writeln!(
@@ -72,8 +73,8 @@
                 self.endpoints.name(*endpoint),
                 problem_endpoint.capacity,
                 problem_endpoint.slow_start_factor,
-                answer.loads[position],
-                answer.weights[position]
+                solution.loads[position],
+                solution.weights[position]
             );
         }
     }
