--- a/crates/fleet/src/state_recorder.rs
+++ b/crates/fleet/src/state_recorder.rs
@@ -1,6 +1,6 @@
 //! Selects the learned state of endpoints and admission to be persisted across restarts. A value is recorded when it
-//! differs from the value recorded last. Endpoints are visited in slices, so that no decision waits for a pass over
-//! the whole fleet.
+//! differs from the value recorded last. A pass over all endpoints is split into slices of a few endpoints each, and
+//! one slice is recorded per interval, so that no decision waits for a complete pass.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -12,9 +12,9 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// The maximum number of endpoints in one slice.
+/// The maximum number of endpoints in a slice.
 const MAX_SLICE_ENDPOINTS: usize = 32;
-/// The time between slices.
+/// The time between two slices, each of which records the next [`MAX_SLICE_ENDPOINTS`] endpoints of a pass.
 const SLICE_INTERVAL: Duration = Duration::from_millis(20);
 /// Fractions and cores are recorded in steps of one twentieth, the steps in which tables are published.
 const STEPS_PER_UNIT: f64 = 20.0;
@@ -26,11 +26,11 @@
     /// The last endpoint of the previous slice. `None` if the next slice is the first of a pass, which includes
     /// admission.
     resume_after: Option<EndpointId>,
-    /// When the next slice is due.
+    /// The time at which the next slice is due, since the controller's start.
     due: Duration,
     /// The wall clock at the controller's start, in milliseconds since the Unix epoch.
     start_ms: u64,
-    /// The number of entries recorded since the start, without capacities.
+    /// The number of entries recorded since the start, not counting capacities.
     pub recorded_entries: usize,
 }
 
--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -11,7 +11,8 @@
 /// One line of commands, staged on a copy of the routing state.
 pub struct TableTransaction {
     pub(crate) remaining: VecDeque<Command>,
-    /// The prepared batch that a command of the line commits, until all its commands were executed again.
+    /// The prepared batch that a `commit map` command of the line is committing. Its commands are executed before the
+    /// remaining ones of the line. `None` if no commit is under way.
     pub(crate) replay: Option<Replay>,
     /// The positions of the commands that change something, in the line and among the answers.
     change_positions: Vec<usize>,
--- a/crates/scenario/src/recording_link/link_state.rs
+++ b/crates/scenario/src/recording_link/link_state.rs
@@ -6,19 +6,20 @@
 use lockcroft_runtime_api::Address;
 use lockcroft_testbed::{TrafficEvent, TrafficRecorder};
 
-/// A fault that is injected at the next message with more than a given number of state-changing commands.
+/// A fault that the link injects once, at the first message from the controller that contains more than
+/// `after_commands` state-changing commands. Earlier messages pass unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFault {
     /// The stream stalls in the middle of the message for a time.
     Stall {
-        /// The message must have more state-changing commands than this.
+        /// The number of state-changing commands that a message must exceed to trigger the fault.
         after_commands: usize,
         /// The duration of the stall.
         duration: Duration,
     },
     /// The message is executed, and the stream is closed before its answer reaches the controller.
     Disconnect {
-        /// The message must have more state-changing commands than this.
+        /// The number of state-changing commands that a message must exceed to trigger the fault.
         after_commands: usize,
     },
 }
--- a/crates/solver/src/flow.rs
+++ b/crates/solver/src/flow.rs
@@ -26,7 +26,7 @@
     search.flow
 }
 
-/// The distance of a node that cannot be reached.
+/// The distance of a node to which no path leads.
 const UNREACHABLE: i64 = i64::MAX;
 
 /// The flow found so far. Node indices are in the order: sources, sinks, the super source (`start`), which feeds all
@@ -36,17 +36,19 @@
     flow: Vec<Vec<i64>>,
     remaining_supply: Vec<i64>,
     remaining_capacity: Vec<i64>,
-    /// Potential of each node.
+    /// Potential of each node: the sum of its distances in all searches so far, each limited to that of the super sink.
+    /// The reduced cost of an arc is its cost plus the potential of its tail minus that of its head.
     potential: Vec<i64>,
-    /// The greatest gain of an arc. The cost of an arc is this less its gain, which is never negative.
+    /// The greatest gain of an arc, at least 0. The cost of an arc is this minus its gain, which is never negative.
     best_gain: i64,
 }
 
 /// The shortest paths from the super source by reduced cost.
 struct ShortestPaths {
-    /// Distance of each node, or [`UNREACHABLE`].
+    /// The length of the shortest path from the super source to each node: the sum of the reduced costs of its arcs, in
+    /// the unit of the gains. [`UNREACHABLE`] if no path leads to the node.
     distance: Vec<i64>,
-    /// The node before each node on its path.
+    /// The predecessor of each node on its shortest path.
     previous: Vec<usize>,
 }
 
