--- a/crates/platform/tests/controller/updates.rs
+++ b/crates/platform/tests/controller/updates.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_endpoint_that_drains_during_the_start_up_hold_is_ejected_and_restored() {
+fn an_endpoint_that_drains_during_the_startup_hold_is_ejected_and_restored() {
     let mut harness = Harness::new();
     harness.attach(1, 3, true);
     harness.run_to(1.0);
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -40,7 +40,7 @@
             tables: &self.tables,
             admissions: &self.admissions,
             endpoints: &self.endpoints,
-            start_up_hold: self.tables.iter().any(|table| !table.released),
+            startup_hold: self.tables.iter().any(|table| !table.released),
         }
     }
 
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -135,7 +135,7 @@
     pub admissions: &'a [ClassAdmission],
     pub endpoints: &'a BTreeMap<EndpointId, EndpointState>,
     /// True if some table is not released yet.
-    pub start_up_hold: bool,
+    pub startup_hold: bool,
 }
 
 impl PlanInputs<'_> {
@@ -210,7 +210,7 @@
     }
 
     fn must_be_ejected(&self, state: &EndpointState) -> bool {
-        state.must_be_ejected(self.now, self.start_up_hold)
+        state.must_be_ejected(self.now, self.startup_hold)
     }
 
     /// Returns the ejections that are due, and the ends of ejections. An endpoint that must not be used is
--- a/src/state.rs
+++ b/src/state.rs
@@ -89,8 +89,8 @@
     /// Returns true if proxies must not use it, whatever their tables. During the start-up hold this includes
     /// an endpoint that is warming up, as tables of an earlier controller may give it its full weight.
     #[must_use]
-    pub fn must_be_ejected(&self, now: Duration, start_up_hold: bool) -> bool {
-        self.is_not_ready() || start_up_hold && self.is_warming_up(now)
+    pub fn must_be_ejected(&self, now: Duration, startup_hold: bool) -> bool {
+        self.is_not_ready() || startup_hold && self.is_warming_up(now)
     }
 }
 
--- a/tests/controller/ordinary_path.rs
+++ b/tests/controller/ordinary_path.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn start_up_hold_releases_each_table_once_all_endpoints_have_a_result() {
+fn startup_hold_releases_each_table_once_all_endpoints_have_a_result() {
     let mut fleet = TestFleet::new(2);
     fleet.health[1] = HealthCheckOutcome::Failed;
     let trace = fleet.attach(0).attach(1).run_until(5200).lines_with(&[""]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn reattachments_do_not_extend_the_start_up_hold() {
+fn reattachments_do_not_extend_the_startup_hold() {
     let mut fleet = TestFleet::new(2);
     fleet.attach(0).run_until(4000).controller.detach_proxy(0);
     let trace = fleet.run_until(4900).attach(0).run_until(5300).lines_with(&["assign", "released"]);
@@ -56,7 +56,7 @@
 /// Guards against requests to draining endpoints: a proxy that attaches later during the hold has not been
 /// sent the ejection yet.
 #[test]
-fn drain_during_the_start_up_hold_is_ejected_at_earlier_and_later_attachments() {
+fn endpoint_draining_in_the_startup_hold_is_ejected_at_earlier_and_later_attachments() {
     let mut fleet = TestFleet::new(4);
     fleet.attach(0).run_until(1000).update_list(&[with_status(2, EndpointStatus::Draining)]).run_until(2000);
     let trace = fleet.attach(1).run_until(3000).lines_with(&["eject", "restore", "released"]);
@@ -118,7 +118,7 @@
 /// Guards against requests to removed endpoints: one that was removed before this start cannot be ejected,
 /// but proxies may still use it.
 #[test]
-fn start_up_hold_ends_within_the_drain_grace_period_when_the_list_had_changed_before() {
+fn startup_hold_ends_within_the_drain_grace_period_when_the_list_had_changed_before() {
     let mut fleet = TestFleet::with(0, |settings| {
         settings.rules.drain_grace = Some(ms(2000));
     });
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -603,7 +603,7 @@
 /// when all proxies have tables, and assignments waited for an entry that was published only after the
 /// ejections ended.
 #[test]
-fn endpoints_that_all_drained_during_the_start_up_hold_are_used_again() {
+fn endpoints_that_all_drained_during_the_startup_hold_are_used_again() {
     let mut fleet = TestFleet::new(3);
     fleet
         .attach(0)
--- a/tests/controller/without_health_checks.rs
+++ b/tests/controller/without_health_checks.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn start_up_hold_ends_without_health_checks() {
+fn startup_hold_ends_without_health_checks() {
     let mut fleet = fleet();
     fleet.print_health_checks = true;
     let trace = fleet.run_until(6000).trace.clone();
