--- a/crates/fleet/src/error.rs
+++ b/crates/fleet/src/error.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Error)]
 pub enum PublishError {
     /// Another controller with this later epoch has taken over the folder. Nothing is written from then on.
-    #[error("superseded: a controller with epoch {0} has taken over the folder; writing has stopped")]
+    #[error("superseded: a controller of epoch {0} has taken over the folder; writing has stopped")]
     Fenced(Epoch),
     /// The snapshot could not be written. The previous one stays in use, and writing is retried.
     #[error("failed to write a snapshot, the previous one stays in use: {0}")]
