--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -20,7 +20,7 @@
 /// The endpoint list.
 impl Controller {
     /// Records an update of the endpoint list to this version. `is_complete` is true if `records` are the
-    /// whole list, so that all other endpoints are removed. Version 0 is the first, from which nothing was
+    /// complete list, so that all other endpoints are removed. Version 0 is the first, from which nothing was
     /// removed yet.
     pub fn update_endpoints(
         &mut self,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -67,7 +67,7 @@
     next_evaluation: Duration,
     /// The time from which common updates may be sent again.
     next_publication: Duration,
-    /// The end of the cool-down after a change of admission rates, in which reports come to reflect it.
+    /// The end of the cool-down after a change of admission rates, until which reports may not reflect it yet.
     next_admission_change: Duration,
 }
 
--- a/src/health_state.rs
+++ b/src/health_state.rs
@@ -50,8 +50,8 @@
         self.0 == Some(MAX_COUNT)
     }
 
-    /// Counts this many results at once: passed ones if positive, failed ones if negative. The first result
-    /// sets the counter to its maximum or to 0.
+    /// Counts this many results of the same outcome: passed ones if positive, failed ones if negative. The
+    /// first result sets the counter to its maximum or to 0.
     pub fn record(&mut self, results: i32) {
         self.0 = match self.0 {
             None if results == 0 => None,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! lockcroft decides, for a fleet of proxies, which endpoints each class of requests may use, at what
 //! weights, and which fraction of the requests is admitted.
 //!
-//! This crate contains all decisions and performs no I/O: it knows no wire format and reads no clock. Every
+//! This crate contains all decisions and performs no I/O: it uses no wire format and reads no clock. Every
 //! time passed in is the time since the controller instance started. [`Controller`] is the entry point; each
 //! mechanism has its own module, whose documentation states its inputs and its decisions:
 //!
@@ -69,9 +69,9 @@
     pub machine_type: MachineTypeId,
     /// Its listed status.
     pub status: EndpointStatus,
-    /// The listed weight; 1 where the list gives none.
+    /// The listed weight; 1 if the list contains none.
     pub weight: f64,
-    /// The time since its process started; `None` stands for a start before the slow-start window.
+    /// The time since its process started; `None` if it started before the slow-start window.
     pub age: Option<Duration>,
 }
 
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: if the endpoints of a class as a whole are too slow, fewer of its requests are admitted.
 //!
 //! Decides the admission rate of each class, from the latency of each table, once per evaluation. The classes
-//! with the least value per unit of work are reduced first, and every class keeps a minimum rate. An
-//! unrestricted class also gives up weight at endpoints that a restricted class needs.
+//! with the least value per unit of work are reduced first, and every class keeps a minimum rate. The
+//! weight of an unrestricted class at endpoints that a restricted class needs is reduced as well.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -3,8 +3,8 @@
 //!
 //! Decides, from the attempts reported since the last evaluation, whether an endpoint is an outlier (like
 //! Envoy's outlier detection by failure percentage). An endpoint is compared with the rest of its subset, so
-//! that failures of the whole subset make no outlier. An outlier is down for a minimum time, whatever its
-//! health checks say, and returns with the lowest weight factor.
+//! that failures of the whole subset make no outlier. An outlier is down for a minimum time, whatever the
+//! results of its health checks, and returns with the lowest weight factor.
 
 use std::time::Duration;
 
--- a/src/proxies.rs
+++ b/src/proxies.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the number of messages within the window before `now`, and forgets older ones.
+    /// Returns the number of messages within the window before `now`, and drops older ones.
     fn recent_messages(&mut self, now: Duration, window: Duration) -> usize {
         self.messages.retain(|time| *time + window >= now);
         self.messages.len()
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -86,8 +86,8 @@
 /// its drain grace period ends first. The order of the others is kept.
 ///
 /// Once a proxy has all of its tables, it needs no ejections. Ejections therefore follow the urgent table
-/// assignments, and new ejections follow all other updates: if the assignments are sent at once, the
-/// ejections are not needed.
+/// assignments, and new ejections follow all other updates: if the assignments can be sent immediately,
+/// the ejections are not needed.
 pub fn order_updates(
     now: Duration,
     updates: Vec<PendingUpdate>,
@@ -253,7 +253,7 @@
 }
 
 impl EntryChange<'_> {
-    /// Returns true if the endpoint must lose weight at once: it is draining or removed, or has restarted.
+    /// Returns true if the endpoint must lose weight immediately: it is draining or removed, or has restarted.
     fn must_not_wait(&self, now: Duration) -> bool {
         let is_leaving = self.state.is_not_ready() && self.desired < self.published;
         let has_restarted =
@@ -263,7 +263,7 @@
 
     /// Returns the time since which a change that must not wait is pending. That is the time at which the
     /// list reported the change, or now for an endpoint that is warming up and has little weight already, as
-    /// it bears a short delay.
+    /// a short delay does no harm there.
     fn pending_since(&self, now: Duration) -> Duration {
         let has_little_weight = self.published <= CAUTIOUS_FRACTION * self.state.record.weight;
         match self.state.list_changed_at {
@@ -278,8 +278,8 @@
     }
 }
 
-/// Returns true if so little of a table's desired weight is published that it must be filled at once: the
-/// remaining endpoints must not be lost while their replacements wait in the queue.
+/// Returns true if so little of a table's desired weight is published that it must be filled immediately:
+/// the remaining endpoints must not be lost while their replacements wait in the queue.
 fn lacks_weight(table: &RoutingTable, total_weight: f64) -> bool {
     let kept_weight =
         |(endpoint, desired): (&EndpointId, &f64)| desired.min(table.published_weight(*endpoint));
--- a/src/random.rs
+++ b/src/random.rs
@@ -9,7 +9,7 @@
 pub struct Random(WyRand);
 
 impl Random {
-    /// Returns a source; equal seeds give equal sequences.
+    /// Returns a source; equal seeds produce equal sequences.
     pub fn new(seed: u64) -> Self {
         Random(WyRand::new_seed(seed))
     }
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -127,8 +127,8 @@
         before
     }
 
-    /// Records that a message was acknowledged: all batches before its own have left the channel, and of its
-    /// own batch this message.
+    /// Records that a message was acknowledged. This message and all messages of earlier batches have left the
+    /// channel; other messages of its batch may still wait.
     pub fn record_acknowledged(&mut self, position: f64, entries: f64) {
         self.acknowledged = self.acknowledged.max(position);
         self.acknowledged_messages.push(AcknowledgedMessage { position, entries });
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! grows linearly from the configured initial fraction, as in the slow start of Envoy and HAProxy. While a
 //! subset is unstable, its endpoints that are warming up get little or no weight: proxies whose attempts fail
 //! elsewhere, that have ejected unreachable endpoints, or that send more requests as the admission rate rises
-//! would all turn to the started endpoint, however small its weight.
+//! would all send their requests to the started endpoint, however small its weight.
 
 use std::time::Duration;
 
--- a/src/startup_hold.rs
+++ b/src/startup_hold.rs
@@ -29,7 +29,7 @@
 }
 
 impl HoldConditions {
-    /// Returns the conditions at `now`. `drain_grace` is given if the endpoint list changed before this
+    /// Returns the conditions at `now`. `drain_grace` is `Some` if the endpoint list changed before this
     /// start: proxies may still use endpoints that were removed and cannot be ejected, as the list no longer
     /// names them, so all proxies need new tables within the drain grace period.
     pub fn new(
@@ -42,7 +42,7 @@
         HoldConditions { now, max_hold: grace_limit.map_or(MAX_HOLD, |grace| MAX_HOLD.min(grace)), unusable }
     }
 
-    /// Returns the reason why the hold of a table with these endpoints ends now; `None` if it goes on.
+    /// Returns the reason why the hold of a table with these endpoints ends now; `None` if it continues.
     pub fn release_reason<'a>(
         &self,
         mut endpoints: impl Iterator<Item = &'a EndpointState>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -13,7 +13,7 @@
     pub record: EndpointRecord,
     /// The index of its subset of the fleet.
     pub subset: usize,
-    /// Its rise/fall counter, moved by health checks and by reported attempts.
+    /// Its rise/fall counter, updated by health checks and by reported attempts.
     pub health: HealthCounter,
     /// The timer of its health check.
     pub health_check: HealthCheckTimer,
--- a/src/weight_reduction.rs
+++ b/src/weight_reduction.rs
@@ -9,7 +9,7 @@
 use crate::state::EndpointState;
 use crate::thresholds::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO, SATURATED_LOAD, WEIGHT_RECOVERY_STEP};
 
-/// Multiple of its subset's latency ratio above which an endpoint counts as slow by itself.
+/// Multiple of its subset's latency ratio above which an endpoint counts as slower than its subset.
 const SLOWER_THAN_SUBSET: f64 = 1.6;
 /// Lowest ratio of a weight factor after an evaluation to the one before.
 const MIN_REDUCTION_RATIO: f64 = 0.7;
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -65,7 +65,7 @@
 enum Basis {
     /// Some endpoint is up; those that are down have no weight.
     Health,
-    /// All endpoints look down, which is more likely an error than true; the last published weights stay.
+    /// All endpoints look down, which is probably an error; the last published weights stay.
     LastPublished,
     /// All endpoints look down and no weights were published; all have their listed weights.
     Listed,
@@ -126,8 +126,8 @@
 
     /// Returns the fraction for an endpoint that is warming up and at risk. It is used if it reports
     /// headroom; otherwise, a subset that is unstable because it lacks endpoints would exclude those that it
-    /// needs. If many attempts fail, it is not used, as they may all be retried at once and overload it
-    /// before it reports so.
+    /// needs. If many attempts fail, it is not used, as they may all be retried immediately and overload
+    /// it before it reports so.
     fn cautious_fraction(&self, state: &EndpointState) -> f64 {
         let few_failures = self.table.failure_ratio.is_some_and(|failing| failing <= HEALTHY_FAILURE_RATIO);
         let has_minimum_progress = self.table.failure_ratio.is_none()
--- a/tests/controller/planned_weights.rs
+++ b/tests/controller/planned_weights.rs
@@ -42,9 +42,10 @@
     .assert_eq(&trace);
 }
 
-/// Guards against overload when a zone loses the endpoints of its plan: the plan is not updated at once, and
-/// the rest of it, a quarter of one endpoint, cannot serve all requests. The table falls back to the whole
-/// locality group with listed weights, and returns to the plan once the endpoints are healthy again.
+/// Guards against overload when a zone loses the endpoints of its plan: the plan is not updated immediately,
+/// and the rest of it, a quarter of one endpoint, cannot serve all requests. The table falls back to all
+/// endpoints of its locality group with listed weights, and returns to the plan once the endpoints are
+/// healthy again.
 #[test]
 fn table_falls_back_to_its_group_when_planned_endpoints_are_lost() {
     let mut fleet = by_zone();
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -6,10 +6,10 @@
 
 const HEALTHY: (u32, u32, u64) = (20, 0, 200);
 
-/// Guards against overload after a restart: the endpoint loses its weight at once and regains it from the
-/// initial fraction.
+/// Guards against overload after a restart: the endpoint loses its weight immediately and regains it from
+/// the initial fraction.
 #[test]
-fn restarted_endpoint_loses_its_weight_at_once_and_regains_it_slowly() {
+fn restarted_endpoint_loses_its_weight_immediately_and_regains_it_slowly() {
     let mut fleet = TestFleet::new(3);
     fleet.attach(0).report_until(8000, &[HEALTHY; 3]).clear_trace().update_list(&[started(1, 1000)]);
     let trace = fleet.report_until(8_900, &[HEALTHY; 3]).lines_with(&["table 0: endpoint 1"]);
@@ -149,7 +149,7 @@
     .assert_eq(&trace);
 }
 
-/// Guards against a full queue: assignments wait when many proxies attach at once, but drains do not.
+/// Guards against a full queue: assignments wait when many proxies attach at the same time, but drains do not.
 #[test]
 fn mass_attachment_keeps_queue_and_messages_within_their_limits() {
     let limits = |settings: &mut Settings| {
@@ -315,7 +315,7 @@
 /// Guards against a proxy without endpoints: only removals from a table were urgent, so their replacements
 /// waited.
 #[test]
-fn lost_subset_falls_back_to_its_locality_group_at_once() {
+fn lost_subset_falls_back_to_its_locality_group_immediately() {
     let mut fleet = large_fleet();
     fleet
         .run_until(6000)
@@ -439,8 +439,8 @@
     .assert_eq(&trace);
 }
 
-/// Guards against overload of endpoints that are warming up: when clients retried at once, endpoints that had
-/// reported headroom got several times the requests that they could serve, some because of an outdated
+/// Guards against overload of endpoints that are warming up: when clients retried immediately, endpoints
+/// that had reported headroom got several times the requests that they could serve, some because of an outdated
 /// report, as they were too busy to answer a health check.
 #[test]
 fn warming_endpoint_gets_nothing_where_attempts_fail_or_checks_are_rejected() {
