--- a/crates/fleet/benches/wave.rs
+++ b/crates/fleet/benches/wave.rs
@@ -44,7 +44,8 @@
     EndpointListConfig { version, entries: (0..ENDPOINTS).map(entry).collect() }
 }
 
-/// Executes effects at once: health checks pass and commands succeed. Returns the number of commands and their bytes.
+/// Executes effects immediately: health checks pass and commands succeed. Returns the number of commands and their
+/// bytes.
 fn execute(fleet: &mut FleetController, now: Duration, effects: Vec<Effect>) -> (usize, usize) {
     let (mut commands, mut bytes) = (0, 0);
     for effect in effects {
--- a/crates/fleet/src/demand_estimate.rs
+++ b/crates/fleet/src/demand_estimate.rs
@@ -1,5 +1,5 @@
 //! Demand by class and zone, estimated from the requests that proxies counted: an exponentially weighted moving
-//! average that adopts a new rate at once when the change is too large for random variation.
+//! average that adopts a new rate immediately when the change is too large for random variation.
 
 use std::time::Duration;
 
--- a/crates/fleet/src/fleet_controller.rs
+++ b/crates/fleet/src/fleet_controller.rs
@@ -174,7 +174,7 @@
 
     /// Expires timers, executes the actions of the decisions until none is left, and returns the effects for the
     /// host. The effects include those of inputs since the last call. Messages to many proxies are spread over
-    /// several calls; [`FleetController::next_due`] then asks for the next call at once.
+    /// several calls; [`FleetController::next_due`] then returns the current time.
     pub fn run_actions(&mut self, now: Duration) -> Vec<Effect> {
         self.now = now;
         self.expire_timers(now);
--- a/crates/fleet/src/ledger_change.rs
+++ b/crates/fleet/src/ledger_change.rs
@@ -1,4 +1,4 @@
-//! A change at a proxy, and its place in the order of an update message.
+//! A change at a proxy, and its position in an update message.
 
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/proxy_counters.rs
+++ b/crates/fleet/src/proxy_counters.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the increase since an earlier reading. If any counter decreased, the proxy was restarted or the
-    /// endpoint's entry was added anew, and the increase is the whole value.
+    /// endpoint's entry was added again, and the increase is the complete value.
     fn increase_since(self, earlier: Totals) -> Totals {
         let was_reset = self.total < earlier.total
             || self.failed < earlier.failed
--- a/crates/fleet/src/publication.rs
+++ b/crates/fleet/src/publication.rs
@@ -32,7 +32,7 @@
     pub epoch: Epoch,
     /// The version within the epoch.
     pub version: Version,
-    /// The reason that the proxy gives.
+    /// The reason that the proxy reported.
     pub reason: String,
 }
 
--- a/crates/fleet/src/sessions.rs
+++ b/crates/fleet/src/sessions.rs
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Closes the connection if its oldest outstanding command has timed out. Each write sets a timer of its own, so
-    /// that none has to be set here for commands that were sent later.
+    /// Closes the connection if its oldest outstanding command has timed out. Each write sets a separate timer,
+    /// so that none has to be set here for commands that were sent later.
     fn check_response_timeout(&mut self, now: Duration, proxy: ProxyId, connection: u64) {
         let Some(oldest) = self.sessions[proxy].outstanding.front() else { return };
         if oldest.sent_at + self.response_timeout <= now {
--- a/crates/fleet/src/views/arguments.rs
+++ b/crates/fleet/src/views/arguments.rs
@@ -21,8 +21,8 @@
         self.endpoints.find(endpoint).ok_or(OperatorError::NoSuchEndpoint)
     }
 
-    /// Returns the weight that `N`, in units of [`WeightScale`], or `N%`, a percentage of the listed weight, gives
-    /// this endpoint.
+    /// Returns the weight of this endpoint that is stated as `N`, in units of [`WeightScale`], or as `N%`, a
+    /// percentage of the listed weight.
     ///
     /// # Errors
     /// Returns an error if the text is not a number, or the weight is out of range.
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -406,7 +406,7 @@
         let Some(publication) = self.writing.take() else { return false };
         let version = self.current_snapshot.as_ref().map_or(0, |(version, _)| *version) + 1;
         let result = match self.disk {
-            Disk::Full => Err(PublishError::Failed("no room".into())),
+            Disk::Full => Err(PublishError::Failed("no space left on device".into())),
             Disk::Fenced => Err(PublishError::Fenced(2)),
             _ => Ok(WrittenSnapshot { epoch: 1, version, ..WrittenSnapshot::default() }),
         };
--- a/crates/fleet/tests/updates/state_recovery.rs
+++ b/crates/fleet/tests/updates/state_recovery.rs
@@ -45,10 +45,10 @@
     assert_eq!(simulation.saved_state.len(), given_out + 1);
 }
 
-/// An endpoint was taken off the list while the controller was down. With recovered state, the controller knows its
-/// name and ejects it at once from the tables that proxies still have.
+/// An endpoint was taken off the list while the controller was down. The recovered state contains its name,
+/// so the controller ejects it immediately from the tables that proxies still have.
 #[test]
-fn endpoint_removed_while_the_controller_is_down_is_ejected_at_once() {
+fn endpoint_removed_while_the_controller_is_down_is_ejected_immediately() {
     let mut before = with_recovered_state(Simulation::without_list(3, 1), RecoveredState::default());
     before.run_to(7000).set_status(1, EndpointStatus::Removed);
     before.run_to(8000);
--- a/crates/fleet/tests/updates/table_files.rs
+++ b/crates/fleet/tests/updates/table_files.rs
@@ -77,7 +77,9 @@
     assert!(simulation.fleet.queued_entries() >= 2, "{}", simulation.fleet.queued_entries());
     let info = simulation.fleet.show_info();
     assert!(
-        info.contains("FilesTrouble: failed to write a snapshot, the previous one stays in use: no room"),
+        info.contains(
+            "FilesTrouble: failed to write a snapshot, the previous one stays in use: no space left on device"
+        ),
         "{info}"
     );
     let failures: usize =
