--- a/crates/proxy/benches/forward.rs
+++ b/crates/proxy/benches/forward.rs
@@ -1,5 +1,5 @@
 //! Measures the throughput of one proxy on one core and the latency that it adds, compared with the same load sent
-//! directly to the endpoint. Load generator, endpoint and proxy each run on a thread of their own.
+//! directly to the endpoint. Load generator, endpoint and proxy each run on a separate thread.
 //! Run: cargo bench -p lockcroft-proxy --bench forward
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 /// machine may disturb some of them.
 const WINDOWS: usize = 20;
 
-/// Runs a task on a thread of its own and waits for the value that it sends.
+/// Runs a task on a new thread and waits for the value that it sends.
 fn on_own_thread<T: Send + 'static, F: Future<Output = ()>>(
     name: &str,
     work: impl FnOnce(mpsc::Sender<T>) -> F + Send + 'static,
--- a/crates/proxy/src/choose/smooth_weighted_round_robin.rs
+++ b/crates/proxy/src/choose/smooth_weighted_round_robin.rs
@@ -49,8 +49,8 @@
         schedule
     }
 
-    /// Changes the weight of one entry, which is then due after half of its new interval. If it were due at
-    /// once, each weight change would cause a request to it; after a full interval it would be due too late.
+    /// Changes the weight of one entry, which is then due after half of its new interval. If it were due
+    /// immediately, each weight change would cause a request to it; after a full interval it would be due too late.
     ///
     /// # Panics
     /// There is no entry with this index.
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -61,8 +61,8 @@
     pub classes: Vec<(String, Duration)>,
     /// The names and addresses of the endpoints in the default table.
     pub default_table: Vec<(String, SocketAddr)>,
-    /// The settings for reading tables from a snapshot folder; `None` if tables come over control connections
-    /// only.
+    /// The settings for reading tables from a snapshot folder; `None` if tables are received over control
+    /// connections only.
     pub table_files: Option<TableFilesConfig>,
 }
 
--- a/crates/proxy/src/control_session.rs
+++ b/crates/proxy/src/control_session.rs
@@ -37,8 +37,8 @@
         ControlSession { session: Session::new(level), epoch: None, prepared: None }
     }
 
-    /// Executes a line of commands in one go and appends the answers to `out`. If one of several commands that
-    /// change something is refused, none of them takes effect, and each answers with the error.
+    /// Executes a line of commands without interruption and appends the answers to `out`. If one of several
+    /// commands that change something is refused, none of them takes effect, and each answers with the error.
     pub fn execute_line(
         &mut self,
         commands: &[Command],
--- a/crates/proxy/src/framing_validator.rs
+++ b/crates/proxy/src/framing_validator.rs
@@ -1,6 +1,6 @@
 //! Validates the framing of requests on a client connection, to prevent request smuggling. If a request can be
 //! read in several ways (two lengths, a length with chunked encoding, folded headers, malformed chunks), the HTTP
-//! library takes one of them and goes on, while the next hop may take another. Such requests are rejected here.
+//! library picks one of them and continues, while the next hop may pick another. Such requests are rejected here.
 
 use thiserror::Error;
 
--- a/crates/proxy/src/io/bodies.rs
+++ b/crates/proxy/src/io/bodies.rs
@@ -30,7 +30,7 @@
 
 impl RequestBody {
     /// Buffers a body of up to `max_bytes` bytes; a longer one is streamed. Returns `None` if the client
-    /// sends neither the whole body nor more than `max_bytes` within `time_limit`, or if its connection
+    /// sends neither the complete body nor more than `max_bytes` within `time_limit`, or if its connection
     /// breaks.
     pub async fn receive(mut body: Incoming, max_bytes: usize, time_limit: Duration) -> Option<Self> {
         if body.is_end_stream() {
--- a/crates/proxy/src/io/clients.rs
+++ b/crates/proxy/src/io/clients.rs
@@ -21,8 +21,8 @@
 /// Delay after a failed accept, such as one for lack of free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Time for which an idle connection stays open once the proxy drains, so that a request that is already on
-/// its way is answered and does not find the connection closed.
+/// Time for which an idle connection stays open once the proxy drains, so that a request that the
+/// client has already sent is answered and does not find the connection closed.
 const IDLE_DRAIN_DELAY: Duration = Duration::from_millis(250);
 
 /// Interval at which a connection on which a request is being received is checked while the proxy drains.
--- a/crates/proxy/src/io/folder_watch.rs
+++ b/crates/proxy/src/io/folder_watch.rs
@@ -30,8 +30,8 @@
     /// watched folders has changed.
     pub async fn wait_for_change(&mut self, timeout: Duration) {
         if self.shared.update_watched_folders() {
-            // Changes made before the new folder was watched raised no event: the caller has to read it once
-            // more.
+            // Changes made before the new folder was watched raised no event: the caller has to read it
+            // again.
             return;
         }
         // The caller reads the folder after a timeout as after an event.
--- a/crates/proxy/src/io/guards.rs
+++ b/crates/proxy/src/io/guards.rs
@@ -1,6 +1,6 @@
 //! Guards for what a request occupies while it is handled: counts, attempts in flight and retry tokens. The
 //! HTTP library drops the future of a request whose client reset the connection, at any `await`. Each guard
-//! releases its share when it is dropped, so that abandoned requests don't use up capacity for good.
+//! releases its share when it is dropped, so that abandoned requests don't use up capacity permanently.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/proxy/src/io/worker.rs
+++ b/crates/proxy/src/io/worker.rs
@@ -36,7 +36,7 @@
     phase: watch::Sender<Phase>,
 }
 
-/// The phase of the proxy's life. Phases only advance.
+/// The phase of the proxy's lifecycle. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Running,
@@ -130,7 +130,7 @@
         session_state
     }
 
-    /// Injects the configured fault `stall_per_command`: blocks the thread, and with it the whole proxy, for
+    /// Injects the configured fault `stall_per_command`: blocks the thread, and with it the entire proxy, for
     /// this time per command that changes state.
     pub fn inject_stall(&self, commands: &[Command]) {
         let count = commands.iter().filter(|command| changes_state(command)).count();
--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -92,7 +92,7 @@
     }
 
     /// Adopts the staged state, or nothing of it if one of several commands that change something was refused.
-    /// Returns the answers to the commands. `has_version` is true if the line is a batch with a version of its own.
+    /// Returns the answers to the commands. `has_version` is true if the line is a batch that gets a new version.
     pub(crate) fn conclude(mut self, state: &mut RoutingState, has_version: bool) -> Vec<String> {
         let rejection = self.rejection.take();
         // A single command that was refused may have added the payload lines before a malformed one.
--- a/crates/proxy/tests/sockets/abandonment.rs
+++ b/crates/proxy/tests/sockets/abandonment.rs
@@ -67,7 +67,7 @@
 }
 
 /// Guards against attempts of disconnected clients that stay counted as in flight, which would make an
-/// endpoint appear saturated for good.
+/// endpoint appear saturated permanently.
 #[test]
 fn clients_that_disconnect_do_not_use_up_the_capacity_of_an_endpoint() {
     run(async {
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn an_admission_rate_applies_at_once_and_always_sheds_the_same_clients() {
+fn an_admission_rate_applies_immediately_and_always_sheds_the_same_clients() {
     run(async {
         let (healthy, head_count) = start_endpoint(Behavior::Answers(OK)).await;
         let fixture = start_proxy(&[healthy], |_| {}).await;
--- a/crates/proxy/tests/transcript.rs
+++ b/crates/proxy/tests/transcript.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Returns the FNV-1a hash of a transcript, which is recorded in its place.
+/// Returns the FNV-1a hash of a transcript, which is recorded instead of the transcript.
 fn hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
