--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -192,7 +192,7 @@
         duration: Duration,
     ) {
         let name = self.endpoints.name(endpoint);
-        // The result of a former address says nothing about an endpoint whose address has changed.
+        // The result of a check at the former address doesn't apply to an endpoint whose address has changed.
         let is_current = self.endpoints.address(endpoint) == Some(address);
         let outcome = if is_current { outcome } else { HealthCheckOutcome::AddressChanged };
         let duration_us = duration.as_micros() as u64;
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns the time since the endpoint's process started. The age of a start that was reported before advances with
-    /// the controller's monotonic clock, so that two reports of the same start never look like two starts.
+    /// the controller's monotonic clock, so that two reports of the same start are never treated as two starts.
     fn process_age(&mut self, now: Now, endpoint: EndpointId, started_unix_ms: u64) -> Duration {
         let reported = ProcessStart {
             started_unix_ms,
--- a/crates/platform/src/io/discovery.rs
+++ b/crates/platform/src/io/discovery.rs
@@ -17,7 +17,7 @@
 
 /// How long discovery may delay its answer to a long poll without changes, and the timeout for the answer beyond that.
 /// Both are short, because discovery counts a change as reported soon after a call has ended, even if the answer was
-/// lost, and because a dead connection looks like one without changes.
+/// lost, and because a dead connection can't be told apart from one without changes.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The delay between a failed call and the next connection.
--- a/crates/platform/src/io/tick_loop.rs
+++ b/crates/platform/src/io/tick_loop.rs
@@ -16,7 +16,7 @@
 use super::{discovery, listener, reload};
 use crate::config::Config;
 
-/// How long inputs are collected before the controller runs, if the settings give no interval.
+/// How long inputs are collected before the controller runs, if the settings contain no interval.
 const DEFAULT_DECISION_INTERVAL: Duration = Duration::from_millis(5);
 /// The maximum time for writing the last updates after SIGTERM; well below the platform's grace period.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
