--- a/crates/cli/tests/daemon/platform_testbed.rs
+++ b/crates/cli/tests/daemon/platform_testbed.rs
@@ -117,7 +117,7 @@
         CheckedEndpoint { address, status, checks }
     }
 
-    /// Changes the status line of the answers, and forgets the checks that were counted before.
+    /// Changes the status line of the answers, and discards the checks received so far.
     pub fn set_status(&self, status: &'static str) {
         *self.status.lock().expect("not poisoned") = status;
         while self.checks.try_recv().is_ok() {}
--- a/crates/cli/tests/daemon/signals.rs
+++ b/crates/cli/tests/daemon/signals.rs
@@ -143,7 +143,7 @@
 
 /// Guards against a drain that can't be interrupted, and against connections that are cut without being logged.
 #[test]
-fn a_second_sigterm_stops_a_proxy_at_once_and_logs_the_cut_connections() {
+fn a_second_sigterm_stops_a_proxy_immediately_and_logs_the_cut_connections() {
     let fixture = ProxyFixture::new(endpoint(Duration::from_secs(20)));
     let mut proxy = fixture.start_and_wait();
     let _streams = [fixture.begin_request(), fixture.begin_request()];
--- a/crates/config/src/daemon_reader.rs
+++ b/crates/config/src/daemon_reader.rs
@@ -58,7 +58,7 @@
     if reader.errors.is_empty() { Ok(config) } else { Err(ConfigErrors(reader.errors)) }
 }
 
-/// Reads the child elements and collects the errors in all of them, so that operators see every error at once.
+/// Reads the child elements and collects the errors in all of them, so that operators see every error in one run.
 struct DaemonReader<'d, 'i> {
     document: &'d Document,
     root: Node<'d, 'i>,
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn all_errors_of_a_file_are_reported_at_once() {
+fn all_errors_of_a_file_are_reported_together() {
     let duplicate_zone = VALID.replace("<zone name=\"south\"/>", "<zone name=\"north\"/>");
     let errors = read(&duplicate_zone).expect_err("an invalid configuration");
     assert_eq!(errors.lines().count(), 2, "{errors}");
--- a/crates/scenario/src/apply_variant.rs
+++ b/crates/scenario/src/apply_variant.rs
@@ -75,7 +75,7 @@
 struct SettingsChange<'a> {
     variant: &'a str,
     element: &'a str,
-    /// The value of the attribute `name` of the child that is meant; empty for the element itself.
+    /// The value of the attribute `name` of the child element to change; empty for the element itself.
     child: &'a str,
 }
 
--- a/crates/scenario/src/endpoint_list_file.rs
+++ b/crates/scenario/src/endpoint_list_file.rs
@@ -1,4 +1,4 @@
-//! The endpoint list file that controllers read. Each change replaces the whole file under a new version.
+//! The endpoint list file that controllers read. Each change replaces the complete file under a new version.
 
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -62,7 +62,7 @@
         variant: String,
         /// The name of the element.
         element: String,
-        /// The value of the attribute `name` of the child that is meant; empty for the element itself.
+        /// The value of the attribute `name` of the child element to change; empty for the element itself.
         child: String,
     },
     /// The settings are not well-formed XML, before or after a change.
--- a/crates/scenario/src/proxy_fleet.rs
+++ b/crates/scenario/src/proxy_fleet.rs
@@ -9,7 +9,7 @@
 pub struct ProxyFleet {
     /// The number of proxies in each zone.
     pub per_zone: usize,
-    /// The number of endpoints of its own zone in a proxy's default table.
+    /// The number of endpoints in a proxy's default table, all from the proxy's zone.
     pub default_table_entries: usize,
     /// The source from which proxies get their tables.
     pub table_source: TableSource,
--- a/crates/scenario/src/resource_meter.rs
+++ b/crates/scenario/src/resource_meter.rs
@@ -83,8 +83,8 @@
 }
 
 impl ResourceMeter {
-    /// Starts to sample the process whose id `process_id` currently contains; 0 stands for none. The id may change when
-    /// the process is restarted.
+    /// Starts to sample the process whose id `process_id` currently contains; 0 if there is none. The id may change
+    /// when the process is restarted.
     #[must_use]
     pub fn start(process_id: Arc<AtomicU32>, recorder: TrafficRecorder) -> Self {
         let samples = Arc::new(Mutex::new(Vec::new()));
--- a/crates/scenario/src/rules/choices.rs
+++ b/crates/scenario/src/rules/choices.rs
@@ -6,7 +6,7 @@
 use crate::rules::fleet_history::FleetHistory;
 
 /// Counts the requests that were sent to an endpoint that could not be picked from the table at the version that the
-/// proxy names in the request. `fleet` is the history of the whole record.
+/// proxy names in the request. `fleet` is the history of all `records`.
 pub fn check_choices(records: &[TrafficRecord], fleet: &FleetHistory) -> CheckResult {
     let mut result = CheckResult::new("choices by table", "choices outside it", 0.0);
     for record in records {
--- a/crates/scenario/src/rules/weight_fractions.rs
+++ b/crates/scenario/src/rules/weight_fractions.rs
@@ -11,7 +11,8 @@
 
 /// Groups with fewer requests are too small to be checked.
 const MIN_REQUESTS: usize = 50;
-/// The time after a failure for which a proxy may eject an endpoint by itself, and so deviate from the weights.
+/// The time after a failure for which a proxy may eject an endpoint without the controller, and so deviate from the
+/// weights.
 const SETTLING_TIME: Duration = Duration::from_secs(6);
 
 /// The requests that a proxy sent by one table version.
--- a/crates/scenario/src/score.rs
+++ b/crates/scenario/src/score.rs
@@ -65,7 +65,7 @@
 }
 
 /// Scores a record. A successful response within the latency objective earns the full value of its class, a later one
-/// the fraction from the settings. `zones` gives the zones of endpoints and proxies, `restarts` the times at which
+/// the fraction from the settings. `zones` contains the zones of endpoints and proxies, `restarts` the times at which
 /// the controller was restarted.
 #[must_use]
 pub fn score(
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the name that proxies give to the table of this number.
+/// Returns the name that proxies use for the table of this number.
 fn table_name(number: u32) -> String {
     format!("t{number}")
 }
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -43,7 +43,7 @@
     hangup: Signal,
 }
 
-/// The request that a received signal stands for.
+/// The operation that a received signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceivedSignal {
     /// SIGTERM or SIGINT: shut down.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! Connects controllers to the simulator's line protocol. Translates events on standard input to calls of
-//! [`lockcroft::Controller`], and its actions to lines on standard output. Makes no decisions of its own.
+//! [`lockcroft::Controller`], and its actions to lines on standard output. Makes no decisions itself.
 //!
 //! `batch_input` reads lines, and `event_reader` the fields of a line. `wire` maps the names of the protocol.
 //! `instance` has a function for each kind of event, and `adapter` runs batches over all instances.
--- a/crates/solver/benches/solve.rs
+++ b/crates/solver/benches/solve.rs
@@ -1,5 +1,6 @@
 //! Measures the time to solve problems of several sizes, and to solve again after one change. Compares the results with
-//! a linear program of the whole problem and with a greedy method. Run: cargo bench -p lockcroft-solver --bench solve
+//! a linear program of the complete problem and with a greedy method.
+//! Run: cargo bench -p lockcroft-solver --bench solve
 
 #[path = "../tests/linear_program/mod.rs"]
 mod linear_program;
--- a/crates/solver/src/endpoint_group.rs
+++ b/crates/solver/src/endpoint_group.rs
@@ -15,7 +15,7 @@
     pub classes: Vec<usize>,
     /// Indices of its endpoints, in ascending order.
     pub endpoints: Vec<usize>,
-    /// Sum of the available capacities, in whole units of work per second.
+    /// Sum of the available capacities, in integer units of work per second.
     pub capacity: i64,
 }
 
--- a/crates/solver/src/latency.rs
+++ b/crates/solver/src/latency.rs
@@ -18,7 +18,7 @@
 /// A segment of a group's capacity with a constant cost per unit of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LinearSegment {
-    /// In whole units of work per second.
+    /// The capacity of the segment, in integer units of work per second.
     pub capacity: i64,
     /// Cost of latency of a second of work on one core.
     pub cost: f64,
--- a/crates/solver/src/lib.rs
+++ b/crates/solver/src/lib.rs
@@ -1,11 +1,11 @@
 //! Plans endpoint weights and admission rates from capacities and demand. Has no I/O and reads no clock.
 //!
-//! A [`Problem`] states the capacity of the endpoints, and the demand and the value of each class. [`solve`] computes a
+//! A [`Problem`] states the capacity of the endpoints, and the demand and the value of each class. [`solve()`] computes a
 //! maximum-gain flow and returns the admission rate of each class, the endpoints that do its work, and the weights.
 //! [`PlanStabilizer`] keeps the current weights until a new plan gains more than its changes cost; [`TableStabilizer`]
 //! keeps the fractions of a table until they change by more than a fluctuation of demand. [`CapacityEstimator`]
-//! estimates the capacities from load reports. The same input always gives a bit-identical solution, as the flow is
-//! computed in integers. `docs/solver.md` explains the objective.
+//! estimates the capacities from load reports. The same input always produces a bit-identical solution, as the flow
+//! is computed in integers. `docs/solver.md` explains the objective.
 
 #![warn(missing_docs)]
 
--- a/crates/solver/src/problem.rs
+++ b/crates/solver/src/problem.rs
@@ -70,15 +70,15 @@
     InvalidCrossingCost(f64),
 }
 
-/// The greatest value that is accepted. It keeps sums of work in whole units well within the range of `i64`.
+/// The greatest value that is accepted. It keeps sums of work in integer units well within the range of `i64`.
 const MAX_VALUE: f64 = 1e9;
 /// The least accepted value of a number that is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-6;
 
-/// The number of whole units in a second of work on one core: a unit is a microsecond of work.
+/// The number of integer units in a second of work on one core: a unit is a microsecond of work.
 pub(crate) const UNITS_PER_CORE: f64 = 1e6;
 
-/// Converts work from seconds of one core to whole units, rounded.
+/// Converts work from seconds of one core to integer units, rounded.
 fn to_units(work: f64) -> i64 {
     (work * UNITS_PER_CORE).round() as i64
 }
@@ -155,12 +155,12 @@
         Ok(())
     }
 
-    /// Returns the available capacity of an endpoint, in whole units of work per second.
+    /// Returns the available capacity of an endpoint, in integer units of work per second.
     pub(crate) fn capacity_units(&self, endpoint: usize) -> i64 {
         to_units(self.endpoints[endpoint].available_capacity())
     }
 
-    /// Returns the demand of a class in a zone of proxies, in whole units of work per second.
+    /// Returns the demand of a class in a zone of proxies, in integer units of work per second.
     pub(crate) fn demand_units(&self, class: usize, zone: usize) -> i64 {
         to_units(self.classes[class].demand[zone] * self.classes[class].work)
     }
--- a/crates/solver/src/solution.rs
+++ b/crates/solver/src/solution.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Scales numbers so that the greatest becomes [`MAX_WEIGHT`], and rounds them to whole weights. Numbers far below the
-/// greatest round to 0. All weights are 0 if no number is positive.
+/// Scales numbers so that the greatest becomes [`MAX_WEIGHT`], and rounds them to integer weights. Numbers far below
+/// the greatest round to 0. All weights are 0 if no number is positive.
 pub(crate) fn to_weights(shares: &[f64]) -> Vec<u32> {
     let max = shares.iter().copied().fold(0.0, f64::max);
     if max <= 0.0 {
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -33,7 +33,7 @@
 struct Sink {
     /// Index of the group.
     group: usize,
-    /// Capacity in whole units of work per second.
+    /// Capacity in integer units of work per second.
     capacity: i64,
     /// Cost of latency of a second of work on one core.
     latency_cost: f64,
--- a/crates/solver/tests/answers.rs
+++ b/crates/solver/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Solutions of whole problems: random problems compared with a linear program over every endpoint and segment, and
-//! edge cases.
+//! Solutions of complete problems: random problems compared with a linear program over every endpoint and segment,
+//! and edge cases.
 
 mod linear_program;
 
--- a/crates/solver/tests/flow.rs
+++ b/crates/solver/tests/flow.rs
@@ -6,8 +6,8 @@
 
 const ZONES: usize = 3;
 
-/// Returns the greatest gain of any flow in whole units. Enumerates all flows, source by source, and keeps the best of
-/// those that leave the same capacities.
+/// Returns the greatest gain of any flow in integer units. Enumerates all flows, source by source, and keeps the best
+/// of those that leave the same capacities.
 fn exhaustive_max_gain(network: &FlowNetwork) -> i64 {
     let mut best_by_capacity: BTreeMap<Vec<i64>, i64> = BTreeMap::from([(network.capacity.clone(), 0)]);
     for (supply, gain) in network.supply.iter().zip(&network.gain) {
--- a/crates/solver/tests/linear_program/mod.rs
+++ b/crates/solver/tests/linear_program/mod.rs
@@ -1,4 +1,4 @@
-//! Solves a whole problem as a linear program, with a variable for each combination of class, zone, endpoint and
+//! Solves a complete problem as a linear program, with a variable for each combination of class, zone, endpoint and
 //! segment of its capacity.
 
 use std::collections::BTreeMap;
--- a/crates/state-store/tests/directory.rs
+++ b/crates/state-store/tests/directory.rs
@@ -209,7 +209,7 @@
     open(directory.path());
 }
 
-/// Every second restart appends and flushes an entry; the others close the store at once.
+/// Every second restart appends and flushes an entry; the others close the store immediately.
 #[test]
 fn ten_restarts_in_a_row_lose_nothing_and_leave_few_files() {
     let directory = directory_of_two_numbers();
--- a/crates/table-format/src/keys.rs
+++ b/crates/table-format/src/keys.rs
@@ -1,7 +1,7 @@
 //! Keys that seal manifests.
 //!
-//! Several keys can be valid at once, so that keys are rotated without an interruption: the new key is added at the
-//! readers, then at the writers, and then the old key is removed.
+//! Several keys can be valid at the same time, so that keys are rotated without an interruption: the new key is added
+//! at the readers, then at the writers, and then the old key is removed.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/table-format/src/seal.rs
+++ b/crates/table-format/src/seal.rs
@@ -38,7 +38,7 @@
     pub manifest: Vec<u8>,
 }
 
-/// Encodes a snapshot and seals it with each key. The output is deterministic: equal arguments give equal bytes.
+/// Encodes a snapshot and seals it with each key. The output is deterministic: equal arguments produce equal bytes.
 #[must_use]
 pub fn seal(
     controller: &str,
--- a/crates/table-store/src/writer.rs
+++ b/crates/table-store/src/writer.rs
@@ -146,8 +146,8 @@
         SnapshotId { epoch: self.epoch, version }
     }
 
-    /// Writes and flushes all files in a directory of their own, renames this directory to its final name, and replaces
-    /// the link to the current snapshot. Only the rename of the link publishes the snapshot, so a crash at any earlier
+    /// Writes and flushes all files in a new directory, renames this directory to its final name, and replaces the
+    /// link to the current snapshot. Only the rename of the link publishes the snapshot, so a crash at any earlier
     /// point leaves the previous one current.
     fn publish(&self, snapshot: &SealedSnapshot) -> io::Result<WrittenSnapshot> {
         let unfinished = self.unfinished_directory();
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -252,7 +252,7 @@
     }
 }
 
-/// A request that waits for a core. Dropping it, also together with its connection, frees its place in the queue.
+/// A request that waits for a core. Dropping it, also together with its connection, removes it from the queue.
 struct QueuedRequest<'a>(&'a Process);
 
 impl<'a> QueuedRequest<'a> {
