--- a/crates/daemon/src/state_writer.rs
+++ b/crates/daemon/src/state_writer.rs
@@ -47,10 +47,8 @@
             Ok(opened) => opened,
             Err(error) => {
                 let directory = directory.display();
-                warn_operators(&format!(
-                    "could not open the state store, starting without persisted state and leaving the directory \
-                     unchanged: {directory}: {error}"
-                ));
+                let effect = "starting without persisted state and leaving the directory unchanged";
+                warn_operators(&format!("could not open the state store, {effect}: {directory}: {error}"));
                 return None;
             }
         };
