--- a/crates/fleet/src/applied_entry.rs
+++ b/crates/fleet/src/applied_entry.rs
@@ -15,11 +15,11 @@
 /// The entry of an endpoint in a backend, as reported or acknowledged by the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedEntry {
-    /// In units of the runtime API.
+    /// The weight, in units of the runtime API.
     pub weight: u32,
     /// True if the proxy sends no requests to the endpoint.
     pub in_maintenance: bool,
-    /// `None` if the proxy reported no valid IP address.
+    /// The endpoint's address; `None` if the proxy reported no valid IP address.
     pub address: Option<SocketAddr>,
 }
 
--- a/crates/http-client/src/connection.rs
+++ b/crates/http-client/src/connection.rs
@@ -49,10 +49,10 @@
     driver: JoinHandle<hyper::Result<()>>,
 }
 
-/// The request to the server about the connection after a call.
+/// The handling of the connection after a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterCall {
-    Stay,
+    KeepOpen,
     Close,
 }
 
@@ -77,7 +77,7 @@
     /// # Errors
     /// Returns an error if the connection fails, the path is invalid or the body is longer.
     pub async fn get(&mut self, path: &str, max_body_bytes: usize) -> Result<HttpResponse, CallError> {
-        self.call(path, AfterCall::Stay, max_body_bytes).await
+        self.call(path, AfterCall::KeepOpen, max_body_bytes).await
     }
 
     /// Sends a request like [`HttpConnection::get`] with `connection: close`, and closes the connection after the
--- a/crates/proxy/src/choose/mod.rs
+++ b/crates/proxy/src/choose/mod.rs
@@ -15,10 +15,10 @@
 /// The policy by which a proxy chooses among the entries of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadBalancingPolicy {
-    /// In proportion to weights, with the requests to each entry spread evenly.
+    /// Entries are chosen in proportion to their weights, with the requests to each entry spread evenly.
     #[default]
     SmoothWeightedRoundRobin,
-    /// At random, with probabilities proportional to weights.
+    /// Entries are chosen at random, with probabilities proportional to their weights.
     WeightedRandom,
     /// Two entries are drawn at random by weight; the one with fewer requests in flight is chosen.
     PowerOfTwoChoices,
--- a/crates/scenario/src/environment/proxies.rs
+++ b/crates/scenario/src/environment/proxies.rs
@@ -18,7 +18,8 @@
 use crate::scenario::Scenario;
 use crate::table_folder::TableFolder;
 
-/// Short, because a large scenario has more pairs of proxies and endpoints than there are file descriptors.
+/// The idle time after which a proxy closes a connection to an endpoint. It is short, because a large scenario has more
+/// pairs of proxies and endpoints than there are file descriptors.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running proxy with a recording link to its control socket.
--- a/crates/scenario/src/observed_state.rs
+++ b/crates/scenario/src/observed_state.rs
@@ -42,7 +42,7 @@
     incarnation_start: usize,
     version: u64,
     class_tables: BTreeMap<String, String>,
-    /// For a proxy that reads table files: the endpoints ejected by the snapshot that last assigned its tables.
+    /// The endpoints ejected by the snapshot that last assigned the proxy's tables, if the proxy reads table files.
     ejected: BTreeSet<String>,
     open_streams: usize,
     stalled: bool,
--- a/crates/scenario/src/recording_link/connection.rs
+++ b/crates/scenario/src/recording_link/connection.rs
@@ -19,7 +19,7 @@
 /// A command that was sent to the proxy and not answered yet.
 struct PendingCommand {
     text: String,
-    /// For a state-changing command, the number of such commands that follow it in its message; `None` for others.
+    /// The number of state-changing commands that follow this one in its message; `None` if this one changes no state.
     remaining_changes: Option<usize>,
 }
 
--- a/crates/scenario/src/rules/availability.rs
+++ b/crates/scenario/src/rules/availability.rs
@@ -10,7 +10,7 @@
 /// Measures how long a class has no usable endpoint at a proxy.
 pub struct Availability {
     result: CheckResult,
-    /// By proxy, the time since which some class has had no endpoint that can be picked.
+    /// The time since which some class has had no endpoint that can be picked, by proxy.
     without_endpoint_since: BTreeMap<String, Duration>,
 }
 
--- a/crates/scenario/src/rules/warming.rs
+++ b/crates/scenario/src/rules/warming.rs
@@ -8,13 +8,14 @@
 use crate::check_result::CheckResult;
 use crate::rules::limits::Limits;
 
-/// The load of an endpoint that went down from overload, as a multiple of the limit: above it, whatever was measured.
+/// The load that is recorded for an endpoint that went down because of overload, as a multiple of the limit. It
+/// exceeds the limit, so that the rule is broken whatever load was measured.
 const OVER_LIMIT_FACTOR: f64 = 1.001;
 
 /// Work that arrived at an endpoint.
 struct WorkArrival {
     at: Duration,
-    /// In seconds of one core at speed 1.
+    /// The work, in seconds of one core at speed 1.
     work: f64,
 }
 
--- a/crates/scenario/src/table_folder.rs
+++ b/crates/scenario/src/table_folder.rs
@@ -16,10 +16,12 @@
 use lockcroft_testbed::{AppliedTable, ClassTable, EndpointWeight, TrafficEvent, TrafficRecorder};
 use tokio::sync::Mutex;
 
-/// Much shorter than the time for which old snapshots are kept, so that an applied snapshot can still be read.
+/// The interval between two reads of the proxies' status files. It is much shorter than the time for which old
+/// snapshots are kept, so that an applied snapshot can still be read.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const PROXY_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// More than a controller keeps by default, so that applied snapshots can still be read.
+/// The number of snapshots that the controller keeps. It is above the default, so that applied snapshots can still be
+/// read.
 const KEPT_SNAPSHOTS: usize = 64;
 const KEY_FILE_MODE: u32 = 0o600;
 
--- a/crates/scenario/src/xml.rs
+++ b/crates/scenario/src/xml.rs
@@ -14,7 +14,7 @@
 
 /// The XML schema of scenario files.
 pub const SCHEMA: &str = include_str!("../day.xsd");
-/// Includes each action with its updates and acknowledgements.
+/// The log levels of a scenario that states none. They include each action with its updates and acknowledgements.
 const DEFAULT_LOG_LEVELS: &str =
     "info,lockcroft::action=debug,lockcroft::update=debug,lockcroft::acknowledgement=debug";
 const DEFAULT_NOTICE_DELAY: Duration = Duration::from_secs(1);
--- a/crates/solver/src/solution.rs
+++ b/crates/solver/src/solution.rs
@@ -1,6 +1,6 @@
 //! The result of solving a problem: weights, planned work, admission rates and the objective.
 
-/// The greatest weight. Weights are whole numbers from 0 to this.
+/// The greatest weight. Weights are integers from 0 to this.
 pub const MAX_WEIGHT: u32 = 256;
 
 /// Weights and the plan that they are derived from. Work is in seconds of one core per second, that is, in cores.
--- a/crates/solver/src/solve.rs
+++ b/crates/solver/src/solve.rs
@@ -7,7 +7,7 @@
 use crate::problem::{Problem, ProblemError, UNITS_PER_CORE};
 use crate::solution::{Objective, PlannedWork, ShedReason, Solution, to_weights};
 
-/// Gains are scaled so that the greatest gain of any class equals this, and rounded to whole numbers.
+/// Gains are scaled so that the greatest gain of any class equals this, and rounded to integers.
 const GAIN_STEPS: f64 = 1e9;
 
 /// Returns the plan with the greatest objective. The result is deterministic. The time depends on the numbers of zones,
@@ -64,7 +64,7 @@
         FlowModel { problem, groups, sources, sinks }
     }
 
-    /// Returns the network with all gains as whole numbers.
+    /// Returns the network with all gains as integers.
     fn network(&self) -> FlowNetwork {
         let max_gain =
             self.sources.iter().map(|source| self.problem.work_gain(source.class, false)).fold(0.0, f64::max);
@@ -111,7 +111,7 @@
 struct Plan<'a> {
     problem: &'a Problem,
     groups: &'a [EndpointGroup],
-    /// Whole units of work per second by class, zone of the proxies, and group.
+    /// Integer units of work per second by class, zone of the proxies, and group.
     units: Vec<Vec<Vec<i64>>>,
     /// Cost of latency, in value per second.
     latency_cost: f64,
--- a/crates/solver/src/table_stabilizer.rs
+++ b/crates/solver/src/table_stabilizer.rs
@@ -29,7 +29,7 @@
 /// The current tables. Endpoints are identified by numbers that the caller chooses.
 #[derive(Clone, Debug, Default)]
 pub struct TableStabilizer {
-    /// By index of the scope.
+    /// The current fractions of each table, by index of the scope.
     current: Vec<WeightFractions>,
     /// The endpoints of the last problem.
     known_endpoints: BTreeSet<usize>,
--- a/crates/testbed/src/fake_endpoint/process.rs
+++ b/crates/testbed/src/fake_endpoint/process.rs
@@ -24,7 +24,7 @@
 use crate::traffic_event::TrafficEvent;
 use crate::traffic_recorder::TrafficRecorder;
 
-/// The most rejection work that is added to one request, as a multiple of its own work. The excess is dropped.
+/// The maximum rejection work that is added to one request, as a multiple of its own work. The excess is dropped.
 const MAX_REJECTION_OVERHEAD: f64 = 3.0;
 /// Lower bound of the speed of a core, so that the execution time of a request is finite.
 const MIN_SPEED: f64 = 1e-3;
@@ -33,7 +33,7 @@
 /// Work that arrived at an endpoint.
 struct WorkArrival {
     at: Duration,
-    /// In seconds of one core at speed 1.
+    /// The work, in seconds of one core at speed 1.
     work: f64,
 }
 
@@ -52,7 +52,7 @@
     incarnation: u64,
 }
 
-/// The state of an endpoint over all of its incarnations.
+/// The state of an endpoint, across restarts of its simulated process.
 pub struct Process {
     address: SocketAddr,
     config: EndpointConfig,
--- a/crates/testbed/src/headers.rs
+++ b/crates/testbed/src/headers.rs
@@ -12,7 +12,7 @@
 pub const PROXY: &str = "x-relay";
 /// The table by which the proxy chose the endpoint, with its version, such as `t0@17`.
 pub const TABLE: &str = "x-table";
-/// On a response: the request was rejected before any of it was executed.
+/// Set on a response if the request was rejected before any of it was executed.
 pub const NOT_EXECUTED: &str = "x-unread";
 
 /// Returns the value of a header, or `None` if the header is missing or can't be parsed as `T`.
--- a/crates/testbed/src/traffic_event.rs
+++ b/crates/testbed/src/traffic_event.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-/// Something that was observed on a socket or done by a test double.
+/// An event that was observed on a socket or caused by a test double.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum TrafficEvent {
     /// A request arrived at an endpoint.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -44,7 +44,7 @@
     random: Random,
     layout: SubsetLayout,
     tables: Vec<RoutingTable>,
-    /// Sorted by value density, lowest first.
+    /// The admission of each class at each table, sorted by value density, lowest first.
     admissions: Vec<ClassAdmission>,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     proxies: ProxySet,
--- a/src/health.rs
+++ b/src/health.rs
@@ -21,7 +21,8 @@
 /// The times at which checks of all endpoints are due or time out.
 #[derive(Default)]
 pub struct HealthCheckSchedule {
-    /// Sorted by time. An entry that no longer matches the timer of its endpoint is ignored when it is due.
+    /// The endpoints by the time at which a check is due or times out. An entry that no longer matches the timer
+    /// of its endpoint is ignored when it is due.
     due: BTreeSet<(Duration, EndpointId)>,
 }
 
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -104,7 +104,7 @@
 
 /// The attachments of the proxies that may still use tables of an earlier controller.
 pub struct UnassignedProxies {
-    /// Sorted by generation.
+    /// The attachments, sorted by generation.
     attachments: Vec<Attachment>,
 }
 
--- a/tests/controller/health_checks.rs
+++ b/tests/controller/health_checks.rs
@@ -50,7 +50,7 @@
 
 /// An answer and the timeout of its check at the same instant leave the same state in either order.
 #[test]
-fn answer_at_the_timeout_comes_too_late_in_either_order() {
+fn answer_at_the_timeout_is_late_in_either_order() {
     for latency in [490, 499, 500, 501] {
         let counters = [true, false].map(|answer_first| {
             let mut fleet = fleet_with_check_in_progress();
