--- a/crates/proxy/src/table_transaction.rs
+++ b/crates/proxy/src/table_transaction.rs
@@ -11,7 +11,8 @@
 /// One line of commands, staged on a copy of the routing state.
 pub struct TableTransaction {
     pub(crate) remaining: VecDeque<Command>,
-    /// The prepared batch that a command of the line commits, until all its commands were executed again.
+    /// The prepared batch that a `commit map` command of the line is committing. Its commands are executed before the
+    /// remaining ones of the line. `None` if no commit is under way.
     pub(crate) replay: Option<Replay>,
     /// The positions of the commands that change something, in the line and among the answers.
     change_positions: Vec<usize>,
@@ -91,7 +92,7 @@
     }
 
     /// Adopts the staged state, or nothing of it if one of several commands that change something was refused.
-    /// Returns the answers to the commands. `has_version` is true if the line is a batch with a version of its own.
+    /// Returns the answers to the commands. `has_version` is true if the line is a batch that gets a new version.
     pub(crate) fn conclude(mut self, state: &mut RoutingState, has_version: bool) -> Vec<String> {
         let rejection = self.rejection.take();
         // A single command that was refused may have added the payload lines before a malformed one.
--- a/crates/solver/src/solution.rs
+++ b/crates/solver/src/solution.rs
@@ -1,6 +1,6 @@
 //! The result of solving a problem: weights, planned work, admission rates and the objective.
 
-/// The greatest weight. Weights are whole numbers from 0 to this.
+/// The greatest weight. Weights are integers from 0 to this.
 pub const MAX_WEIGHT: u32 = 256;
 
 /// Weights and the plan that they are derived from. Work is in seconds of one core per second, that is, in cores.
@@ -80,8 +80,8 @@
     }
 }
 
-/// Scales numbers so that the greatest becomes [`MAX_WEIGHT`], and rounds them to whole weights. Numbers far below the
-/// greatest round to 0. All weights are 0 if no number is positive.
+/// Scales numbers so that the greatest becomes [`MAX_WEIGHT`], and rounds them to integer weights. Numbers far below
+/// the greatest round to 0. All weights are 0 if no number is positive.
 pub(crate) fn to_weights(shares: &[f64]) -> Vec<u32> {
     let max = shares.iter().copied().fold(0.0, f64::max);
     if max <= 0.0 {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -44,7 +44,7 @@
     random: Random,
     layout: SubsetLayout,
     tables: Vec<RoutingTable>,
-    /// Sorted by value density, lowest first.
+    /// The admission of each class at each table, sorted by value density, lowest first.
     admissions: Vec<ClassAdmission>,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     proxies: ProxySet,
@@ -67,7 +67,7 @@
     next_evaluation: Duration,
     /// The time from which common updates may be sent again.
     next_publication: Duration,
-    /// The end of the cool-down after a change of admission rates, in which reports come to reflect it.
+    /// The end of the cool-down after a change of admission rates, until which reports may not reflect it yet.
     next_admission_change: Duration,
 }
 
