--- a/crates/fleet/src/fleet_controller.rs
+++ b/crates/fleet/src/fleet_controller.rs
@@ -181,7 +181,7 @@
         let endpoints = self.controller.state().endpoints;
         let task = self.planner.as_mut().and_then(|planner| planner.next_task(now, endpoints));
         self.effects.extend(task.map(Effect::Solve));
-        // The decisions limit updates by the number of queued entries, so it is set before they are asked.
+        // The decisions limit updates by the number of queued entries, so it is set before their actions are requested.
         self.controller.set_queued_entries(self.queued_entries());
         let actions_before = self.totals.actions;
         while let Some(action) = self.controller.next_action(now) {
--- a/crates/fleet/src/inputs.rs
+++ b/crates/fleet/src/inputs.rs
@@ -1,5 +1,5 @@
-//! Inputs other than those of proxy connections: the endpoint list, operator overrides, health checks, solver
-//! answers, and results of writing table files.
+//! Inputs other than those of proxy connections: the endpoint list, operator overrides, health checks, solutions
+//! of the solver, and results of writing table files.
 
 use std::time::{Duration, SystemTime};
 
--- a/crates/fleet/tests/updates/simulation.rs
+++ b/crates/fleet/tests/updates/simulation.rs
@@ -351,8 +351,8 @@
                 self.fleet.health_check_finished(self.now, endpoint, outcome, Duration::ZERO);
             }
             Effect::Solve(task) => {
-                let answer = lockcroft_solver::solve(&task.problem).ok();
-                self.fleet.plan_solved(self.now, answer);
+                let solution = lockcroft_solver::solve(&task.problem).ok();
+                self.fleet.plan_solved(self.now, solution);
             }
             Effect::Connect { proxy, connection, .. } => self.connect(proxy, connection),
             Effect::Write { proxy, connection, text } => {
