--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use lockcroft_runtime_api::Address;
+use lockcroft_runtime_api::{Address, MAX_RESPONSE_BYTES};
 use thiserror::Error;
 
 use crate::logging::LoggingError;
@@ -22,25 +22,25 @@
         source: io::Error,
     },
     /// The keys that seal table files could not be read.
-    #[error("{0}")]
+    #[error("failed to read the keys that seal table files: {0}")]
     Keys(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// The thread that writes table files could not be spawned.
-    #[error("{0}")]
+    #[error("failed to spawn the thread that writes table files: {0}")]
     Thread(#[source] io::Error),
 }
 
 /// The reason why a connection attempt failed or a connection ended. `show proxies` shows its text.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    #[error("cannot be dialled: {0}")]
+    #[error("failed to connect: {0}")]
     Connect(#[source] io::Error),
-    #[error("writing: {0}")]
+    #[error("failed to write to the connection: {0}")]
     Write(#[source] io::Error),
-    #[error("reading: {0}")]
+    #[error("failed to read from the connection: {0}")]
     Read(#[source] io::Error),
-    #[error("closed by the proxy")]
+    #[error("connection closed by the proxy")]
     ClosedByProxy,
-    /// The proxy sent more than [`lockcroft_runtime_api::MAX_RESPONSE_BYTES`] bytes without ending the response.
-    #[error("an answer without an end")]
+    /// The proxy sent more than [`MAX_RESPONSE_BYTES`] bytes without ending the response.
+    #[error("received more than {MAX_RESPONSE_BYTES} bytes without the end of a response")]
     ResponseTooLong,
 }
--- a/crates/runtime-api/src/client.rs
+++ b/crates/runtime-api/src/client.rs
@@ -17,13 +17,13 @@
     #[error("cannot be reached: {0}")]
     Unreachable(#[source] io::Error),
     /// Reading or writing failed.
-    #[error("the connection broke: {0}")]
+    #[error("connection failed before the response was complete: {0}")]
     Broken(#[source] io::Error),
     /// The server did not close the connection within the time limit.
-    #[error("no whole answer in time")]
+    #[error("timed out before the response was complete")]
     TimedOut,
     /// The response is longer than [`MAX_RESPONSE_BYTES`].
-    #[error("the answer is longer than {MAX_RESPONSE_BYTES} bytes")]
+    #[error("received more than {MAX_RESPONSE_BYTES} bytes, the maximum length of a response")]
     TooLong,
 }
 
