--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -33,9 +33,9 @@
         connection: u64,
         responses: Vec<String>,
     },
-    /// The solver finished. Without an answer it failed, and the previous plan stays in effect.
+    /// The solver finished. `solution` is `None` if it failed; the previous plan then stays in effect.
     PlanSolved {
-        answer: Option<Solution>,
+        solution: Option<Solution>,
     },
     SnapshotWritten {
         result: Result<WrittenSnapshot, PublishError>,
@@ -57,7 +57,7 @@
             Event::HealthCheckFinished { endpoint, outcome, latency } => {
                 fleet.health_check_finished(now, endpoint, outcome, latency);
             }
-            Event::PlanSolved { answer } => fleet.plan_solved(now, answer),
+            Event::PlanSolved { solution } => fleet.plan_solved(now, solution),
             Event::SnapshotWritten { result } => fleet.snapshot_written(now, result),
             Event::StateSaved(status) => fleet.set_state_store_status(status),
             Event::SnapshotsReported { reports } => {
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -281,10 +281,10 @@
     let solved = tokio::task::spawn_blocking(move || lockcroft_solver::solve(&task.problem)).await;
     let solved = solved.map_err(|error| error.to_string());
     let solved = solved.and_then(|solved| solved.map_err(|error| error.to_string()));
-    let answer = solved
+    let solution = solved
         .inspect_err(|error| warn_operators(&format!("solver failed, keeping the previous plan: {error}")))
         .ok();
-    Event::PlanSolved { answer }
+    Event::PlanSolved { solution }
 }
 
 fn milliseconds_since_1970(time: SystemTime) -> u64 {
