--- a/crates/proxy/src/control_session.rs
+++ b/crates/proxy/src/control_session.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Executes a command on the epoch or a prepared batch of this connection, and refuses changes once the epoch
-    /// is superseded; `None` for commands that are to be executed on the routing state.
+    /// Executes a command that concerns the epoch or the prepared batch of this connection, and rejects changes once
+    /// the epoch is superseded. Returns `None` if the command must be executed on the routing state instead.
     fn connection_command(
         &mut self,
         command: &Command,
--- a/crates/solver/src/flow.rs
+++ b/crates/solver/src/flow.rs
@@ -163,6 +163,8 @@
         let last_sink = path[path.len() - 1] - source_count;
         let backward = path.windows(2).filter(|step| step[0] >= source_count);
         let reducible = backward.map(|step| self.flow[step[1]][step[0] - source_count]).min();
+        // A path without backward steps removes no flow: `i64::MAX`, the value of `UNREACHABLE`, then means no limit, and
+        // only the remaining supply and capacity limit the units.
         let units = reducible
             .unwrap_or(UNREACHABLE)
             .min(self.remaining_supply[first_source])
--- a/tests/controller/regressions.rs
+++ b/tests/controller/regressions.rs
@@ -578,7 +578,7 @@
 
 /// Guards against weights that are not updated for seconds: urgent updates had used up the limit on messages.
 #[test]
-fn urgent_updates_leave_messages_to_other_updates() {
+fn weights_are_updated_within_the_message_limit_after_many_urgent_updates() {
     let limits = |settings: &mut Settings| {
         settings.fleet.max_messages = 30.0;
         settings.fleet.message_window = ms(10000);
@@ -627,7 +627,7 @@
 /// Guards against an ejection that never ends: a proxy attaches while an endpoint is ejected, and at the same
 /// time the endpoint is ready again. The proxies that got the ejection must also get its end.
 #[test]
-fn attachment_does_not_lose_the_end_of_an_ejection() {
+fn ejection_ends_if_a_proxy_attaches_when_the_endpoint_becomes_ready() {
     let mut fleet = TestFleet::new(4);
     fleet.attach(0).run_until(1000).update_list(&[with_status(2, EndpointStatus::Draining)]).run_until(2000);
     fleet.attach(1).update_list(&[ready(2)]);
